--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -4,7 +4,8 @@
 a time, and compared with it pair by pair:
 
     python -m benchmarks.experiment --bench PATH --sites A.toml --days quiet-1 scale-1
-        --seeds 1 2 3 --variants "no fetch=decisions.homes.LEAST_FETCHED=10**9"
+        --seeds 1 2 3
+        --variants "no fetch=decisions.prefix_affinity.MIN_FETCH_TOKENS=10**9"
 
 Without `--bench` the loads are those of our own emulator, with a domain of engines for
 a site and a pattern for a day.
--- a/benchmarks/load_fakes.py
+++ b/benchmarks/load_fakes.py
@@ -13,7 +13,7 @@
 
 from pimentolatch import fleet, results
 from pimentolatch.backend import outcomes
-from pimentolatch.decisions import dispatcher, lanes, outstanding, work
+from pimentolatch.decisions import dispatcher, lanes, outstanding_work, request_work
 from pimentolatch.document import schema
 
 __all__ = ["Arrival", "Baseline", "Fleet", "Outcome", "Ours", "document", "run"]
@@ -190,7 +190,7 @@
 
     def __init__(self, view: fleet.View, name: str) -> None:
         self._view = view
-        self._work = outstanding.Outstanding()
+        self._work = outstanding_work.OutstandingWork()
         self._new: list[str] = []
         self._sent: dict[str, str] = {}
 
@@ -286,7 +286,9 @@
         self.outcomes.append(outcome)
         own = self.policies[number % len(self.policies)]
         start = arrival.prefix or name
-        prompt = (start + "/").ljust(work.CHARACTERS_PER_TOKEN * arrival.prompt_tokens)
+        prompt = (start + "/").ljust(
+            request_work.CHARACTERS_PER_TOKEN * arrival.prompt_tokens
+        )
         if arrival.prefix:
             prompt = prompt[: -len(name)] + name
         request = lanes.Request(
--- a/benchmarks/serving.py
+++ b/benchmarks/serving.py
@@ -10,7 +10,7 @@
 from collections import abc
 
 from benchmarks import fakes, patterns, runs
-from pimentolatch.decisions import demand, prefill, states
+from pimentolatch.decisions import demand, disaggregation, states
 
 __all__ = ["WINDOW_S", "Run", "serve"]
 
@@ -35,7 +35,7 @@
         self._scenario = scenario
         self._planner = planner
         self._options = options
-        self._costs = prefill.Costs(adaptive=options.adaptive_limit)
+        self._costs = disaggregation.Costs(adaptive=options.adaptive_limit)
         self._slots = [
             runs.Slot(n, fakes.FakeEngine(engine, self.outcome.times))
             for n, engine in enumerate(scenario.engines)
@@ -97,11 +97,11 @@
         loads = [self._load(job, slot) for slot in self._slots if slot.routable]
         if not self._options.apart:
             loads = [load for load in loads if load.role != "prefill"] or loads
-        prompt = prefill.Prompt(
+        prompt = disaggregation.RequestSize(
             job.prompt_tokens + job.delivered, job.output_tokens - job.delivered
         )
-        path = prefill.choose_path(prompt, loads, self._costs)
-        if isinstance(path, prefill.NoEngine):
+        path = disaggregation.choose_path(prompt, loads, self._costs)
+        if isinstance(path, disaggregation.NoEngine):
             if now + RETRY_S < job.deadline:
                 self._at(now + RETRY_S, functools.partial(self._place_again, job))
             else:
@@ -115,11 +115,11 @@
     def _place_again(self, job: fakes.Job, now: float) -> None:
         self._place(now, job)
 
-    def _load(self, job: fakes.Job, slot: runs.Slot) -> prefill.EngineLoad:
+    def _load(self, job: fakes.Job, slot: runs.Slot) -> disaggregation.EngineLoad:
         own, other = self._own[job.entry], self._published[1 - job.entry]
         n, engine = slot.number, slot.fake.engine
         known = job.prefix in self._prefixes[job.entry][n]
-        return prefill.EngineLoad(
+        return disaggregation.EngineLoad(
             engine.name,
             slot.fake.role,
             engine.streams,
@@ -141,11 +141,14 @@
         return (own.output[n] + other.output[n]) * (1.0 - 0.5 * running)
 
     def _send(
-        self, now: float, job: fakes.Job, path: prefill.Whole | prefill.Apart
+        self,
+        now: float,
+        job: fakes.Job,
+        path: disaggregation.Colocated | disaggregation.Disaggregated,
     ) -> None:
         writer = self._by_name[path.engine]
         reader = writer
-        if isinstance(path, prefill.Apart):
+        if isinstance(path, disaggregation.Disaggregated):
             reader = self._by_name[path.prefill_engine]
             writer.inbound += 1
         job.reader, job.writer = reader.fake.engine.name, writer.fake.engine.name
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -54,7 +54,7 @@
 
 
 def parse(text: str) -> Variant:
-    """Return the variant that a text such as `far=decisions.placement._FAR_MS=5` names.
+    """Return the variant that a text such as `x=decisions.placement._LATE_MS=5` names.
 
     Several overrides are divided by semicolons. `name=@PATH` names another tree.
 
--- a/src/pimentolatch/decisions/accounts.py
+++ b/src/pimentolatch/decisions/accounts.py
@@ -10,7 +10,7 @@
 from collections import abc
 
 from pimentolatch import results
-from pimentolatch.decisions import lanes, limits, shares, work
+from pimentolatch.decisions import lanes, limits, request_work, shares
 from pimentolatch.document import schema
 
 __all__ = ["Accounts"]
@@ -25,7 +25,7 @@
 
     def __init__(self, peers: shares.PeerShares) -> None:
         self._limits = limits.CallerLimits(peers)
-        self._estimates = work.OutputEstimates()
+        self._estimates = request_work.OutputEstimates()
         self._callers: dict[str, schema.Caller] = {}
 
     def set_callers(self, callers: abc.Iterable[schema.Caller]) -> None:
@@ -48,12 +48,12 @@
         now: datetime.timedelta,
     ) -> lanes.Held:
         """Return a new request with the work expected of it."""
-        prompt = work.prompt_tokens(request.prompt)
+        prompt = request_work.prompt_tokens(request.prompt)
         output = self._estimates.expected(
             request.caller, request.model, prompt, request.max_tokens
         )
-        asked = work.Work(prompt, output)
-        units = asked.units(work.output_weight(engines))
+        asked = request_work.Work(prompt, output)
+        units = asked.units(request_work.output_weight(engines))
         caller = self._callers.get(request.caller)
         waits = lane.waits_of(request.caller)
         return lanes.Held(request, caller, asked, units, now, waits)
--- a/src/pimentolatch/decisions/crash_suspects.py
+++ b/src/pimentolatch/decisions/crash_suspects.py
@@ -25,7 +25,7 @@
 import math
 from collections import abc
 
-from pimentolatch.decisions import crash_evidence, subset
+from pimentolatch.decisions import crash_evidence, rendezvous
 from pimentolatch.requests import digests
 from pimentolatch.routes import servers
 
@@ -322,5 +322,7 @@
         candidates: Servers that take requests.
     """
     lot = f"{digests.digest_text(digest)}/{crashes}"
-    ranked = sorted(candidates, key=lambda server: subset.rank(lot, server.server_id))
+    ranked = sorted(
+        candidates, key=lambda server: rendezvous.rank(lot, server.server_id)
+    )
     return frozenset(ranked[: math.ceil(_OWN_SHARE * len(ranked))])
--- a/src/pimentolatch/decisions/prefill.py
+++ b/src/pimentolatch/decisions/disaggregation.py
@@ -21,23 +21,23 @@
 from pimentolatch.document import schema
 
 __all__ = [
-    "Apart",
+    "Disaggregated",
     "Costs",
     "EngineLoad",
     "NoEngine",
     "Path",
-    "Prompt",
-    "Whole",
+    "RequestSize",
+    "Colocated",
     "break_even_tokens",
     "choose_path",
-    "step_s",
+    "decode_step_s",
 ]
 
 # Share of a full batch's step time that is spent however few streams there are.
 _FIXED_STEP_SHARE = 0.4
 # Reading is this much slower in a full batch than alone: a decode engine reads in
 # small pieces so that its streams go on, a mixed one in larger pieces.
-_READING_SLOWDOWN: dict[schema.Role, float] = {
+_PREFILL_SLOWDOWN: dict[schema.Role, float] = {
     "prefill": 0.0,
     "mixed": 0.6,
     "decode": 2.4,
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Prompt:
+class RequestSize:
     """The size of a request, in tokens."""
 
     prompt_tokens: int
@@ -101,7 +101,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Whole:
+class Colocated:
     """Read and answer on one engine; predictions in seconds from now."""
 
     engine: str
@@ -110,7 +110,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Apart:
+class Disaggregated:
     """Read on one engine, move the KV cache, answer on another."""
 
     prefill_engine: str
@@ -124,73 +124,75 @@
     """No engine can answer."""
 
 
-Path = Whole | Apart | NoEngine
+Path = Colocated | Disaggregated | NoEngine
 
 
 def choose_path(
-    prompt: Prompt, engines: abc.Iterable[EngineLoad], costs: Costs
+    prompt: RequestSize, engines: abc.Iterable[EngineLoad], costs: Costs
 ) -> Path:
     """Return the way that costs the callers least time.
 
     Engines of the role prefill never answer. If they are all that is left, there is
     no way, and the caller is told so.
     """
-    readers: list[EngineLoad] = []
-    answerers: list[EngineLoad] = []
+    prefill_engines: list[EngineLoad] = []
+    decode_engines: list[EngineLoad] = []
     for engine in engines:
-        (readers if engine.role == "prefill" else answerers).append(engine)
-    if not answerers:
+        (prefill_engines if engine.role == "prefill" else decode_engines).append(engine)
+    if not decode_engines:
         return NoEngine()
-    whole = min(answerers, key=lambda engine: _cost_whole(prompt, engine))
-    if not readers:
-        return _whole(prompt, whole)
-    reader = min(readers, key=_reading_wait_s)
-    answerer = min(answerers, key=lambda engine: _cost_answering(prompt, engine))
-    limit = break_even_tokens(whole, reader, costs)
-    if prompt.prompt_tokens - whole.cached_tokens <= limit:
-        return _whole(prompt, whole)
-    return _apart(prompt, reader, answerer, costs)
-
-
-def break_even_tokens(whole: EngineLoad, reader: EngineLoad, costs: Costs) -> float:
+    colocated = min(decode_engines, key=lambda engine: _colocated_cost(prompt, engine))
+    if not prefill_engines:
+        return _colocated(prompt, colocated)
+    prefill_engine = min(prefill_engines, key=_prefill_wait_s)
+    decode_engine = min(decode_engines, key=lambda engine: _decode_cost(prompt, engine))
+    limit = break_even_tokens(colocated, prefill_engine, costs)
+    if prompt.prompt_tokens - colocated.cached_tokens <= limit:
+        return _colocated(prompt, colocated)
+    return _disaggregated(prompt, prefill_engine, decode_engine, costs)
+
+
+def break_even_tokens(
+    colocated: EngineLoad, prefill_engine: EngineLoad, costs: Costs
+) -> float:
     """Return the prompt length from which reading apart pays, in tokens.
 
     Both ways cost a wait and a price for each token; the lengths where the sums meet
     is the limit. Infinite if the price for each token is higher apart.
     """
-    at_whole = 1.0 / whole.prefill_tokens_per_s
-    at_reader = 1.0 / reader.prefill_tokens_per_s
-    moved = costs.kv_bytes_per_token / costs.kv_bytes_per_s
+    colocated_s = 1.0 / colocated.prefill_tokens_per_s
+    prefill_engine_s = 1.0 / prefill_engine.prefill_tokens_per_s
+    transfer = costs.kv_bytes_per_token / costs.kv_bytes_per_s
     wait_difference = costs.handover_s
     behind = 0
     if costs.adaptive:
-        wait_difference += _reading_wait_s(reader) - _reading_wait_s(whole)
-        behind = reader.streams
-        streams = min(whole.streams, whole.batch)
+        wait_difference += _prefill_wait_s(prefill_engine) - _prefill_wait_s(colocated)
+        behind = prefill_engine.streams
+        streams = min(colocated.streams, colocated.batch)
     else:
-        streams = whole.batch // 2
-    slowdown = 1.0 + _READING_SLOWDOWN[whole.role] * streams / whole.batch
-    price_whole = at_whole * (slowdown + _STREAM_DELAY * streams)
-    price_apart = at_reader * (1.0 + behind) + moved
-    if price_whole <= price_apart:
+        streams = colocated.batch // 2
+    slowdown = 1.0 + _PREFILL_SLOWDOWN[colocated.role] * streams / colocated.batch
+    colocated_price = colocated_s * (slowdown + _STREAM_DELAY * streams)
+    disaggregated_price = prefill_engine_s * (1.0 + behind) + transfer
+    if colocated_price <= disaggregated_price:
         return math.inf
-    return max(0.0, wait_difference / (price_whole - price_apart))
+    return max(0.0, wait_difference / (colocated_price - disaggregated_price))
 
 
-def step_s(engine: EngineLoad, streams: int) -> float:
+def decode_step_s(engine: EngineLoad, streams: int) -> float:
     """Return the time between two tokens of a stream when nothing is read."""
     full = engine.batch / engine.decode_tokens_per_s
     share = min(streams, engine.batch) / engine.batch
     return full * (_FIXED_STEP_SHARE + (1.0 - _FIXED_STEP_SHARE) * share)
 
 
-def _reading_wait_s(engine: EngineLoad) -> float:
-    return engine.prompt_tokens * _reading_s_per_token(engine)
+def _prefill_wait_s(engine: EngineLoad) -> float:
+    return engine.prompt_tokens * _prefill_s_per_token(engine)
 
 
-def _reading_s_per_token(engine: EngineLoad) -> float:
+def _prefill_s_per_token(engine: EngineLoad) -> float:
     share = min(engine.streams, engine.batch) / engine.batch
-    slowdown = 1.0 + _READING_SLOWDOWN[engine.role] * share
+    slowdown = 1.0 + _PREFILL_SLOWDOWN[engine.role] * share
     return slowdown / engine.prefill_tokens_per_s
 
 
@@ -203,46 +205,53 @@
     return excess * each / engine.decode_tokens_per_s
 
 
-def _writing_s(prompt: Prompt, engine: EngineLoad, read_here: int = 0) -> float:
+def _decode_s(
+    prompt: RequestSize, engine: EngineLoad, prefilled_here: int = 0
+) -> float:
     """Time of the answer itself, with the reading that will interrupt it.
 
     Streams that end are followed by others whose prompts are read meanwhile; those
     are taken to be like this one. Left out, a full engine would look almost twice as
     fast as it is, and whatever it took on would be late.
     """
-    own = prompt.output_tokens * step_s(engine, engine.streams + 1)
-    followers = min(engine.streams, engine.batch) * read_here
+    own = prompt.output_tokens * decode_step_s(engine, engine.streams + 1)
+    followers = min(engine.streams, engine.batch) * prefilled_here
     interrupting = engine.prompt_tokens + followers
     return own + interrupting * _STREAM_DELAY / engine.prefill_tokens_per_s
 
 
-def _reading_s(prompt: Prompt, engine: EngineLoad) -> float:
-    fresh = max(0, prompt.prompt_tokens - engine.cached_tokens)
-    return _reading_wait_s(engine) + fresh * _reading_s_per_token(engine)
+def _prefill_s(prompt: RequestSize, engine: EngineLoad) -> float:
+    uncached = max(0, prompt.prompt_tokens - engine.cached_tokens)
+    return _prefill_wait_s(engine) + uncached * _prefill_s_per_token(engine)
 
 
-def _cost_whole(prompt: Prompt, engine: EngineLoad) -> float:
-    fresh = max(0, prompt.prompt_tokens - engine.cached_tokens)
-    delay = _STREAM_DELAY * fresh / engine.prefill_tokens_per_s
-    held_up = min(engine.streams, engine.batch) * delay
-    return _reading_s(prompt, engine) + _cost_answering(prompt, engine) + held_up
+def _colocated_cost(prompt: RequestSize, engine: EngineLoad) -> float:
+    uncached = max(0, prompt.prompt_tokens - engine.cached_tokens)
+    delay = _STREAM_DELAY * uncached / engine.prefill_tokens_per_s
+    others_delay = min(engine.streams, engine.batch) * delay
+    return _prefill_s(prompt, engine) + _decode_cost(prompt, engine) + others_delay
 
 
-def _cost_answering(prompt: Prompt, engine: EngineLoad) -> float:
-    return _slot_wait_s(engine) + _writing_s(prompt, engine)
+def _decode_cost(prompt: RequestSize, engine: EngineLoad) -> float:
+    return _slot_wait_s(engine) + _decode_s(prompt, engine)
 
 
-def _whole(prompt: Prompt, engine: EngineLoad) -> Whole:
-    first = _reading_s(prompt, engine) + _slot_wait_s(engine)
-    fresh = max(0, prompt.prompt_tokens - engine.cached_tokens)
-    read_here = fresh if fresh < demand.LONG_PROMPT_TOKENS else 0
-    return Whole(engine.name, first, first + _writing_s(prompt, engine, read_here))
+def _colocated(prompt: RequestSize, engine: EngineLoad) -> Colocated:
+    first = _prefill_s(prompt, engine) + _slot_wait_s(engine)
+    uncached = max(0, prompt.prompt_tokens - engine.cached_tokens)
+    prefilled_here = uncached if uncached < demand.LONG_PROMPT_TOKENS else 0
+    return Colocated(
+        engine.name, first, first + _decode_s(prompt, engine, prefilled_here)
+    )
 
 
-def _apart(
-    prompt: Prompt, reader: EngineLoad, answerer: EngineLoad, costs: Costs
-) -> Apart:
-    moved = costs.transfer_s(prompt.prompt_tokens)
-    first = _reading_s(prompt, reader) + moved + _slot_wait_s(answerer)
-    finish = first + _writing_s(prompt, answerer)
-    return Apart(reader.name, answerer.name, first, finish)
+def _disaggregated(
+    prompt: RequestSize,
+    prefill_engine: EngineLoad,
+    decode_engine: EngineLoad,
+    costs: Costs,
+) -> Disaggregated:
+    transfer = costs.transfer_s(prompt.prompt_tokens)
+    first = _prefill_s(prompt, prefill_engine) + transfer + _slot_wait_s(decode_engine)
+    finish = first + _decode_s(prompt, decode_engine)
+    return Disaggregated(prefill_engine.name, decode_engine.name, first, finish)
--- a/src/pimentolatch/decisions/dispatcher.py
+++ b/src/pimentolatch/decisions/dispatcher.py
@@ -18,18 +18,18 @@
 from pimentolatch.decisions import (
     accounts,
     admission,
-    choice,
     demand,
     dispatches,
+    engine_selection,
     health,
     lanes,
-    outstanding,
-    prefixes,
-    readers,
+    outstanding_work,
+    prefill_dispatches,
+    recent_prefixes,
+    request_work,
     retries,
     routing,
     shares,
-    work,
 )
 from pimentolatch.document import schema
 
@@ -54,7 +54,7 @@
 
     request_id: str
     engine: schema.Engine
-    reader: schema.Engine | None = None
+    prefill_engine: schema.Engine | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -78,13 +78,13 @@
         self,
         own_instance: str,
         own_domain: str,
-        counted: outstanding.Outstanding | None = None,
+        outstanding: outstanding_work.OutstandingWork | None = None,
     ) -> None:
         self.peers = shares.PeerShares()
-        self.outstanding = counted or outstanding.Outstanding()
+        self.outstanding = outstanding or outstanding_work.OutstandingWork()
         self.health = health.ServerHealth()
         self.retries = retries.RetryBudget()
-        self._prefixes = prefixes.PrefixMemory()
+        self._prefixes = recent_prefixes.RecentPrefixes()
         self._accounts = accounts.Accounts(self.peers)
         self._dispatches = dispatches.Dispatches(
             self.outstanding, self.peers, self.health
@@ -92,13 +92,15 @@
         self.router = routing.Router(
             own_instance,
             own_domain,
-            counted=self.outstanding,
+            outstanding=self.outstanding,
             peers=self.peers,
-            known=self.health,
-            cached=self._prefixes,
+            server_health=self.health,
+            prefixes=self._prefixes,
         )
         self._demand = demand.Totals(own_instance, "")
-        self._readers = readers.Readers(self.outstanding, self.router.load)
+        self._prefills = prefill_dispatches.PrefillDispatches(
+            self.outstanding, self.router.load
+        )
         self._lanes: dict[str, lanes.Lane] = {}
         self._held: dict[str, lanes.Held] = {}
         self._document: schema.FleetDocument | None = None
@@ -169,14 +171,14 @@
 
     def expire(self, now: datetime.timedelta) -> list[Expired]:
         """Take from the queues what can no longer be answered in time."""
-        gone = []
+        expired = []
         for lane in self._lanes.values():
             for item in lane.queue.expire(now):
                 held = self._held.pop(item.request_id)
                 held.waits.observe(held.predicted_wait, now - held.arrived)
                 self._accounts.charge(held, -held.units, now)
-                gone.append(Expired(item.request_id, lane.late(held, now)))
-        return gone
+                expired.append(Expired(item.request_id, lane.late(held, now)))
+        return expired
 
     def next_expiry(self) -> datetime.timedelta | None:
         """Return when `expire` next has something to return, or None."""
@@ -203,14 +205,14 @@
         wasted = held.maybe_ran and not held.delivered
         if wasted and not self.retries.spend():
             return None
-        found = self._choose(view, held, now, failed, must=True)
+        found = self._choose(view, held, now, failed, force=True)
         if found is None:
             return None
         return self._begin(view, held, found, now)
 
-    def prompt_read(self, request_id: str) -> None:
+    def prefill_ended(self, request_id: str) -> None:
         """Count a prompt that was read apart as done, or as given up."""
-        self._readers.end(request_id)
+        self._prefills.end(request_id)
 
     def token(self, request_id: str, now: datetime.timedelta) -> None:
         """Count one token of a request as received."""
@@ -237,7 +239,7 @@
 
     def leave(self, request_id: str, now: datetime.timedelta) -> None:
         """Forget a request that ended or whose caller went away."""
-        self._readers.end(request_id)
+        self._prefills.end(request_id)
         self._dispatches.end(request_id, now, failed=False)
         held = self._held.pop(request_id, None)
         if held is None:
@@ -274,20 +276,20 @@
         now: datetime.timedelta,
         avoid: frozenset[str] = frozenset(),
         *,
-        must: bool = False,
-    ) -> choice.Candidate | None:
+        force: bool = False,
+    ) -> engine_selection.Candidate | None:
         request = held.request
         candidates = self.router.candidates(
             view, request.model, request.prompt, now, avoid
         )
         left = request.deadline - now
-        return choice.choose(candidates, held.asked, left, must=must)
+        return engine_selection.choose(candidates, held.asked, left, force=force)
 
     def _begin(
         self,
         view: fleet.View,
         held: lanes.Held,
-        found: choice.Candidate,
+        found: engine_selection.Candidate,
         now: datetime.timedelta,
     ) -> Start:
         request = held.request
@@ -296,28 +298,30 @@
         if found.probe:
             self.health.probed(name, now)
         left = max(1, held.asked.output_tokens - held.delivered)
-        unread = max(0, held.asked.prompt_tokens - found.cached_tokens)
-        reader = self._reader(view, held, found)
-        if reader is not None:
-            self._readers.begin(request.request_id, reader, unread)
-            unread = 0
-        sent = work.Work(unread, left)
-        first = found.finish(work.Work(held.asked.prompt_tokens, 1))
+        uncached = max(0, held.asked.prompt_tokens - found.cached_tokens)
+        prefill_engine = self._prefill_engine(view, held, found)
+        if prefill_engine is not None:
+            self._prefills.begin(request.request_id, prefill_engine, uncached)
+            uncached = 0
+        sent = request_work.Work(uncached, left)
+        first = found.finish(request_work.Work(held.asked.prompt_tokens, 1))
         self._dispatches.begin(request.request_id, found.engine, sent, first, now)
-        self._prefixes.sent(request.prompt, name, now)
-        return Start(request.request_id, found.engine, reader)
+        self._prefixes.record(request.prompt, name, now)
+        return Start(request.request_id, found.engine, prefill_engine)
 
-    def _reader(
-        self, view: fleet.View, held: lanes.Held, found: choice.Candidate
+    def _prefill_engine(
+        self, view: fleet.View, held: lanes.Held, found: engine_selection.Candidate
     ) -> schema.Engine | None:
         document = view.document
         model = held.request.model
-        able = self.router.readers(view, model)
-        if not able or document is None:
+        prefill_engines = self.router.prefill_engines(view, model)
+        if not prefill_engines or document is None:
             return None
         role = routing.role_of(view, found.engine)
-        answering = self._readers.load_of(found.engine, role, found.cached_tokens)
-        return self._readers.choose(document, model, answering, able, held.asked)
+        decode_engine = self._prefills.load_of(found.engine, role, found.cached_tokens)
+        return self._prefills.choose(
+            document, model, decode_engine, prefill_engines, held.asked
+        )
 
 
 def _no_engine() -> results.Refusal:
--- a/src/pimentolatch/decisions/dispatches.py
+++ b/src/pimentolatch/decisions/dispatches.py
@@ -16,15 +16,15 @@
 import dataclasses
 import datetime
 
-from pimentolatch.decisions import health, outstanding, shares, work
+from pimentolatch.decisions import health, outstanding_work, request_work, shares
 from pimentolatch.document import schema
 
 __all__ = ["Dispatches", "Ended"]
 
-_TOKENS_AT_ONCE = 16
-_OVERDUE = 4.0
-_LEAST_FIRST_TOKEN = datetime.timedelta(milliseconds=500)
-_LEAST_BATCH = 0.5
+_TOKENS_PER_OBSERVATION = 16
+_OVERDUE_FACTOR = 4.0
+_MIN_FIRST_TOKEN = datetime.timedelta(milliseconds=500)
+_MIN_BATCH_SHARE = 0.5
 _CHECK_INTERVAL = datetime.timedelta(milliseconds=250)
 
 
@@ -39,10 +39,10 @@
 @dataclasses.dataclass(slots=True)
 class _Sent:
     engine: schema.Engine
-    left: work.Work
+    left: request_work.Work
     first_token: datetime.timedelta
     since: datetime.timedelta
-    uncounted: int = 0
+    unobserved: int = 0
     tokens: int = 0
 
 
@@ -57,13 +57,13 @@
 
     def __init__(
         self,
-        counted: outstanding.Outstanding,
+        outstanding: outstanding_work.OutstandingWork,
         peers: shares.PeerShares,
-        known: health.ServerHealth,
+        server_health: health.ServerHealth,
     ) -> None:
-        self._counted = counted
+        self._outstanding = outstanding
         self._peers = peers
-        self._health = known
+        self._health = server_health
         self._sent: dict[str, _Sent] = {}
         self._checked = datetime.timedelta()
 
@@ -74,29 +74,29 @@
         self,
         request_id: str,
         engine: schema.Engine,
-        asked: work.Work,
+        asked: request_work.Work,
         first_token: datetime.timedelta,
         now: datetime.timedelta,
     ) -> None:
         """Count a request as sent; its first token is expected after a time."""
-        expected = max(first_token, _LEAST_FIRST_TOKEN)
+        expected = max(first_token, _MIN_FIRST_TOKEN)
         self._sent[request_id] = _Sent(engine, asked, expected, now)
-        self._counted.begin(engine.name, asked)
+        self._outstanding.begin(engine.name, asked)
 
     def token(self, request_id: str, now: datetime.timedelta) -> None:
         """Count one token as received."""
         sent = self._sent[request_id]
         sent.tokens += 1
-        sent.uncounted += 1
+        sent.unobserved += 1
         if sent.tokens == 1:
             self._observe(sent, now)
-            self._done(sent, work.Work(sent.left.prompt_tokens, 0))
-            sent.uncounted = 0
-        elif sent.uncounted >= _TOKENS_AT_ONCE:
+            self._done(sent, request_work.Work(sent.left.prompt_tokens, 0))
+            sent.unobserved = 0
+        elif sent.unobserved >= _TOKENS_PER_OBSERVATION:
             self._observe(sent, now)
-            written = min(sent.uncounted, sent.left.output_tokens)
-            self._done(sent, work.Work(0, written))
-            sent.uncounted = 0
+            generated = min(sent.unobserved, sent.left.output_tokens)
+            self._done(sent, request_work.Work(0, generated))
+            sent.unobserved = 0
 
     def end(
         self, request_id: str, now: datetime.timedelta, *, failed: bool
@@ -105,7 +105,7 @@
         sent = self._sent.pop(request_id, None)
         if sent is None:
             return None
-        self._counted.end(sent.engine.name, sent.left)
+        self._outstanding.end(sent.engine.name, sent.left)
         if failed:
             self._health.failed(sent.engine.name, now)
         return Ended(sent.engine.name, sent.tokens)
@@ -116,7 +116,7 @@
             return
         self._checked = now
         for sent in self._sent.values():
-            if now - sent.since > _OVERDUE * self._expected(sent):
+            if now - sent.since > _OVERDUE_FACTOR * self._expected(sent):
                 self._observe(sent, now, restart=False)
 
     def _observe(
@@ -135,16 +135,16 @@
         if sent.tokens <= 1:
             return sent.first_token
         engine = sent.engine
-        streams = self._counted.requests(engine.name)
+        streams = self._outstanding.requests(engine.name)
         streams += self._peers.server(engine.name).streams
-        batch = max(streams, _LEAST_BATCH * engine.streams)
+        batch = max(streams, _MIN_BATCH_SHARE * engine.streams)
         return datetime.timedelta(
-            seconds=_TOKENS_AT_ONCE * batch / engine.decode_tokens_per_s
+            seconds=_TOKENS_PER_OBSERVATION * batch / engine.decode_tokens_per_s
         )
 
-    def _done(self, sent: _Sent, done: work.Work) -> None:
-        sent.left = work.Work(
+    def _done(self, sent: _Sent, done: request_work.Work) -> None:
+        sent.left = request_work.Work(
             sent.left.prompt_tokens - done.prompt_tokens,
             sent.left.output_tokens - done.output_tokens,
         )
-        self._counted.progress(sent.engine.name, done)
+        self._outstanding.progress(sent.engine.name, done)
--- a/src/pimentolatch/decisions/engine_loads.py
+++ b/src/pimentolatch/decisions/engine_loads.py
@@ -25,12 +25,12 @@
 
 # Prompt tokens that an engine reads in a millisecond, and the time that each prompt
 # takes besides, before any answer was seen.
-_FIRST_READING_RATE = 30.0
-_FIRST_OVERHEAD_MS = 20.0
+_INITIAL_PREFILL_RATE = 30.0
+_INITIAL_OVERHEAD_MS = 20.0
 # An engine that writes answers reads prompts between its steps, at about half the rate.
-IN_PLACE_SLOWNESS = 2.0
+COLOCATED_SLOWDOWN = 2.0
 # Weight of one answer in the learned pauses: the mean of about the last twenty.
-_MEMORY = 0.05
+_EVENT_GAP_WEIGHT = 0.05
 # Steps of the learned figures, as a share, when a prompt was read faster or slower than
 # they say. Waiting makes a prompt late and nothing makes it early, so the fast ones say
 # more: with these steps the figures follow the fastest fourteenth. A step of fixed
@@ -38,19 +38,19 @@
 _FASTER_STEP = 0.08
 _SLOWER_STEP = 0.006
 # Prompts above the first figure show the rate, those below the second the overhead.
-_LONG_PROMPT = 3000
-_SHORT_PROMPT = 1000
+_MIN_LONG_PROMPT = 3000
+_MAX_SHORT_PROMPT = 1000
 # A server that failed is passed over for this long while others can serve; it doubles
 # with each failure in a row up to the longest.
-_FIRST_PAUSE = datetime.timedelta(seconds=1)
-_LONGEST_PAUSE = datetime.timedelta(seconds=8)
-_MOST_DOUBLINGS = 3
+_FIRST_BACKOFF = datetime.timedelta(seconds=1)
+_MAX_BACKOFF = datetime.timedelta(seconds=8)
+_MAX_DOUBLINGS = 3
 # While no engine of its stage is sound, one that failed is tried again after this: it
 # is the only hope, and a crashed one is back within seconds of its last failure.
-_PROBE_PAUSE = datetime.timedelta(milliseconds=300)
+_PROBE_INTERVAL = datetime.timedelta(milliseconds=300)
 # The pause after a request that was declined: one may be declined for its own sake,
 # several in a row are not.
-_DECLINED_PAUSE = datetime.timedelta(milliseconds=100)
+_DECLINED_BACKOFF = datetime.timedelta(milliseconds=100)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -91,10 +91,10 @@
 
     def __init__(self, server: servers.Server) -> None:
         self.server = server
-        self.reading = [0.0] * urgency.LEVELS
-        self.writing = 0
-        self.held = 0
-        self.pause_ms = 0.0
+        self.prefill_tokens = [0.0] * urgency.LEVELS
+        self.streams = 0
+        self.kv_tokens = 0
+        self.event_gap_ms = 0.0
         self.failures = 0
         self.declines = 0
         self.avoid_until = datetime.timedelta()
@@ -102,7 +102,7 @@
         self.change: StageChange | None = None
         self.answered_at = datetime.timedelta()
         self.peers = peer_loads.PeerLoads()
-        self.cached = prefix_cache.PrefixCache()
+        self.prefix_cache = prefix_cache.PrefixCache()
 
     def begin_change(self, change: StageChange) -> None:
         """Note a change of stage, told by whoever ordered it or by others."""
@@ -116,23 +116,29 @@
         """Tell whether the engine declines everything for a change of its stage."""
         return self.change is not None and now < self.change.until
 
-    def own(self) -> peer_loads.PeerLoad:
+    def own_load(self) -> peer_loads.PeerLoad:
         """Return what this instance has under way here."""
-        return peer_loads.PeerLoad(tuple(self.reading), self.writing, self.held)
+        return peer_loads.PeerLoad(
+            tuple(self.prefill_tokens), self.streams, self.kv_tokens
+        )
 
-    def domain_work(self, now: datetime.timedelta) -> peer_loads.PeerLoad:
+    def domain_load(self, now: datetime.timedelta) -> peer_loads.PeerLoad:
         """Return what the instances of this failure domain have under way here.
 
         It goes to the other domains, so nothing of theirs is in it: told back, their
         work would be counted twice, and then again.
         """
-        sums = self.peers.near(now)
-        reading = tuple(map(operator.add, self.reading, sums.reading))
+        totals = self.peers.near(now)
+        prefill_tokens = tuple(
+            map(operator.add, self.prefill_tokens, totals.prefill_tokens)
+        )
         return peer_loads.PeerLoad(
-            reading, self.writing + sums.writing, self.held + sums.held
+            prefill_tokens,
+            self.streams + totals.streams,
+            self.kv_tokens + totals.kv_tokens,
         )
 
-    def all_reading(
+    def total_prefill_tokens(
         self, now: datetime.timedelta, level: int = urgency.LEVELS - 1
     ) -> float:
         """Prompt tokens under way from all instances that are heard.
@@ -141,19 +147,22 @@
             now: The time.
             level: Only count what is read before a prompt of this urgency.
         """
-        return sum(self.reading[: level + 1]) + self.peers.sums(now).reading[level]
+        return (
+            sum(self.prefill_tokens[: level + 1])
+            + self.peers.totals(now).prefill_tokens[level]
+        )
 
-    def all_writing(self, now: datetime.timedelta) -> int:
+    def total_streams(self, now: datetime.timedelta) -> int:
         """Streams from all instances that are heard."""
-        return self.writing + self.peers.sums(now).writing
+        return self.streams + self.peers.totals(now).streams
 
-    def all_held(self, now: datetime.timedelta) -> int:
+    def total_kv_tokens(self, now: datetime.timedelta) -> int:
         """Tokens in memory for streams from all instances that are heard."""
-        return self.held + self.peers.sums(now).held
+        return self.kv_tokens + self.peers.totals(now).kv_tokens
 
-    def unread(self, prompt: prompts.Prompt) -> int:
+    def uncached_tokens(self, prompt: prompts.Prompt) -> int:
         """Return the tokens of a prompt that the engine would have to read."""
-        return prompt.tokens - self.cached.kept(prompt)
+        return prompt.tokens - self.prefix_cache.cached_tokens(prompt)
 
 
 class EngineLoads:
@@ -169,10 +178,10 @@
 
     def __init__(self) -> None:
         self._engines: dict[str, EngineLoad] = {}
-        self.partly_heard = False
-        self.reading_rate = _FIRST_READING_RATE
-        self.overhead_ms = _FIRST_OVERHEAD_MS
-        self.prompts_timed = 0
+        self.partial_view = False
+        self.prefill_rate = _INITIAL_PREFILL_RATE
+        self.overhead_ms = _INITIAL_OVERHEAD_MS
+        self.prompts_observed = 0
 
     def update(self, listed: abc.Iterable[servers.Server]) -> None:
         """Take the listed engines; what is known of the others is dropped."""
@@ -216,10 +225,10 @@
             and engine.server.incarnation not in without
             and not engine.is_changing(now)
         ]
-        sound = [engine for engine in found if now >= engine.avoid_until]
-        return sound or [engine for engine in found if now >= engine.probe_at]
+        healthy = [engine for engine in found if now >= engine.avoid_until]
+        return healthy or [engine for engine in found if now >= engine.probe_at]
 
-    def read_in(
+    def observe_prefill(
         self, tokens: float, took: datetime.timedelta, ahead: float = 0.0
     ) -> None:
         """Learn the reading rate from a prompt that was read apart.
@@ -234,25 +243,25 @@
             took: Time from sending to the answer.
             ahead: Tokens that were to be read before it, as far as was known.
         """
-        self.prompts_timed += 1
+        self.prompts_observed += 1
         milliseconds = took / datetime.timedelta(milliseconds=1)
-        if tokens >= _LONG_PROMPT and ahead <= tokens:
+        if tokens >= _MIN_LONG_PROMPT and ahead <= tokens:
             rate = (tokens + ahead) / max(1.0, milliseconds - self.overhead_ms)
-            faster = rate > self.reading_rate
-            self.reading_rate *= 1 + (_FASTER_STEP if faster else -_SLOWER_STEP)
-        elif tokens <= _SHORT_PROMPT:
-            overhead = milliseconds - tokens / self.reading_rate
+            faster = rate > self.prefill_rate
+            self.prefill_rate *= 1 + (_FASTER_STEP if faster else -_SLOWER_STEP)
+        elif tokens <= _MAX_SHORT_PROMPT:
+            overhead = milliseconds - tokens / self.prefill_rate
             faster = overhead < self.overhead_ms
             self.overhead_ms *= 1 + (-_FASTER_STEP if faster else _SLOWER_STEP)
 
-    def reading_cost(self, tokens: int) -> float:
+    def prefill_cost(self, tokens: int) -> float:
         """Return the tokens that could be read in the time that a prompt takes."""
-        return tokens + self.overhead_ms * self.reading_rate
+        return tokens + self.overhead_ms * self.prefill_rate
 
-    def paused(self, engine: EngineLoad, took: datetime.timedelta) -> None:
+    def observe_event_gap(self, engine: EngineLoad, took: datetime.timedelta) -> None:
         """Learn from the time between two events of a stream."""
         milliseconds = took / datetime.timedelta(milliseconds=1)
-        engine.pause_ms += _MEMORY * (milliseconds - engine.pause_ms)
+        engine.event_gap_ms += _EVENT_GAP_WEIGHT * (milliseconds - engine.event_gap_ms)
 
     def succeeded(self, engine: EngineLoad, now: datetime.timedelta) -> None:
         """Note an answer and forget earlier failures of an engine."""
@@ -266,13 +275,13 @@
         An engine that changes its stage declines everything and soon has no stream
         left: by its counts it looks the best of all and would get every request.
         """
-        pause = _DECLINED_PAUSE * 2 ** min(engine.declines, _MOST_DOUBLINGS)
+        pause = _DECLINED_BACKOFF * 2 ** min(engine.declines, _MAX_DOUBLINGS)
         engine.declines += 1
         engine.avoid_until = max(engine.avoid_until, now + pause)
 
     def failed(self, engine: EngineLoad, now: datetime.timedelta) -> None:
         """Pass an engine over for a while."""
-        pause = _FIRST_PAUSE * 2**engine.failures
-        engine.failures = min(engine.failures + 1, _MOST_DOUBLINGS)
-        engine.avoid_until = now + min(pause, _LONGEST_PAUSE)
-        engine.probe_at = now + _PROBE_PAUSE
+        pause = _FIRST_BACKOFF * 2**engine.failures
+        engine.failures = min(engine.failures + 1, _MAX_DOUBLINGS)
+        engine.avoid_until = now + min(pause, _MAX_BACKOFF)
+        engine.probe_at = now + _PROBE_INTERVAL
--- a/src/pimentolatch/decisions/choice.py
+++ b/src/pimentolatch/decisions/engine_selection.py
@@ -21,15 +21,15 @@
 import datetime
 from collections import abc
 
-from pimentolatch.decisions import outstanding, work
+from pimentolatch.decisions import outstanding_work, request_work
 from pimentolatch.document import schema
 
 __all__ = ["Candidate", "choose"]
 
-_UNREAD_PROMPTS_LIMIT = datetime.timedelta(milliseconds=250)
-_FOREIGN_SHARE = 0.5
+_PREFILL_BACKLOG_LIMIT = datetime.timedelta(milliseconds=250)
+_REMOTE_SHARE = 0.5
 # A slower engine is tried only with requests that stand it.
-_SLOW = 1.5
+_SLOW_FACTOR = 1.5
 # An engine that hangs costs a probe the limit on the first token (5 s and three times
 # the reading, see `requests.stream`) before the stream is resumed elsewhere.
 _PROBE_SPARE = datetime.timedelta(seconds=10)
@@ -51,8 +51,8 @@
     """
 
     engine: schema.Engine
-    load: outstanding.Load = outstanding.Load()
-    own: outstanding.Load = outstanding.Load()
+    load: outstanding_work.Load = outstanding_work.Load()
+    own: outstanding_work.Load = outstanding_work.Load()
     senders: int = 1
     own_domain: bool = True
     slowness: float = 1.0
@@ -63,7 +63,7 @@
     @property
     def limit(self) -> int:
         """Streams the engine should hold, by its slowness and domain."""
-        share = 1.0 if self.own_domain else _FOREIGN_SHARE
+        share = 1.0 if self.own_domain else _REMOTE_SHARE
         return max(1, int(share * self.engine.streams / self.slowness))
 
     @property
@@ -78,42 +78,42 @@
         """
         if self.ejected:
             return False
-        limit = _UNREAD_PROMPTS_LIMIT.total_seconds() / self.slowness
-        unread = int(limit * self.engine.prefill_tokens_per_s) + self.cached_tokens
+        limit = _PREFILL_BACKLOG_LIMIT.total_seconds() / self.slowness
+        backlog = int(limit * self.engine.prefill_tokens_per_s) + self.cached_tokens
         return (
             self.load.streams < self.limit
             or self.own.streams < self.limit // self.senders
         ) and (
-            self.load.prompt_tokens <= unread
-            or self.own.prompt_tokens <= unread // self.senders
+            self.load.prompt_tokens <= backlog
+            or self.own.prompt_tokens <= backlog // self.senders
         )
 
-    def finish(self, asked: work.Work) -> datetime.timedelta:
+    def finish(self, work: request_work.Work) -> datetime.timedelta:
         """Return the time to the end of an answer, if sent now."""
-        unread = self.load.prompt_tokens + asked.prompt_tokens - self.cached_tokens
-        reading = max(0, unread) / self.engine.prefill_tokens_per_s
+        backlog = self.load.prompt_tokens + work.prompt_tokens - self.cached_tokens
+        prefill_s = max(0, backlog) / self.engine.prefill_tokens_per_s
         gap = (self.load.streams + 1) / self.engine.decode_tokens_per_s
-        seconds = (reading + asked.output_tokens * gap) * self.slowness
+        seconds = (prefill_s + work.output_tokens * gap) * self.slowness
         return datetime.timedelta(seconds=seconds)
 
 
 def choose(
     candidates: abc.Sequence[Candidate],
-    asked: work.Work,
+    work: request_work.Work,
     time_left: datetime.timedelta,
     *,
-    must: bool = False,
+    force: bool = False,
 ) -> Candidate | None:
     """Return the engine for a request, or None if it should wait.
 
     Args:
         candidates: The engines that serve the model.
-        asked: The request's work.
+        work: The request's work.
         time_left: Time until its deadline.
-        must: Choose even if no engine has room, as for a stream that broke off.
+        force: Choose even if no engine has room, as for a stream that broke off.
     """
     for candidate in candidates:
-        if candidate.probe and _stands_probe(candidate, asked, time_left):
+        if candidate.probe and _tolerates_probe(candidate, work, time_left):
             return candidate
     for own_domain in (True, False):
         free = [
@@ -121,35 +121,35 @@
             for candidate in candidates
             if candidate.own_domain is own_domain
             and candidate.room
-            and _in_time(candidate, asked, time_left)
+            and _in_time(candidate, work, time_left)
         ]
         if free:
-            return min(free, key=lambda found: _preference(found, asked))
-    if must:
+            return min(free, key=lambda found: _preference(found, work))
+    if force:
         return min(
             candidates,
-            key=lambda found: (found.ejected, *_preference(found, asked)),
+            key=lambda found: (found.ejected, *_preference(found, work)),
             default=None,
         )
     return None
 
 
 def _preference(
-    candidate: Candidate, asked: work.Work
+    candidate: Candidate, work: request_work.Work
 ) -> tuple[datetime.timedelta, int, str]:
-    return candidate.finish(asked), candidate.load.streams, candidate.engine.name
+    return candidate.finish(work), candidate.load.streams, candidate.engine.name
 
 
 def _in_time(
-    candidate: Candidate, asked: work.Work, time_left: datetime.timedelta
+    candidate: Candidate, work: request_work.Work, time_left: datetime.timedelta
 ) -> bool:
-    return candidate.slowness < _SLOW or candidate.finish(asked) <= time_left
+    return candidate.slowness < _SLOW_FACTOR or candidate.finish(work) <= time_left
 
 
-def _stands_probe(
-    candidate: Candidate, asked: work.Work, time_left: datetime.timedelta
+def _tolerates_probe(
+    candidate: Candidate, work: request_work.Work, time_left: datetime.timedelta
 ) -> bool:
-    finish = candidate.finish(asked) / candidate.slowness
+    finish = candidate.finish(work) / candidate.slowness
     return candidate.load.streams == 0 and time_left >= max(
         _PROBE_SPARE + finish, finish * min(candidate.slowness, 10.0)
     )
--- a/src/pimentolatch/decisions/lanes.py
+++ b/src/pimentolatch/decisions/lanes.py
@@ -9,7 +9,7 @@
 from collections import abc
 
 from pimentolatch import results
-from pimentolatch.decisions import admission, choice, fairness, work
+from pimentolatch.decisions import admission, engine_selection, fairness, request_work
 from pimentolatch.document import schema
 
 __all__ = ["Held", "Lane", "Request"]
@@ -41,7 +41,7 @@
 
     request: Request
     caller: schema.Caller | None
-    asked: work.Work
+    asked: request_work.Work
     units: float
     arrived: datetime.timedelta
     waits: admission.WaitCorrection
@@ -91,7 +91,7 @@
         return self.waits_if_hot if hot else self.waits
 
     def forecast(
-        self, held: Held, found: abc.Sequence[choice.Candidate]
+        self, held: Held, found: abc.Sequence[engine_selection.Candidate]
     ) -> admission.Forecast:
         """Predict the wait and the run of a new request.
 
--- a/src/pimentolatch/decisions/neighbours.py
+++ b/src/pimentolatch/decisions/neighbours.py
@@ -20,7 +20,7 @@
 import dataclasses
 from collections import abc
 
-from pimentolatch.decisions import subset
+from pimentolatch.decisions import rendezvous
 
 __all__ = ["Neighbours", "Place", "choose", "weights"]
 
@@ -64,7 +64,7 @@
     """
     ranked = sorted(
         known,
-        key=lambda place: subset.rank(*sorted((place.host, own.host))),
+        key=lambda place: rendezvous.rank(*sorted((place.host, own.host))),
         reverse=True,
     )
     if len(ranked) <= _WHOLE_FLEET:
--- a/src/pimentolatch/decisions/outstanding.py
+++ b/src/pimentolatch/decisions/outstanding_work.py
@@ -13,11 +13,11 @@
 import dataclasses
 import datetime
 
-from pimentolatch.decisions import shares, work
+from pimentolatch.decisions import request_work, shares
 
-__all__ = ["Load", "Outstanding", "unseen_streams"]
+__all__ = ["Load", "OutstandingWork", "uncounted_streams"]
 
-_NO_WORK = work.Work()
+_NO_WORK = request_work.Work()
 _REPORT_LIFETIME = datetime.timedelta(seconds=10)
 
 
@@ -41,21 +41,21 @@
 _NOTHING = Load()
 
 
-class Outstanding:
+class OutstandingWork:
     """Work sent and not yet done, by backend server."""
 
     def __init__(self) -> None:
         self._loads: dict[str, Load] = {}
 
-    def begin(self, server: str, sent: work.Work = _NO_WORK) -> None:
+    def begin(self, server: str, sent: request_work.Work = _NO_WORK) -> None:
         """Count a request as sent."""
         self._add(server, 1, sent.prompt_tokens, sent.output_tokens)
 
-    def progress(self, server: str, done: work.Work) -> None:
+    def progress(self, server: str, done: request_work.Work) -> None:
         """Count a part of a request's tokens as read or written."""
         self._add(server, 0, -done.prompt_tokens, -done.output_tokens)
 
-    def end(self, server: str, left: work.Work = _NO_WORK) -> None:
+    def end(self, server: str, left: request_work.Work = _NO_WORK) -> None:
         """Count a request as ended; `left` is what was not yet counted as done."""
         self._add(server, -1, -left.prompt_tokens, -left.output_tokens)
 
@@ -84,13 +84,13 @@
             self._loads.pop(server, None)
 
 
-def unseen_streams(counted_then: int, reported: int, age: datetime.timedelta) -> int:
+def uncounted_streams(counted: int, reported: int, age: datetime.timedelta) -> int:
     """Return the streams that a report shows and that nobody counts.
 
     Args:
-        counted_then: Streams that all instances counted when the report was made.
+        counted: Streams that all instances counted when the report was made.
         reported: Streams in the report, running and waiting.
         age: Age of the report.
     """
     trust = max(0.0, 1.0 - age / _REPORT_LIFETIME)
-    return round(trust * max(0, reported - counted_then))
+    return round(trust * max(0, reported - counted))
--- a/src/pimentolatch/decisions/peer_loads.py
+++ b/src/pimentolatch/decisions/peer_loads.py
@@ -12,10 +12,10 @@
 
 from pimentolatch.decisions import urgency
 
-__all__ = ["PeerLoad", "PeerLoads", "Sums"]
+__all__ = ["PeerLoad", "PeerLoads", "Totals"]
 
 # A peer that is silent for longer has ended or is cut off; its work ends by itself.
-_SILENCE = datetime.timedelta(seconds=2)
+_EXPIRY = datetime.timedelta(seconds=2)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -29,14 +29,14 @@
         weight: For how many instances the peer stands.
     """
 
-    reading: tuple[float, ...]
-    writing: int
-    held: int
+    prefill_tokens: tuple[float, ...]
+    streams: int
+    kv_tokens: int
     weight: float = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sums:
+class Totals:
     """What all peers that are heard have under way at one engine.
 
     Attributes:
@@ -44,13 +44,13 @@
         until: When the first of these peers has been silent for too long.
     """
 
-    reading: tuple[float, ...]
-    writing: int
-    held: int
-    until: datetime.timedelta
+    prefill_tokens: tuple[float, ...]
+    streams: int
+    kv_tokens: int
+    valid_until: datetime.timedelta
 
 
-_Told = tuple[PeerLoad, datetime.timedelta]
+_Reported = tuple[PeerLoad, datetime.timedelta]
 
 
 class PeerLoads:
@@ -61,67 +61,71 @@
     """
 
     def __init__(self) -> None:
-        self._near: dict[str, _Told] = {}
-        self._domains: dict[str, _Told] = {}
-        self._sums: Sums | None = None
+        self._near: dict[str, _Reported] = {}
+        self._domains: dict[str, _Reported] = {}
+        self._totals: Totals | None = None
 
-    def hear(self, peer: str, load: PeerLoad, now: datetime.timedelta) -> None:
+    def update(self, peer: str, load: PeerLoad, now: datetime.timedelta) -> None:
         """Take what a peer has under way."""
         self._near[peer] = load, now
-        self._sums = None
+        self._totals = None
 
     def forget(self, peer: str) -> None:
         """Drop what a peer had under way."""
         if self._near.pop(peer, None) is not None:
-            self._sums = None
+            self._totals = None
 
-    def hear_domain(self, domain: str, load: PeerLoad, now: datetime.timedelta) -> None:
+    def update_domain(
+        self, domain: str, load: PeerLoad, now: datetime.timedelta
+    ) -> None:
         """Take what all instances of another failure domain have under way."""
         self._domains[domain] = load, now
-        self._sums = None
+        self._totals = None
 
     def forget_domain(self, domain: str) -> None:
         """Drop what the instances of another failure domain had under way."""
         if self._domains.pop(domain, None) is not None:
-            self._sums = None
+            self._totals = None
 
     def near(self, now: datetime.timedelta) -> PeerLoad:
         """Return what near peers have under way, without the sums of other domains."""
-        return _sum(_heard(self._near.values(), now))
+        return _sum(_current(self._near.values(), now))
 
-    def sums(self, now: datetime.timedelta) -> Sums:
+    def totals(self, now: datetime.timedelta) -> Totals:
         """Return what all others have under way."""
-        if self._sums is None or now > self._sums.until:
-            self._sums = self._add_up(now)
-        return self._sums
-
-    def _add_up(self, now: datetime.timedelta) -> Sums:
-        heard = _heard([*self._near.values(), *self._domains.values()], now)
-        total = _sum(heard)
-        oldest = min((at for _, at in heard), default=datetime.timedelta.max / 2)
-        return Sums(
-            tuple(itertools.accumulate(total.reading)),
-            total.writing,
-            total.held,
-            oldest + _SILENCE,
+        if self._totals is None or now > self._totals.valid_until:
+            self._totals = self._add_up(now)
+        return self._totals
+
+    def _add_up(self, now: datetime.timedelta) -> Totals:
+        current = _current([*self._near.values(), *self._domains.values()], now)
+        total = _sum(current)
+        oldest = min((at for _, at in current), default=datetime.timedelta.max / 2)
+        return Totals(
+            tuple(itertools.accumulate(total.prefill_tokens)),
+            total.streams,
+            total.kv_tokens,
+            oldest + _EXPIRY,
         )
 
 
-def _heard(told: abc.Iterable[_Told], now: datetime.timedelta) -> list[_Told]:
-    return [(load, at) for load, at in told if now - at <= _SILENCE]
+def _current(
+    reports: abc.Iterable[_Reported], now: datetime.timedelta
+) -> list[_Reported]:
+    return [(load, at) for load, at in reports if now - at <= _EXPIRY]
 
 
-def _sum(heard: abc.Iterable[_Told]) -> PeerLoad:
+def _sum(current: abc.Iterable[_Reported]) -> PeerLoad:
     """Return the work of all peers that are heard, each by its weight."""
-    reading = [0.0] * urgency.LEVELS
-    writing = held = 0.0
-    for load, _ in heard:
+    prefill_tokens = [0.0] * urgency.LEVELS
+    streams = kv_tokens = 0.0
+    for load, _ in current:
         weight = load.weight
-        for level, tokens in enumerate(load.reading):
+        for level, tokens in enumerate(load.prefill_tokens):
             # Most levels are empty, at most engines.
             if tokens:
-                reading[level] += weight * tokens
-        if load.writing or load.held:
-            writing += weight * load.writing
-            held += weight * load.held
-    return PeerLoad(tuple(reading), round(writing), round(held))
+                prefill_tokens[level] += weight * tokens
+        if load.streams or load.kv_tokens:
+            streams += weight * load.streams
+            kv_tokens += weight * load.kv_tokens
+    return PeerLoad(tuple(prefill_tokens), round(streams), round(kv_tokens))
--- a/src/pimentolatch/decisions/placement.py
+++ b/src/pimentolatch/decisions/placement.py
@@ -23,29 +23,34 @@
 import math
 from collections import abc
 
-from pimentolatch.decisions import engine_loads, homes, places, urgency
+from pimentolatch.decisions import (
+    engine_loads,
+    placement_types,
+    prefix_affinity,
+    urgency,
+)
 from pimentolatch.requests import prompts
 from pimentolatch.routes import servers, table
 
-__all__ = ["Placement", "fullness"]
+__all__ = ["Placement", "utilization"]
 
 # Charge of a shared token that is read again, on top of the time it takes: reading
 # again what another engine keeps takes the time of others in the queue.
-_READ_AGAIN_MS = 0.035
+_RECOMPUTE_MS = 0.035
 # Charge of a token whose memory crosses a link, and the factor between domains.
-_MOVED_MS = 0.002
-_FAR_FACTOR = 3.0
+_TRANSFER_MS = 0.002
+_CROSS_DOMAIN_FACTOR = 3.0
 # Charge of an answer whose server stands in another failure domain.
-_FOREIGN_MS = 5.0
+_CROSS_DOMAIN_MS = 5.0
 # The same, and for a reading engine too, in a fleet where not everybody hears
 # everybody: what is known of far engines is half a second old, so that an engine that
 # looks idle is chosen by many at once.
-_FAR_MS = 60.0
+_STALE_CROSS_DOMAIN_MS = 60.0
 # A prompt that is read in place delays the streams there. This many unread tokens may
 # wait at an engine that writes, so that no pause grows past what callers accept. With
 # no engine left that reads for others there is no bound: late answers are better than
 # none.
-_IN_PLACE_TOKENS = 2000
+_COLOCATED_TOKENS = 2000
 # Charge for the streams that a server already writes, as a whole batch.
 _BATCH_MS = 150.0
 # Charge of a first event that comes too late to be on time.
@@ -55,16 +60,16 @@
 _HANDOVER_MS = 60.0
 # Requests that are refused in one burst are told different times to come back, or they
 # would meet again; sooner than the first figure no queue is shorter.
-_LEAST_RETRY = datetime.timedelta(milliseconds=200)
-_RETRY_SPREAD = 0.5
+_MIN_RETRY_AFTER = datetime.timedelta(milliseconds=200)
+_RETRY_JITTER = 0.5
 # Above this share of its slots or memory an engine sets streams back or lets them wait;
 # the charge grows so fast that only an engine that is as full is chosen.
-_FULL = 0.85
+_HIGH_UTILIZATION = 0.85
 _OVERFULL_MS = 4000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Donor:
+class _KvSource:
     """An engine that keeps the first `tokens` tokens of a prompt."""
 
     engine: engine_loads.EngineLoad
@@ -85,38 +90,42 @@
 
     def choose(
         self,
-        asked: places.Asked,
+        request: placement_types.PlacementRequest,
         traits: table.EngineTraits,
         now: datetime.timedelta,
         without: frozenset[servers.Incarnation] = frozenset(),
-    ) -> places.Place:
+    ) -> placement_types.PlacementResult:
         """Return where to send a prompt.
 
         Args:
-            asked: The prompt and its time.
+            request: The prompt and its time.
             traits: The service's engines.
             now: The time.
             without: Engines that have failed the request.
         """
-        writers = self._loads.usable(servers.Stage.DECODE, now, without)
-        readers = self._loads.usable(servers.Stage.PREFILL, now, without)
-        found = list(self._places(asked, traits, now, writers, readers))
+        decode_engines = self._loads.usable(servers.Stage.DECODE, now, without)
+        prefill_engines = self._loads.usable(servers.Stage.PREFILL, now, without)
+        found = list(
+            self._candidates(request, traits, now, decode_engines, prefill_engines)
+        )
         if not found:
-            return places.NoEngine()
+            return placement_types.NoEngine()
         # The charge for leaving a home may be longer than clients wait: by cost alone a
         # prompt would be refused for its home's queue while other engines are idle.
-        in_time = [item for item in found if item[1].expected <= asked.patience]
-        if in_time:
-            return min(in_time, key=lambda item: item[0])[1]
-        over = min(place.expected for _, place in found) - asked.patience
-        return places.Hopeless(
-            max(over, _LEAST_RETRY) * (1 + _RETRY_SPREAD * asked.lot)
+        on_time = [
+            item for item in found if item[1].expected <= request.time_to_deadline
+        ]
+        if on_time:
+            return min(on_time, key=lambda item: item[0])[1]
+        over = min(place.expected for _, place in found) - request.time_to_deadline
+        return placement_types.Infeasible(
+            max(over, _MIN_RETRY_AFTER) * (1 + _RETRY_JITTER * request.lot)
         )
 
-    def choose_writer(
+    def choose_decode_engine(
         self,
         prompt: prompts.Prompt,
-        reader: engine_loads.EngineLoad,
+        prefill_engine: engine_loads.EngineLoad,
         traits: table.EngineTraits,
         now: datetime.timedelta,
         without: frozenset[servers.Incarnation] = frozenset(),
@@ -126,188 +135,225 @@
         Reading takes up to seconds. The engine that was the best when it began may be
         full by now, or leaving: then it must not get the request any more.
         """
-        writers = self._loads.usable(servers.Stage.DECODE, now, without)
-        if not writers:
+        decode_engines = self._loads.usable(servers.Stage.DECODE, now, without)
+        if not decode_engines:
             return None
-        costs = {w.server.server_id: self._writer_cost(w, traits, now) for w in writers}
-        return _best_writer(writers, costs, prompt, reader.server.failure_domain)[1]
-
-    def _places(
+        costs = {
+            w.server.server_id: self._decode_cost(w, traits, now)
+            for w in decode_engines
+        }
+        return _best_decode_engine(
+            decode_engines, costs, prompt, prefill_engine.server.failure_domain
+        )[1]
+
+    def _candidates(
         self,
-        asked: places.Asked,
+        request: placement_types.PlacementRequest,
         traits: table.EngineTraits,
         now: datetime.timedelta,
-        writers: abc.Sequence[engine_loads.EngineLoad],
-        readers: abc.Sequence[engine_loads.EngineLoad],
-    ) -> abc.Iterator[tuple[float, places.InPlace | places.Apart]]:
+        decode_engines: abc.Sequence[engine_loads.EngineLoad],
+        prefill_engines: abc.Sequence[engine_loads.EngineLoad],
+    ) -> abc.Iterator[
+        tuple[float, placement_types.Colocated | placement_types.Disaggregated]
+    ]:
         """Yield the places worth comparing with their costs in milliseconds.
 
         Of the pairs of a reading and a writing engine, those with the best writer for
         each reader are enough. Which writer that is depends on the reader's failure
         domain only, since that alone changes the cost of what crosses the link.
         """
-        ranking = homes.rank(asked.prompt, readers, self._loads.reading_rate)
-        donors = _donors(asked.prompt, [*writers, *readers])
-        costs = {w.server.server_id: self._writer_cost(w, traits, now) for w in writers}
-        bound = self._in_place_bound() if readers else math.inf
-        for writer in writers:
-            in_place = self._in_place(writer, asked, now, donors, bound)
-            if in_place is not None:
-                yield costs[writer.server.server_id] + in_place[0], in_place[1]
-        if not writers:
+        ranking = prefix_affinity.rank(
+            request.prompt, prefill_engines, self._loads.prefill_rate
+        )
+        kv_sources = _kv_sources(request.prompt, [*decode_engines, *prefill_engines])
+        costs = {
+            w.server.server_id: self._decode_cost(w, traits, now)
+            for w in decode_engines
+        }
+        bound = self._colocated_bound() if prefill_engines else math.inf
+        for decode_engine in decode_engines:
+            colocated = self._colocated(decode_engine, request, now, kv_sources, bound)
+            if colocated is not None:
+                yield costs[decode_engine.server.server_id] + colocated[0], colocated[1]
+        if not decode_engines:
             return
         best: dict[str, tuple[float, engine_loads.EngineLoad]] = {}
-        for reader in readers:
-            domain = reader.server.failure_domain
+        for prefill_engine in prefill_engines:
+            domain = prefill_engine.server.failure_domain
             if domain not in best:
-                best[domain] = _best_writer(writers, costs, asked.prompt, domain)
-            base, writer = best[domain]
-            cost, place = self._apart(reader, writer, asked, now, donors)
-            if place.donor is None and ranking.donor is not reader:
-                place = dataclasses.replace(place, donor=ranking.donor)
-            if self._loads.partly_heard:
-                cost += self._foreign_cost(reader)
-            yield base + cost + ranking.charges[reader.server.server_id], place
-
-    def _in_place_bound(self) -> float:
+                best[domain] = _best_decode_engine(
+                    decode_engines, costs, request.prompt, domain
+                )
+            base, decode_engine = best[domain]
+            cost, place = self._disaggregated(
+                prefill_engine, decode_engine, request, now, kv_sources
+            )
+            if place.kv_source is None and ranking.kv_source is not prefill_engine:
+                place = dataclasses.replace(place, kv_source=ranking.kv_source)
+            if self._loads.partial_view:
+                cost += self._cross_domain_cost(prefill_engine)
+            yield base + cost + ranking.charges[prefill_engine.server.server_id], place
+
+    def _colocated_bound(self) -> float:
         """Return the tokens that may wait at an engine that writes.
 
         In a large fleet none: each instance would see that room by counts that are half
         a second old, and together they would stop the streams there until their clients
         leave.
         """
-        return 0.0 if self._loads.partly_heard else _IN_PLACE_TOKENS
+        return 0.0 if self._loads.partial_view else _COLOCATED_TOKENS
 
-    def _writer_cost(
+    def _decode_cost(
         self,
-        writer: engine_loads.EngineLoad,
+        decode_engine: engine_loads.EngineLoad,
         traits: table.EngineTraits,
         now: datetime.timedelta,
     ) -> float:
-        full = fullness(writer, traits, now)
+        full = utilization(decode_engine, traits, now)
         cost = _BATCH_MS * full
-        if full > _FULL:
-            cost += _OVERFULL_MS * (full - _FULL)
-        return cost + self._foreign_cost(writer)
+        if full > _HIGH_UTILIZATION:
+            cost += _OVERFULL_MS * (full - _HIGH_UTILIZATION)
+        return cost + self._cross_domain_cost(decode_engine)
 
-    def _foreign_cost(self, engine: engine_loads.EngineLoad) -> float:
+    def _cross_domain_cost(self, engine: engine_loads.EngineLoad) -> float:
         if engine.server.failure_domain == self._domain:
             return 0.0
-        return _FAR_MS if self._loads.partly_heard else _FOREIGN_MS
+        return _STALE_CROSS_DOMAIN_MS if self._loads.partial_view else _CROSS_DOMAIN_MS
 
-    def _in_place(
+    def _colocated(
         self,
-        writer: engine_loads.EngineLoad,
-        asked: places.Asked,
+        decode_engine: engine_loads.EngineLoad,
+        request: placement_types.PlacementRequest,
         now: datetime.timedelta,
-        donors: abc.Sequence[_Donor],
+        kv_sources: abc.Sequence[_KvSource],
         bound: float,
-    ) -> tuple[float, places.InPlace] | None:
-        tokens, donor, fetched = _to_read(writer, asked.prompt, donors)
-        ahead = writer.all_reading(now)
+    ) -> tuple[float, placement_types.Colocated] | None:
+        tokens, kv_source, fetched = _tokens_to_prefill(
+            decode_engine, request.prompt, kv_sources
+        )
+        ahead = decode_engine.total_prefill_tokens(now)
         if ahead + tokens > bound:
             return None
-        rate = self._loads.reading_rate / engine_loads.IN_PLACE_SLOWNESS
-        milliseconds = (ahead + self._loads.reading_cost(tokens)) / rate
+        rate = self._loads.prefill_rate / engine_loads.COLOCATED_SLOWDOWN
+        milliseconds = (ahead + self._loads.prefill_cost(tokens)) / rate
         expected = datetime.timedelta(milliseconds=milliseconds + _FIRST_STEP_MS)
-        late = expected > asked.due
+        late = expected > request.time_to_target
         # The streams there wait for it too.
         cost = 2 * milliseconds + (_LATE_MS if late else 0)
-        cost += fetched + _READ_AGAIN_MS * _shared(asked.prompt, tokens)
+        cost += fetched + _RECOMPUTE_MS * _shared(request.prompt, tokens)
         level = urgency.level_of(
-            asked.rank, late=late, large=asked.large, lot=asked.lot
+            request.rank, late=late, large=request.large, lot=request.lot
+        )
+        return cost, placement_types.Colocated(
+            decode_engine, tokens, kv_source, level, expected
         )
-        return cost, places.InPlace(writer, tokens, donor, level, expected)
 
-    def _apart(
+    def _disaggregated(
         self,
-        reader: engine_loads.EngineLoad,
-        writer: engine_loads.EngineLoad,
-        asked: places.Asked,
+        prefill_engine: engine_loads.EngineLoad,
+        decode_engine: engine_loads.EngineLoad,
+        request: placement_types.PlacementRequest,
         now: datetime.timedelta,
-        donors: abc.Sequence[_Donor],
-    ) -> tuple[float, places.Apart]:
-        tokens, donor, fetched = _to_read(reader, asked.prompt, donors)
-        cost = fetched + _READ_AGAIN_MS * _shared(asked.prompt, tokens)
+        kv_sources: abc.Sequence[_KvSource],
+    ) -> tuple[float, placement_types.Disaggregated]:
+        tokens, kv_source, fetched = _tokens_to_prefill(
+            prefill_engine, request.prompt, kv_sources
+        )
+        cost = fetched + _RECOMPUTE_MS * _shared(request.prompt, tokens)
         for late in (False, True):
             level = urgency.level_of(
-                asked.rank, late=late, large=asked.large, lot=asked.lot
+                request.rank, late=late, large=request.large, lot=request.lot
             )
-            work = reader.all_reading(now, level) + self._loads.reading_cost(tokens)
-            milliseconds = work / self._loads.reading_rate
+            work = prefill_engine.total_prefill_tokens(
+                now, level
+            ) + self._loads.prefill_cost(tokens)
+            milliseconds = work / self._loads.prefill_rate
             expected = datetime.timedelta(milliseconds=milliseconds + _HANDOVER_MS)
-            if expected <= asked.due:
+            if expected <= request.time_to_target:
                 break
         cost += milliseconds + (_LATE_MS if late else 0)
-        return cost, places.Apart(reader, writer, tokens, donor, level, expected)
+        return cost, placement_types.Disaggregated(
+            prefill_engine, decode_engine, tokens, kv_source, level, expected
+        )
 
 
-def fullness(
-    writer: engine_loads.EngineLoad,
+def utilization(
+    decode_engine: engine_loads.EngineLoad,
     traits: table.EngineTraits,
     now: datetime.timedelta,
 ) -> float:
     """Return the used share of an engine's slots or memory, whichever is scarcer."""
-    slots = writer.all_writing(now) / max(1, traits.slots)
-    return max(slots, writer.all_held(now) / max(1, traits.kv_tokens))
+    slots = decode_engine.total_streams(now) / max(1, traits.slots)
+    return max(slots, decode_engine.total_kv_tokens(now) / max(1, traits.kv_tokens))
 
 
-def _best_writer(
-    writers: abc.Sequence[engine_loads.EngineLoad],
+def _best_decode_engine(
+    decode_engines: abc.Sequence[engine_loads.EngineLoad],
     costs: abc.Mapping[str, float],
     prompt: prompts.Prompt,
     domain: str,
 ) -> tuple[float, engine_loads.EngineLoad]:
     """Return the best writer for a prompt read in a domain, and its cost."""
 
-    def cost(writer: engine_loads.EngineLoad) -> float:
-        return costs[writer.server.server_id] + _moved_cost(domain, writer, prompt)
+    def cost(decode_engine: engine_loads.EngineLoad) -> float:
+        return costs[decode_engine.server.server_id] + _transfer_cost(
+            domain, decode_engine, prompt
+        )
 
-    writer = min(writers, key=cost)
-    return cost(writer), writer
+    decode_engine = min(decode_engines, key=cost)
+    return cost(decode_engine), decode_engine
 
 
-def _moved_cost(
-    domain: str, writer: engine_loads.EngineLoad, prompt: prompts.Prompt
+def _transfer_cost(
+    domain: str, decode_engine: engine_loads.EngineLoad, prompt: prompts.Prompt
 ) -> float:
     """Return the charge of moving a prompt that was read in a failure domain."""
-    moved = writer.unread(prompt) * _MOVED_MS
-    return moved * (_FAR_FACTOR if writer.server.failure_domain != domain else 1.0)
+    transfer = decode_engine.uncached_tokens(prompt) * _TRANSFER_MS
+    return transfer * (
+        _CROSS_DOMAIN_FACTOR if decode_engine.server.failure_domain != domain else 1.0
+    )
 
 
-def _donors(
+def _kv_sources(
     prompt: prompts.Prompt, engines: abc.Iterable[engine_loads.EngineLoad]
-) -> list[_Donor]:
+) -> list[_KvSource]:
     """Return the engines that keep some of a prompt, the most first."""
-    found = [_Donor(engine, engine.cached.kept(prompt)) for engine in engines]
-    found = [donor for donor in found if donor.tokens >= homes.LEAST_FETCHED]
-    return sorted(found, key=lambda donor: donor.tokens, reverse=True)
-
-
-def _to_read(
+    found = [
+        _KvSource(engine, engine.prefix_cache.cached_tokens(prompt))
+        for engine in engines
+    ]
+    found = [
+        kv_source
+        for kv_source in found
+        if kv_source.tokens >= prefix_affinity.MIN_FETCH_TOKENS
+    ]
+    return sorted(found, key=lambda kv_source: kv_source.tokens, reverse=True)
+
+
+def _tokens_to_prefill(
     engine: engine_loads.EngineLoad,
     prompt: prompts.Prompt,
-    donors: abc.Sequence[_Donor],
+    kv_sources: abc.Sequence[_KvSource],
 ) -> tuple[int, engine_loads.EngineLoad | None, float]:
     """Return the tokens to read, who gives the others, and the charge of giving."""
-    kept = engine.cached.kept(prompt)
-    best: tuple[float, _Donor] | None = None
-    for donor in donors:
-        fetched = donor.tokens - kept
-        if donor.engine is engine or fetched < homes.LEAST_FETCHED:
+    cached_tokens = engine.prefix_cache.cached_tokens(prompt)
+    best: tuple[float, _KvSource] | None = None
+    for kv_source in kv_sources:
+        fetched = kv_source.tokens - cached_tokens
+        if kv_source.engine is engine or fetched < prefix_affinity.MIN_FETCH_TOKENS:
             continue
-        charge = fetched * _MOVED_MS
-        if donor.engine.server.failure_domain != engine.server.failure_domain:
-            charge *= _FAR_FACTOR
-        gain = fetched * _READ_AGAIN_MS - charge
+        charge = fetched * _TRANSFER_MS
+        if kv_source.engine.server.failure_domain != engine.server.failure_domain:
+            charge *= _CROSS_DOMAIN_FACTOR
+        gain = fetched * _RECOMPUTE_MS - charge
         if best is None or gain > best[0]:
-            best = gain, donor
+            best = gain, kv_source
     if best is None:
-        return prompt.tokens - kept, None, 0.0
-    donor = best[1]
-    fetched = donor.tokens - kept
-    charge = fetched * _READ_AGAIN_MS - best[0]
-    return prompt.tokens - donor.tokens, donor.engine, charge
+        return prompt.tokens - cached_tokens, None, 0.0
+    kv_source = best[1]
+    fetched = kv_source.tokens - cached_tokens
+    charge = fetched * _RECOMPUTE_MS - best[0]
+    return prompt.tokens - kv_source.tokens, kv_source.engine, charge
 
 
 def _shared(prompt: prompts.Prompt, tokens: int) -> int:
--- a/src/pimentolatch/decisions/places.py
+++ b/src/pimentolatch/decisions/placement_types.py
@@ -6,11 +6,18 @@
 from pimentolatch.decisions import engine_loads
 from pimentolatch.requests import prompts
 
-__all__ = ["Apart", "Asked", "Hopeless", "InPlace", "NoEngine", "Place"]
+__all__ = [
+    "Disaggregated",
+    "PlacementRequest",
+    "Infeasible",
+    "Colocated",
+    "NoEngine",
+    "PlacementResult",
+]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class InPlace:
+class Colocated:
     """Read and write on one engine.
 
     Attributes:
@@ -23,25 +30,25 @@
 
     engine: engine_loads.EngineLoad
     tokens: int
-    donor: engine_loads.EngineLoad | None
+    kv_source: engine_loads.EngineLoad | None
     level: int
     expected: datetime.timedelta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Apart:
+class Disaggregated:
     """Read on one engine, write on another; see `InPlace`."""
 
-    reader: engine_loads.EngineLoad
+    prefill_engine: engine_loads.EngineLoad
     engine: engine_loads.EngineLoad
     tokens: int
-    donor: engine_loads.EngineLoad | None
+    kv_source: engine_loads.EngineLoad | None
     level: int
     expected: datetime.timedelta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Hopeless:
+class Infeasible:
     """No engine can give a first event in time.
 
     Attributes:
@@ -56,11 +63,11 @@
     """No engine that writes takes requests now; one may be back in a moment."""
 
 
-Place = InPlace | Apart | Hopeless | NoEngine
+PlacementResult = Colocated | Disaggregated | Infeasible | NoEngine
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
+class PlacementRequest:
     """A prompt to be placed.
 
     Attributes:
@@ -74,6 +81,6 @@
     prompt: prompts.Prompt
     rank: int
     large: bool
-    due: datetime.timedelta
-    patience: datetime.timedelta
+    time_to_target: datetime.timedelta
+    time_to_deadline: datetime.timedelta
     lot: float
--- a/src/pimentolatch/decisions/plain_routing.py
+++ b/src/pimentolatch/decisions/plain_routing.py
@@ -16,7 +16,7 @@
 from collections import abc
 
 from pimentolatch import fleet
-from pimentolatch.decisions import health, outstanding
+from pimentolatch.decisions import health, outstanding_work
 from pimentolatch.document import schema
 
 __all__ = ["PlainRouter"]
@@ -31,7 +31,9 @@
         counted: Counts the calls outstanding.
     """
 
-    def __init__(self, own_domain: str, counted: outstanding.Outstanding) -> None:
+    def __init__(
+        self, own_domain: str, counted: outstanding_work.OutstandingWork
+    ) -> None:
         self._own_domain = own_domain
         self._counted = counted
         self._health = health.ServerHealth()
--- a/src/pimentolatch/decisions/readers.py
+++ b/src/pimentolatch/decisions/prefill_dispatches.py
@@ -8,19 +8,19 @@
 import dataclasses
 from collections import abc
 
-from pimentolatch.decisions import outstanding, prefill, work
+from pimentolatch.decisions import disaggregation, outstanding_work, request_work
 from pimentolatch.document import schema
 
-__all__ = ["Readers"]
+__all__ = ["PrefillDispatches"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Reading:
+class _Prefill:
     engine: str
-    left: work.Work
+    left: request_work.Work
 
 
-class Readers:
+class PrefillDispatches:
     """Prompts that are read apart, by request.
 
     Args:
@@ -30,37 +30,40 @@
 
     def __init__(
         self,
-        counted: outstanding.Outstanding,
-        load: abc.Callable[[str], outstanding.Load],
+        outstanding: outstanding_work.OutstandingWork,
+        load: abc.Callable[[str], outstanding_work.Load],
     ) -> None:
-        self._counted = counted
+        self._outstanding = outstanding
         self._load = load
-        self._readings: dict[str, _Reading] = {}
+        self._prefills: dict[str, _Prefill] = {}
 
     def choose(
         self,
         document: schema.FleetDocument,
         model: str,
-        answering: prefill.EngineLoad,
-        readers: abc.Sequence[schema.Engine],
-        asked: work.Work,
+        decode_engine: disaggregation.EngineLoad,
+        prefill_engines: abc.Sequence[schema.Engine],
+        asked: request_work.Work,
     ) -> schema.Engine | None:
         """Return the engine that should read the prompt; None to read it in place."""
-        if not readers:
+        if not prefill_engines:
             return None
-        loads = [answering, *(self.load_of(engine, "prefill") for engine in readers)]
-        prompt = prefill.Prompt(asked.prompt_tokens, asked.output_tokens)
-        path = prefill.choose_path(prompt, loads, _costs(document, model))
-        if not isinstance(path, prefill.Apart):
+        loads = [
+            decode_engine,
+            *(self.load_of(engine, "prefill") for engine in prefill_engines),
+        ]
+        prompt = disaggregation.RequestSize(asked.prompt_tokens, asked.output_tokens)
+        path = disaggregation.choose_path(prompt, loads, _costs(document, model))
+        if not isinstance(path, disaggregation.Disaggregated):
             return None
-        return next(e for e in readers if e.name == path.prefill_engine)
+        return next(e for e in prefill_engines if e.name == path.prefill_engine)
 
     def load_of(
         self, engine: schema.Engine, role: schema.Role, cached_tokens: int = 0
-    ) -> prefill.EngineLoad:
+    ) -> disaggregation.EngineLoad:
         """Return what is known of an engine, as `prefill` needs it."""
         load = self._load(engine.name)
-        return prefill.EngineLoad(
+        return disaggregation.EngineLoad(
             engine.name,
             role,
             engine.streams,
@@ -74,17 +77,17 @@
 
     def begin(self, request_id: str, engine: schema.Engine, tokens: int) -> None:
         """Count a prompt as sent to the engine that reads it."""
-        reading = _Reading(engine.name, work.Work(tokens, 0))
-        self._readings[request_id] = reading
-        self._counted.begin(reading.engine, reading.left)
+        prefill = _Prefill(engine.name, request_work.Work(tokens, 0))
+        self._prefills[request_id] = prefill
+        self._outstanding.begin(prefill.engine, prefill.left)
 
     def end(self, request_id: str) -> None:
         """Count a prompt as read or given up; harmless if it was not read apart."""
-        reading = self._readings.pop(request_id, None)
-        if reading is not None:
-            self._counted.end(reading.engine, reading.left)
+        prefill = self._prefills.pop(request_id, None)
+        if prefill is not None:
+            self._outstanding.end(prefill.engine, prefill.left)
 
 
-def _costs(document: schema.FleetDocument, model: str) -> prefill.Costs:
+def _costs(document: schema.FleetDocument, model: str) -> disaggregation.Costs:
     size = next(m.kv_bytes_per_token for m in document.models if m.name == model)
-    return prefill.Costs(size, document.routing.kv_bytes_per_s)
+    return disaggregation.Costs(size, document.routing.kv_bytes_per_s)
--- a/src/pimentolatch/decisions/homes.py
+++ b/src/pimentolatch/decisions/prefix_affinity.py
@@ -22,23 +22,23 @@
 import dataclasses
 from collections import abc
 
-from pimentolatch.decisions import engine_loads, subset
+from pimentolatch.decisions import engine_loads, rendezvous
 from pimentolatch.requests import prompts
 
-__all__ = ["LEAST_FETCHED", "Ranking", "rank"]
+__all__ = ["MIN_FETCH_TOKENS", "Ranking", "rank"]
 
 # Charge of an engine that is no home of a prompt, in times of reading its shared part
 # again: reading it elsewhere takes the time of all that wait there, and draws the next
 # prompts of its session away too.
-_AWAY = 10.0
+_MISS_FACTOR = 10.0
 # A prompt without a shared part has a home too, drawn for it alone, and below the homes
 # the ranking still counts: among engines that look alike, instances would all take the
 # first of the list.
-_LEAST_AWAY_MS = 10.0
-_HOMES = 2
-_NEXT_MS = 0.5
+_MIN_MISS_MS = 10.0
+_PREFERRED_ENGINES = 2
+_RANK_STEP_MS = 0.5
 # Fewer tokens are read sooner than fetched.
-LEAST_FETCHED = 256
+MIN_FETCH_TOKENS = 256
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -51,39 +51,40 @@
         charges: Charge for reading the prompt at an engine, in milliseconds, by id.
     """
 
-    donor: engine_loads.EngineLoad | None
+    kv_source: engine_loads.EngineLoad | None
     charges: abc.Mapping[str, float]
 
 
 def rank(
     prompt: prompts.Prompt,
-    readers: abc.Sequence[engine_loads.EngineLoad],
-    reading_rate: float,
+    prefill_engines: abc.Sequence[engine_loads.EngineLoad],
+    prefill_rate: float,
 ) -> Ranking:
     """Return the homes of a prompt.
 
     Args:
         prompt: The prompt.
-        readers: Engines that read, in any order.
-        reading_rate: Tokens that an engine reads in a millisecond.
+        prefill_engines: Engines that read, in any order.
+        prefill_rate: Tokens that an engine reads in a millisecond.
     """
     shared = prompt.tokens - prompt.parts[-1].tokens if prompt.parts else 0
-    part = _ranked_by(prompt)
+    part = _affinity_key(prompt)
     ranked = sorted(
-        readers,
-        key=lambda reader: subset.rank(reader.server.server_id, part),
+        prefill_engines,
+        key=lambda engine: rendezvous.rank(engine.server.server_id, part),
         reverse=True,
     )
-    away = _AWAY * shared / reading_rate + _LEAST_AWAY_MS
+    miss = _MISS_FACTOR * shared / prefill_rate + _MIN_MISS_MS
     charges = {
-        reader.server.server_id: away * min(place / _HOMES, 1.0) + _NEXT_MS * place
-        for place, reader in enumerate(ranked)
+        engine.server.server_id: miss * min(place / _PREFERRED_ENGINES, 1.0)
+        + _RANK_STEP_MS * place
+        for place, engine in enumerate(ranked)
     }
-    donor = ranked[0] if ranked and shared >= LEAST_FETCHED else None
-    return Ranking(donor, charges)
+    kv_source = ranked[0] if ranked and shared >= MIN_FETCH_TOKENS else None
+    return Ranking(kv_source, charges)
 
 
-def _ranked_by(prompt: prompts.Prompt) -> str:
+def _affinity_key(prompt: prompts.Prompt) -> str:
     """Return the part whose homes are asked for: the last one that is shared.
 
     A prompt of one part goes by that: no other one has it, so prompts spread.
--- a/src/pimentolatch/decisions/prefix_cache.py
+++ b/src/pimentolatch/decisions/prefix_cache.py
@@ -14,51 +14,51 @@
 
 # Part of an engine's memory that is taken to hold shared parts; running requests take
 # the rest first.
-_KEPT_SHARE = 0.75
+_SHARED_PART_SHARE = 0.75
 
 
 class PrefixCache:
     """Parts that one engine keeps, by their keys; the least lately used ones yield."""
 
     def __init__(self) -> None:
-        self._kept: collections.OrderedDict[int, int] = collections.OrderedDict()
+        self._parts: collections.OrderedDict[int, int] = collections.OrderedDict()
         self._tokens = 0
 
-    def kept(self, prompt: prompts.Prompt) -> int:
+    def cached_tokens(self, prompt: prompts.Prompt) -> int:
         """Return the tokens at the beginning of a prompt that the engine keeps.
 
         A kept part saves its tokens only if every part before it is kept too.
         """
-        saved = 0
+        cached = 0
         for part in prompt.parts:
-            if prompts.part_key(part.name) not in self._kept:
+            if prompts.part_key(part.name) not in self._parts:
                 break
-            saved += part.tokens
-        return min(saved, prompt.tokens)
+            cached += part.tokens
+        return min(cached, prompt.tokens)
 
-    def keep(self, part: int, tokens: int, most_tokens: int) -> bool:
+    def add(self, part: int, tokens: int, capacity_tokens: int) -> bool:
         """Note that the engine keeps a part.
 
         Args:
             part: Key of the part.
             tokens: Its tokens.
-            most_tokens: Tokens that fit the engine's memory.
+            capacity_tokens: Tokens that fit the engine's memory.
 
         Returns:
             Whether this was not known.
         """
-        known = part in self._kept
+        known = part in self._parts
         if known:
-            self._kept.move_to_end(part)
+            self._parts.move_to_end(part)
         else:
-            self._kept[part] = tokens
+            self._parts[part] = tokens
             self._tokens += tokens
-        while self._tokens > most_tokens * _KEPT_SHARE and self._kept:
-            _, evicted = self._kept.popitem(last=False)
+        while self._tokens > capacity_tokens * _SHARED_PART_SHARE and self._parts:
+            _, evicted = self._parts.popitem(last=False)
             self._tokens -= evicted
         return not known
 
-    def keep_prompt(self, prompt: prompts.Prompt, most_tokens: int) -> None:
+    def add_prompt(self, prompt: prompts.Prompt, capacity_tokens: int) -> None:
         """Note that the engine keeps all parts of a prompt; see `keep`."""
         for part in prompt.parts:
-            self.keep(prompts.part_key(part.name), part.tokens, most_tokens)
+            self.add(prompts.part_key(part.name), part.tokens, capacity_tokens)
--- a/src/pimentolatch/decisions/prefixes.py
+++ b/src/pimentolatch/decisions/recent_prefixes.py
@@ -17,9 +17,9 @@
 import datetime
 import hashlib
 
-from pimentolatch.decisions import work
+from pimentolatch.decisions import request_work
 
-__all__ = ["PrefixMemory"]
+__all__ = ["RecentPrefixes"]
 
 # Prefixes are compared at these lengths; a prompt has at most this many entries.
 _CHARACTERS = tuple(256 << doubling for doubling in range(10))
@@ -28,7 +28,7 @@
 _LIFETIME = datetime.timedelta(minutes=2)
 
 
-class PrefixMemory:
+class RecentPrefixes:
     """Prefixes lately sent, by engine; the least lately sent are forgotten first."""
 
     def __init__(self) -> None:
@@ -36,7 +36,7 @@
             collections.OrderedDict()
         )
 
-    def sent(self, prompt: str, engine: str, now: datetime.timedelta) -> None:
+    def record(self, prompt: str, engine: str, now: datetime.timedelta) -> None:
         """Remember that an engine reads a prompt."""
         for _, key in _keys(prompt):
             engines = self._sent.setdefault(key, {})
@@ -54,7 +54,7 @@
         for length, key in _keys(prompt):
             for engine, at in self._sent.get(key, {}).items():
                 if now - at < _LIFETIME:
-                    found[engine] = length // work.CHARACTERS_PER_TOKEN
+                    found[engine] = length // request_work.CHARACTERS_PER_TOKEN
         return found
 
     def forget(self, engine: str) -> None:
--- a/src/pimentolatch/decisions/subset.py
+++ b/src/pimentolatch/decisions/rendezvous.py
@@ -22,10 +22,10 @@
 import math
 from collections import abc
 
-__all__ = ["FOREIGN_ENGINES", "foreign_engines", "own_engines", "rank"]
+__all__ = ["REMOTE_ENGINES", "remote_engines", "own_engines", "rank"]
 
-_LEAST_SENDERS = 2
-FOREIGN_ENGINES = 4
+_MIN_SENDERS = 2
+REMOTE_ENGINES = 4
 
 
 @functools.lru_cache(maxsize=65_536)
@@ -45,7 +45,7 @@
         engines: Engines of one model in the domain.
         size: Engines that an instance should send to, at most.
     """
-    senders = min(_LEAST_SENDERS, len(instances))
+    senders = min(_MIN_SENDERS, len(instances))
     if len(engines) <= size or not senders:
         return {instance: frozenset(engines) for instance in instances}
     room = max(size, math.ceil(senders * len(engines) / len(instances)))
@@ -68,7 +68,7 @@
             return
 
 
-def foreign_engines(instance: str, engines: abc.Set[str]) -> frozenset[str]:
+def remote_engines(instance: str, engines: abc.Set[str]) -> frozenset[str]:
     """Return the engines of another failure domain that an instance may send to."""
     ranked = sorted(engines, key=lambda engine: rank(instance, engine), reverse=True)
-    return frozenset(ranked[:FOREIGN_ENGINES])
+    return frozenset(ranked[:REMOTE_ENGINES])
--- a/src/pimentolatch/decisions/routing.py
+++ b/src/pimentolatch/decisions/routing.py
@@ -11,19 +11,19 @@
 
 from pimentolatch import fleet
 from pimentolatch.decisions import (
-    choice,
+    engine_selection,
     health,
-    outstanding,
-    prefixes,
+    outstanding_work,
+    recent_prefixes,
+    rendezvous,
     shares,
-    subset,
 )
 from pimentolatch.document import schema
 
-__all__ = ["Router", "role_of", "serving"]
+__all__ = ["Router", "active_engines", "role_of"]
 
 
-def serving(view: fleet.View, model: str) -> list[schema.Engine]:
+def active_engines(view: fleet.View, model: str) -> list[schema.Engine]:
     """Return the engines that take new work for a model."""
     if view.document is None:
         return []
@@ -61,17 +61,17 @@
         own_instance: str,
         own_domain: str,
         *,
-        counted: outstanding.Outstanding,
+        outstanding: outstanding_work.OutstandingWork,
         peers: shares.PeerShares,
-        known: health.ServerHealth,
-        cached: prefixes.PrefixMemory,
+        server_health: health.ServerHealth,
+        prefixes: recent_prefixes.RecentPrefixes,
     ) -> None:
         self._own_instance = own_instance
         self._own_domain = own_domain
-        self._counted = counted
+        self._outstanding = outstanding
         self._peers = peers
-        self._health = known
-        self._prefixes = cached
+        self._health = server_health
+        self._prefixes = prefixes
         self._instances = frozenset({own_instance})
         self._reachable: dict[str, tuple[schema.Engine, ...]] = {}
         self._reachable_for: tuple[fleet.View, frozenset[str]] | None = None
@@ -94,11 +94,11 @@
             self._reachable[model] = self._choose_reachable(view, model)
         return self._reachable[model]
 
-    def load(self, engine: str) -> outstanding.Load:
+    def load(self, engine: str) -> outstanding_work.Load:
         """Return the work at an engine from all instances that are heard."""
         told = self._peers.server(engine)
-        return self._counted.load(engine).plus(
-            outstanding.Load(told.streams, told.prompt_tokens, told.output_tokens)
+        return self._outstanding.load(engine).plus(
+            outstanding_work.Load(told.streams, told.prompt_tokens, told.output_tokens)
         )
 
     def candidates(
@@ -108,23 +108,23 @@
         prompt: str,
         now: datetime.timedelta,
         avoid: abc.Set[str] = frozenset(),
-    ) -> list[choice.Candidate]:
+    ) -> list[engine_selection.Candidate]:
         """Return the engines that may be chosen for a request.
 
         Engines that only prefill are left out unless there are no others.
         """
         engines = self.engines(view, model)
-        whole = [e for e in engines if role_of(view, e) != "prefill"]
-        names = [engine.name for engine in whole or engines]
+        answering = [e for e in engines if role_of(view, e) != "prefill"]
+        names = [engine.name for engine in answering or engines]
         self._health.judge(names, now)
         cached = self._prefixes.cached_tokens(prompt, now)
         return [
             self._candidate(engine, names, cached.get(engine.name, 0), now)
-            for engine in whole or engines
+            for engine in answering or engines
             if engine.name not in avoid
         ]
 
-    def readers(self, view: fleet.View, model: str) -> list[schema.Engine]:
+    def prefill_engines(self, view: fleet.View, model: str) -> list[schema.Engine]:
         """Return the engines of the own failure domain that only read prompts."""
         return [
             engine
@@ -140,12 +140,12 @@
         peers: abc.Collection[str],
         cached: int,
         now: datetime.timedelta,
-    ) -> choice.Candidate:
+    ) -> engine_selection.Candidate:
         ejected = self._health.ejected(engine.name)
-        return choice.Candidate(
+        return engine_selection.Candidate(
             engine,
             self.load(engine.name),
-            self._counted.load(engine.name),
+            self._outstanding.load(engine.name),
             len(self._instances),
             engine.failure_domain == self._own_domain,
             self._health.slowness(engine.name, peers),
@@ -158,21 +158,21 @@
         self, view: fleet.View, model: str
     ) -> tuple[schema.Engine, ...]:
         by_domain: dict[str, dict[str, schema.Engine]] = {}
-        for engine in serving(view, model):
+        for engine in active_engines(view, model):
             by_domain.setdefault(engine.failure_domain, {})[engine.name] = engine
         found: list[schema.Engine] = []
         for domain, engines in sorted(by_domain.items()):
             if domain == self._own_domain:
                 assert view.document is not None
                 size = view.document.routing.engine_subset
-                chosen = subset.own_engines(self._instances, engines.keys(), size)
+                chosen = rendezvous.own_engines(self._instances, engines.keys(), size)
                 names = chosen[self._own_instance]
             else:
-                names = subset.foreign_engines(self._own_instance, engines.keys())
+                names = rendezvous.remote_engines(self._own_instance, engines.keys())
             # The order differs by instance, so that equal engines are not all
             # tried in the order of their names.
             found += [engines[name] for name in sorted(names, key=self._rank)]
         return tuple(found)
 
     def _rank(self, engine: str) -> int:
-        return subset.rank(self._own_instance, engine)
+        return rendezvous.rank(self._own_instance, engine)
--- a/src/pimentolatch/decisions/stage_plan.py
+++ b/src/pimentolatch/decisions/stage_plan.py
@@ -111,7 +111,7 @@
         spare = 2 if len(engines) >= _SMALLEST_SPARED else 1
         at_once = max(1, int(_AT_ONCE * len(engines)))
         move = self._due_move(split, spare, at_once, now)
-        if move is None or loads.prompts_timed < _LEAST_TIMED:
+        if move is None or loads.prompts_observed < _LEAST_TIMED:
             return ()
         givers = split.givers(move.stage)
         sound = [engine for engine in givers if now >= engine.avoid_until]
@@ -267,7 +267,7 @@
     now: datetime.timedelta,
 ) -> float:
     """Return how long a prompt waits now; a rate learned too low only says so."""
-    waiting = sum(reader.all_reading(now) for reader in readers)
+    waiting = sum(reader.total_prefill_tokens(now) for reader in readers)
     return waiting / reading_rate / max(1, len(readers))
 
 
@@ -278,8 +278,8 @@
     now: datetime.timedelta,
 ) -> float:
     """Return how many engines the running streams fill."""
-    by_room = sum(placement.fullness(engine, traits, now) for engine in writers)
-    pauses = [engine.pause_ms for engine in writers if engine.pause_ms > 0]
+    by_room = sum(placement.utilization(engine, traits, now) for engine in writers)
+    pauses = [engine.event_gap_ms for engine in writers if engine.event_gap_ms > 0]
     if not pauses or pause_target_ms <= 0:
         return by_room
     by_pause = statistics.fmean(pauses) / pause_target_ms * len(writers)
@@ -303,7 +303,7 @@
         domain = engine.server.failure_domain
         own = sum(g.server.failure_domain == domain for g in givers)
         others = sum(t.server.failure_domain == domain for t in takers)
-        work = engine.all_writing(now) + engine.all_reading(now) / 1000
+        work = engine.total_streams(now) + engine.total_prefill_tokens(now) / 1000
         return (others - own, work, engine.server.server_id)
 
     found = [e for e in givers if e.server.incarnation not in moving]
--- a/src/pimentolatch/entry/process.py
+++ b/src/pimentolatch/entry/process.py
@@ -9,7 +9,7 @@
 from pimentolatch import clock, fleet, metrics, settings, tasks
 from pimentolatch.backend import orders
 from pimentolatch.control import holder
-from pimentolatch.decisions import outstanding
+from pimentolatch.decisions import outstanding_work
 from pimentolatch.entry import (
     callers,
     clients,
@@ -49,7 +49,7 @@
         self._gate = gate.Gate()
         self._fleet = fleet.Fleet()
         self._metrics = metrics.Metrics()
-        self._work = outstanding.Outstanding()
+        self._work = outstanding_work.OutstandingWork()
         self._clients = clients.BackendClients(chosen.instance)
         self._completions = completion.CompletionRunner(
             own_fleet=self._fleet,
--- a/src/pimentolatch/gateway/attempt.py
+++ b/src/pimentolatch/gateway/attempt.py
@@ -4,7 +4,7 @@
 import datetime
 
 from pimentolatch import clock, results, settings
-from pimentolatch.decisions import engine_loads, places, prompt_sizes, waiting
+from pimentolatch.decisions import engine_loads, placement_types, prompt_sizes, waiting
 from pimentolatch.gateway import (
     cache_updates,
     doubting,
@@ -57,7 +57,9 @@
     def keep(self, asked: inbound.Inbound, engine: engine_loads.EngineLoad) -> None:
         """Note that an engine has read a request's prompt and keeps it."""
         assert asked.head.prompt is not None and asked.service.engine is not None
-        engine.cached.keep_prompt(asked.head.prompt, asked.service.engine.kv_tokens)
+        engine.prefix_cache.add_prompt(
+            asked.head.prompt, asked.service.engine.kv_tokens
+        )
         self.updates.add(engine.server.incarnation, asked.head.prompt)
 
     def loads(self, asked: inbound.Inbound) -> engine_loads.EngineLoads:
@@ -158,7 +160,7 @@
     asked: inbound.Inbound
     answer: inbound.Answer
     progress: Progress
-    place: places.InPlace | places.Apart
+    place: placement_types.Colocated | placement_types.Disaggregated
     in_place: int
     unread: int = 0
     first_seen: bool = False
@@ -198,7 +200,9 @@
         await answer.refuse(refusals.overloaded(progress.wait))
 
 
-def first_event_limit(place: places.InPlace | places.Apart) -> datetime.timedelta:
+def first_event_limit(
+    place: placement_types.Colocated | placement_types.Disaggregated,
+) -> datetime.timedelta:
     """Return how long a first event may take before its engine is asked for it."""
     return max(_LEAST_FIRST_EVENT, _FIRST_EVENT_FACTOR * place.expected)
 
--- a/src/pimentolatch/gateway/generation.py
+++ b/src/pimentolatch/gateway/generation.py
@@ -6,7 +6,7 @@
 from pimentolatch import clock
 from pimentolatch.decisions import (
     demand_rate,
-    places,
+    placement_types,
     prompt_sizes,
     repeat_budget,
     waiting,
@@ -135,14 +135,14 @@
         if progress.ran >= max(1, asked.route.most_servers):
             return await self._give_up(answer, progress)
         place = await self._placer.place(asked, progress)
-        if isinstance(place, places.Hopeless):
+        if isinstance(place, placement_types.Infeasible):
             progress.wait = place.retry_after
             return await self._give_up(answer, progress)
         if await self._refused(asked, answer, progress):
             return True
         if not self._may_send(asked, progress):
             return await self._give_up(answer, progress)
-        if isinstance(place, places.InPlace):
+        if isinstance(place, placement_types.Colocated):
             return await self._writer.write(asked, answer, progress, place, None)
         source = await self._reader.read(asked, place, progress)
         if source is None:
@@ -161,7 +161,7 @@
         asked: inbound.Inbound,
         answer: inbound.Answer,
         progress: attempt.Progress,
-        place: places.Apart,
+        place: placement_types.Disaggregated,
         source: attempt.Source,
     ) -> bool:
         """Have an engine go on with a prompt that was read; see `_try`.
--- a/src/pimentolatch/gateway/peer_work.py
+++ b/src/pimentolatch/gateway/peer_work.py
@@ -4,7 +4,7 @@
 import math
 from collections import abc
 
-from pimentolatch.decisions import engine_loads, peer_loads, subset
+from pimentolatch.decisions import engine_loads, peer_loads, rendezvous
 from pimentolatch.gateway import cache_updates, knowledge
 from pimentolatch.protocol import beacons
 from pimentolatch.routes import servers
@@ -75,9 +75,9 @@
     def own(self) -> tuple[beacons.Load, ...]:
         """Return the work of this instance, the engines that read most first."""
         found = [
-            _load(engine, engine.own())
+            _load(engine, engine.own_load())
             for engine in self._engines()
-            if engine.writing or any(engine.reading)
+            if engine.streams or any(engine.prefill_tokens)
         ]
         found.sort(key=lambda load: sum(load.reading), reverse=True)
         return tuple(found[:_LOADS_TOLD])
@@ -91,8 +91,10 @@
         the idlest of the engines that write would look empty to the other domains, and
         all of these would choose them.
         """
-        works = [(engine, engine.domain_work(now)) for engine in self._engines()]
-        busy = [(e, work) for e, work in works if work.writing or any(work.reading)]
+        works = [(engine, engine.domain_load(now)) for engine in self._engines()]
+        busy = [
+            (e, work) for e, work in works if work.streams or any(work.prefill_tokens)
+        ]
         count = max(1, math.ceil(len(busy) / _LOADS_IN_PIECE))
         pieces: list[list[beacons.Load]] = [[] for _ in range(count)]
         for engine, work in busy:
@@ -133,7 +135,7 @@
                 told = peer_loads.PeerLoad(
                     load.reading, load.writing, load.held, weight
                 )
-                engine.peers.hear(beacon.instance, told, now)
+                engine.peers.update(beacon.instance, told, now)
 
     def _take_domain(self, beacon: beacons.Beacon, now: datetime.timedelta) -> None:
         """Take a piece of what a domain has under way; see `totals`."""
@@ -142,7 +144,7 @@
             engine = self._known.engine(load.engine)
             if engine is not None:
                 work = peer_loads.PeerLoad(load.reading, load.writing, load.held)
-                engine.peers.hear_domain(domain, work, now)
+                engine.peers.update_domain(domain, work, now)
         told = {load.engine for load in beacon.totals}
         for engine in self._engines():
             covered = _piece_of(engine, beacon.piece.count) == beacon.piece.number
@@ -154,7 +156,7 @@
         if engine is None:
             return
         traits = self._known.engine_traits(engine.server.service)
-        if traits is not None and engine.cached.keep(
+        if traits is not None and engine.prefix_cache.add(
             part.key, part.tokens, traits.kv_tokens
         ):
             self._updates.pass_on(part)
@@ -162,13 +164,13 @@
 
 def _piece_of(engine: engine_loads.EngineLoad, count: int) -> int:
     """Return the piece of the totals that an engine belongs to."""
-    return subset.rank(engine.server.server_id, "piece") % count
+    return rendezvous.rank(engine.server.server_id, "piece") % count
 
 
 def _load(engine: engine_loads.EngineLoad, work: peer_loads.PeerLoad) -> beacons.Load:
-    reading = [max(0, int(tokens)) for tokens in work.reading]
+    reading = [max(0, int(tokens)) for tokens in work.prefill_tokens]
     while reading and not reading[-1]:
         reading.pop()
     return beacons.Load(
-        engine.server.incarnation, tuple(reading), work.writing, work.held
+        engine.server.incarnation, tuple(reading), work.streams, work.kv_tokens
     )
--- a/src/pimentolatch/gateway/peers.py
+++ b/src/pimentolatch/gateway/peers.py
@@ -133,7 +133,7 @@
         self._work.partly_heard = bool(self._neighbours.far)
         self._suspects.partly_heard = self._work.partly_heard
         for loads in self._known.all_loads().values():
-            loads.partly_heard = self._work.partly_heard
+            loads.partial_view = self._work.partly_heard
         self._weights = self._table.weights()
         self._work.retain({peer.beacon.instance for peer in self._table.live()})
 
@@ -182,7 +182,7 @@
                     service,
                     int(demand.reading),
                     int(demand.writing),
-                    int(1000 * self._known.loads(service).reading_rate),
+                    int(1000 * self._known.loads(service).prefill_rate),
                 )
                 for service, demand in self._demands().items()
             ),
--- a/src/pimentolatch/gateway/placing.py
+++ b/src/pimentolatch/gateway/placing.py
@@ -6,9 +6,9 @@
     demand_rate,
     engine_loads,
     placement,
-    places,
+    placement_types,
     prompt_sizes,
-    subset,
+    rendezvous,
     waiting,
 )
 from pimentolatch.gateway import attempt, inbound, request_log
@@ -41,17 +41,21 @@
 
     async def place(
         self, asked: inbound.Inbound, progress: attempt.Progress
-    ) -> places.InPlace | places.Apart | places.Hopeless:
+    ) -> (
+        placement_types.Colocated
+        | placement_types.Disaggregated
+        | placement_types.Infeasible
+    ):
         """Choose engines, waiting for one if none takes requests."""
         since = self._context.clock.monotonic()
         place = self._choose(asked, progress, since)
-        if not isinstance(place, places.NoEngine):
+        if not isinstance(place, placement_types.NoEngine):
             return place
         listed = bool(self._context.loads(asked).all())
-        while isinstance(place, places.NoEngine):
+        while isinstance(place, placement_types.NoEngine):
             if not listed or not await self.wait(asked, progress):
                 self._log_wait(asked, since, in_vain=True)
-                return places.Hopeless(waiting.retry_after(lot(asked)))
+                return placement_types.Infeasible(waiting.retry_after(lot(asked)))
             place = self._choose(asked, progress, self._context.clock.monotonic())
         self._log_wait(asked, since, in_vain=False)
         return place
@@ -63,7 +67,7 @@
         assert asked.head.prompt is not None and asked.service.engine is not None
         loads = self._context.loads(asked)
         now = self._context.clock.monotonic()
-        return placement.Placement(loads, self._domain).choose_writer(
+        return placement.Placement(loads, self._domain).choose_decode_engine(
             asked.head.prompt,
             source.reader,
             asked.service.engine,
@@ -92,17 +96,17 @@
         asked: inbound.Inbound,
         progress: attempt.Progress,
         now: datetime.timedelta,
-    ) -> places.Place:
+    ) -> placement_types.PlacementResult:
         assert asked.head.prompt is not None and asked.service.engine is not None
         loads = self._context.loads(asked)
         chooser = placement.Placement(loads, self._domain)
         place = chooser.choose(
-            places.Asked(
+            placement_types.PlacementRequest(
                 asked.head.prompt,
                 asked.rank,
                 progress.size is not prompt_sizes.SizeClass.REST,
-                due=asked.arrived + asked.route.latency_target - now,
-                patience=attempt.leaves_at(asked, progress) - now,
+                time_to_target=asked.arrived + asked.route.latency_target - now,
+                time_to_deadline=attempt.leaves_at(asked, progress) - now,
                 lot=lot(asked),
             ),
             asked.service.engine,
@@ -112,7 +116,7 @@
         if not progress.counted:
             progress.counted = True
             self._count_demand(asked, place)
-        if not isinstance(place, places.NoEngine):
+        if not isinstance(place, placement_types.NoEngine):
             self._log_place(asked, place, progress.size)
         return place
 
@@ -135,29 +139,33 @@
     def _rate(self, service: str) -> demand_rate.DemandRate:
         return self._demands.setdefault(service, demand_rate.DemandRate())
 
-    def _count_demand(self, asked: inbound.Inbound, place: places.Place) -> None:
+    def _count_demand(
+        self, asked: inbound.Inbound, place: placement_types.PlacementResult
+    ) -> None:
         """Count what the engines that read apart are asked for."""
         prompt = asked.head.prompt
         assert prompt is not None
         loads = self._context.loads(asked)
-        if isinstance(place, places.InPlace):
+        if isinstance(place, placement_types.Colocated):
             cost = 0.0
-        elif isinstance(place, places.Apart):
-            cost = loads.reading_cost(place.tokens)
+        elif isinstance(place, placement_types.Disaggregated):
+            cost = loads.prefill_cost(place.tokens)
         else:
-            unread = (engine.unread(prompt) for engine in loads.all())
-            cost = loads.reading_cost(min(unread, default=prompt.tokens))
+            unread = (engine.uncached_tokens(prompt) for engine in loads.all())
+            cost = loads.prefill_cost(min(unread, default=prompt.tokens))
         rate = self._rate(asked.service.name)
         rate.add(cost, prompt.expected_output, self._context.clock.monotonic())
 
     def _log_place(
         self,
         asked: inbound.Inbound,
-        place: places.InPlace | places.Apart | places.Hopeless,
+        place: placement_types.Colocated
+        | placement_types.Disaggregated
+        | placement_types.Infeasible,
         size: prompt_sizes.SizeClass,
     ) -> None:
         assert asked.head.prompt is not None
-        if isinstance(place, places.Hopeless):
+        if isinstance(place, placement_types.Infeasible):
             wait = place.retry_after / datetime.timedelta(milliseconds=1)
             self._context.log.write(
                 request_log.PLACED,
@@ -168,13 +176,17 @@
                 size=size.value,
             )
             return
-        reader = place.reader if isinstance(place, places.Apart) else place.engine
+        reader = (
+            place.prefill_engine
+            if isinstance(place, placement_types.Disaggregated)
+            else place.engine
+        )
         self._context.log.write(
             request_log.PLACED,
             asked.request_id,
             reader=reader.server.server_id,
             writer=place.engine.server.server_id,
-            donor=None if place.donor is None else place.donor.server.server_id,
+            donor=None if place.kv_source is None else place.kv_source.server.server_id,
             tokens=place.tokens,
             prompt=asked.head.prompt.tokens,
             size=size.value,
@@ -196,4 +208,4 @@
 
 def lot(asked: inbound.Inbound) -> float:
     """Return a number from 0 to 1, drawn evenly and the same wherever it is asked."""
-    return subset.rank(asked.request_id, "lot") / 2**64
+    return rendezvous.rank(asked.request_id, "lot") / 2**64
--- a/src/pimentolatch/gateway/reading.py
+++ b/src/pimentolatch/gateway/reading.py
@@ -5,7 +5,7 @@
 
 import logbook
 
-from pimentolatch.decisions import engine_loads, places, waiting
+from pimentolatch.decisions import engine_loads, placement_types, waiting
 from pimentolatch.gateway import attempt, inbound, sending
 from pimentolatch.platform import engines, heads
 
@@ -24,29 +24,32 @@
         self._background: set[asyncio.Task[None]] = set()
 
     async def read(
-        self, asked: inbound.Inbound, place: places.Apart, progress: attempt.Progress
+        self,
+        asked: inbound.Inbound,
+        place: placement_types.Disaggregated,
+        progress: attempt.Progress,
     ) -> attempt.Source | sending.TakenBack | None:
         """Have a prompt read; None if the engine did not.
 
         A prompt that still waits when its client is about to leave is taken back.
         """
-        reader = place.reader
+        reader = place.prefill_engine
         loads = self._context.loads(asked)
         begun = self._context.clock.monotonic()
-        cost = loads.reading_cost(place.tokens)
+        cost = loads.prefill_cost(place.tokens)
         delivery = heads.Delivery(
             reader.server.server_id,
             asked.until - begun - sending.RETURN_TIME,
             urgency=place.level,
             only_read=True,
-            donor=attempt.address_of(place.donor),
+            donor=attempt.address_of(place.kv_source),
         )
-        ahead = reader.all_reading(begun, place.level)
-        reader.reading[place.level] += cost
+        ahead = reader.total_prefill_tokens(begun, place.level)
+        reader.prefill_tokens[place.level] += cost
         try:
             outcome = await self._outcome(asked, place, progress, delivery)
         finally:
-            reader.reading[place.level] -= cost
+            reader.prefill_tokens[place.level] -= cost
         self._context.log_sent(asked, reader, "read", outcome, begun)
         if isinstance(outcome, sending.TakenBack):
             progress.reason = sending.text_of(outcome)
@@ -70,14 +73,14 @@
         progress.read_before = True
         loads.succeeded(reader, now)
         self._context.suspects.answered(reader.server, begun)
-        loads.read_in(place.tokens, now - begun, ahead)
+        loads.observe_prefill(place.tokens, now - begun, ahead)
         self._context.keep(asked, reader)
         return source
 
     async def _outcome(
         self,
         asked: inbound.Inbound,
-        place: places.Apart,
+        place: placement_types.Disaggregated,
         progress: attempt.Progress,
         delivery: heads.Delivery,
     ) -> _Outcome | sending.TakenBack:
@@ -92,9 +95,11 @@
         try:
             async with asyncio.timeout(limit.total_seconds()):
                 return await self._context.doubts.until_doubtful(
-                    place.reader,
+                    place.prefill_engine,
                     asked.request_id,
-                    self._context.client.whole(place.reader.server, asked, delivery),
+                    self._context.client.whole(
+                        place.prefill_engine.server, asked, delivery
+                    ),
                     attempt.first_event_limit(place),
                 )
         except TimeoutError:
--- a/src/pimentolatch/gateway/stages.py
+++ b/src/pimentolatch/gateway/stages.py
@@ -67,7 +67,7 @@
             traits,
             _pause_target(self._known.configuration, service),
             own.reading + others.reading,
-            max(loads.reading_rate, self._peers.reading_rate(service)),
+            max(loads.prefill_rate, self._peers.reading_rate(service)),
             now,
         )
         for change in changes:
--- a/src/pimentolatch/gateway/usage_exchange.py
+++ b/src/pimentolatch/gateway/usage_exchange.py
@@ -7,7 +7,7 @@
 import logbook
 
 from pimentolatch import clock, settings
-from pimentolatch.decisions import subset, usage
+from pimentolatch.decisions import rendezvous, usage
 from pimentolatch.gateway import datagrams, peer_table, tenure
 from pimentolatch.protocol import usage_rows
 
@@ -93,9 +93,9 @@
     def _keepers(self, live: abc.Iterable[peer_table.Peer]) -> list[str]:
         """Return the neighbours that keep this instance's counts."""
         hosts = (peer.host for peer in live)
-        return sorted(hosts, key=lambda host: subset.rank(self._address.host, host))[
-            :_KEEPERS
-        ]
+        return sorted(
+            hosts, key=lambda host: rendezvous.rank(self._address.host, host)
+        )[:_KEEPERS]
 
 
 def _datagrams(rows: abc.Iterable[usage.Row]) -> list[bytes]:
--- a/src/pimentolatch/gateway/writing.py
+++ b/src/pimentolatch/gateway/writing.py
@@ -4,7 +4,7 @@
 import datetime
 
 from pimentolatch.backend import channel
-from pimentolatch.decisions import doubt, places
+from pimentolatch.decisions import doubt, placement_types
 from pimentolatch.gateway import attempt, events, inbound, sending
 from pimentolatch.platform import heads
 
@@ -31,7 +31,7 @@
         asked: inbound.Inbound,
         answer: inbound.Answer,
         progress: attempt.Progress,
-        place: places.InPlace | places.Apart,
+        place: placement_types.Colocated | placement_types.Disaggregated,
         source: attempt.Source | None,
     ) -> bool:
         """Have an engine answer; True if the answer is finished."""
@@ -39,9 +39,9 @@
         in_place = place.tokens if source is None else 0
         assert asked.head.prompt is not None
         held = asked.head.prompt.tokens + asked.head.prompt.expected_output
-        engine.writing += 1
-        engine.held += held
-        engine.reading[place.level] += in_place
+        engine.streams += 1
+        engine.kv_tokens += held
+        engine.prefill_tokens[place.level] += in_place
         writing = attempt.Writing(asked, answer, progress, place, in_place)
         try:
             begun = self._context.clock.monotonic()
@@ -59,9 +59,9 @@
             with self._context.client.held(engine.server, opened):
                 return await self._pass_on(writing, opened, begun)
         finally:
-            engine.writing -= 1
-            engine.held -= held
-            engine.reading[place.level] -= writing.unread
+            engine.streams -= 1
+            engine.kv_tokens -= held
+            engine.prefill_tokens[place.level] -= writing.unread
 
     async def _open(
         self, writing: attempt.Writing, source: attempt.Source | None
@@ -77,7 +77,7 @@
             if source is None
             else (source.reader.server.address, source.handle),
             last_event=progress.last_event if resumed else None,
-            donor=attempt.address_of(place.donor) if source is None else None,
+            donor=attempt.address_of(place.kv_source) if source is None else None,
         )
         call = self._context.client.open(place.engine.server, asked, delivery)
         if not asked.route.repeatable:
@@ -220,12 +220,12 @@
         engine = writing.place.engine
         if not writing.first_seen:
             writing.first_seen = True
-            engine.reading[writing.place.level] -= writing.unread
+            engine.prefill_tokens[writing.place.level] -= writing.unread
             writing.unread = 0
             self._context.keep(writing.asked, engine)
             self._count_begun(writing)
             return
-        self._context.loads(writing.asked).paused(engine, since)
+        self._context.loads(writing.asked).observe_event_gap(engine, since)
 
     def _count_begun(self, writing: attempt.Writing) -> None:
         """Count a request for its customer, however many engines go on with it."""
--- a/src/pimentolatch/requests/completion.py
+++ b/src/pimentolatch/requests/completion.py
@@ -6,7 +6,7 @@
 from collections import abc
 
 from pimentolatch import clock, fleet, results
-from pimentolatch.decisions import dispatcher, outstanding
+from pimentolatch.decisions import dispatcher, outstanding_work
 from pimentolatch.requests import handover, schedule, stream, suspect_completions
 
 __all__ = ["CompletionRunner"]
@@ -23,7 +23,7 @@
         own_fleet: fleet.Fleet,
         own_domain: str,
         engines: stream.EngineStreams,
-        work: outstanding.Outstanding,
+        work: outstanding_work.OutstandingWork,
         time: clock.Clock,
         own_instance: str = "",
         moves: handover.KvMoves | None = None,
--- a/src/pimentolatch/requests/schedule.py
+++ b/src/pimentolatch/requests/schedule.py
@@ -114,8 +114,8 @@
             )
         if start is None:
             return None
-        if start.reader is not None:
-            self._readers[completion.request_id] = start.reader
+        if start.prefill_engine is not None:
+            self._readers[completion.request_id] = start.prefill_engine
         return start.engine
 
     def reader(self, completion: stream.Completion) -> schema.Engine | None:
@@ -124,7 +124,7 @@
 
     def prompt_read(self, completion: stream.Completion) -> None:
         """See `stream.EngineChoice.prompt_read`."""
-        self._decisions.prompt_read(completion.request_id)
+        self._decisions.prefill_ended(completion.request_id)
 
     def began(self, completion: stream.Completion, engine: schema.Engine) -> None:
         """Do nothing: a dispatch is counted when it is decided, not when it is sent.
--- a/src/pimentolatch/requests/service_call.py
+++ b/src/pimentolatch/requests/service_call.py
@@ -6,7 +6,7 @@
 
 from pimentolatch import clock, fleet, index, results, settings
 from pimentolatch.backend import outcomes, plain
-from pimentolatch.decisions import outstanding, plain_routing
+from pimentolatch.decisions import outstanding_work, plain_routing
 from pimentolatch.document import schema
 from pimentolatch.requests import identity, keys
 
@@ -64,7 +64,7 @@
         own_fleet: fleet.Fleet,
         own_domain: str,
         servers: PlainCalls,
-        work: outstanding.Outstanding,
+        work: outstanding_work.OutstandingWork,
         time: clock.Clock,
     ) -> None:
         self._fleet = own_fleet
--- a/tests/features/experiment.feature
+++ b/tests/features/experiment.feature
@@ -6,9 +6,9 @@
     Examples:
       | text                                    |
       | fast=prefill                            |
-      | fast=decisions.prefill._STREAM_DELAY    |
-      | fast=decisions.prefill._NO_SUCH=1       |
-      | fast=decisions.prefill._STREAM_DELAY=;x |
+      | fast=decisions.disaggregation._STREAM_DELAY    |
+      | fast=decisions.disaggregation._NO_SUCH=1       |
+      | fast=decisions.disaggregation._STREAM_DELAY=;x |
 
   # Days differ by far more than a change is worth. Compared pair by pair, what is left
   # is the change.
--- a/tests/features/steps/fleet_replay_steps.py
+++ b/tests/features/steps/fleet_replay_steps.py
@@ -36,7 +36,7 @@
         engine.server.server_id
         for instance in context.fleet.instances.values()
         for engine in instance.loads.all()
-        if any(engine.reading)
+        if any(engine.prefill_tokens)
     )
 
 
@@ -79,7 +79,7 @@
     )
     first = next(iter(context.fleet.instances.values()))
     engine = next(iter(first.loads.all()))
-    engine.cached.keep_prompt(context.prompt, fleet_parts.TRAITS.kv_tokens)
+    engine.prefix_cache.add_prompt(context.prompt, fleet_parts.TRAITS.kv_tokens)
     first.updates.add(engine.server.incarnation, context.prompt)
 
 
@@ -92,7 +92,9 @@
 def most_know(context):
     instances = context.fleet.instances.values()
     engines = [next(iter(instance.loads.all())) for instance in instances]
-    know = sum(engine.cached.kept(context.prompt) == 5000 for engine in engines)
+    know = sum(
+        engine.prefix_cache.cached_tokens(context.prompt) == 5000 for engine in engines
+    )
     assert know >= 0.95 * len(instances), know
 
 
--- a/tests/features/steps/load_steps.py
+++ b/tests/features/steps/load_steps.py
@@ -21,10 +21,10 @@
     fairness,
     health,
     limits,
-    outstanding,
+    outstanding_work,
+    rendezvous,
     retries,
     shares,
-    subset,
 )
 from pimentolatch.document import schema
 from pimentolatch.requests import schedule, stream
@@ -284,7 +284,7 @@
     @hypothesis.given(FLEETS)
     def check(size):
         instances, engines = domain(*size)
-        chosen = subset.own_engines(instances, engines, 24)
+        chosen = rendezvous.own_engines(instances, engines, 24)
         most = max(24, -(-2 * len(engines) // len(instances)))
         assert max(map(len, chosen.values())) <= most
         for engine in engines:
@@ -299,8 +299,8 @@
     @hypothesis.given(strategies.integers(8, 40))
     def check(count):
         instances, engines = domain(count, 10 * count)
-        before = subset.own_engines(instances, engines, 24)
-        after = subset.own_engines(instances - {"entry-0"}, engines, 24)
+        before = rendezvous.own_engines(instances, engines, 24)
+        after = rendezvous.own_engines(instances - {"entry-0"}, engines, 24)
         moved = senders_of(after) - senders_of(before)
         assert len(moved) <= 2 * len(before["entry-0"]), len(moved)
 
@@ -446,12 +446,12 @@
 
 @behave.then("a fresh report of 9 streams against 4 counted shows 5 more")
 def fresh_report(context):
-    assert outstanding.unseen_streams(4, 9, datetime.timedelta()) == 5
+    assert outstanding_work.uncounted_streams(4, 9, datetime.timedelta()) == 5
 
 
 @behave.then("a report of 10 seconds ago shows none")
 def old_report(context):
-    assert outstanding.unseen_streams(4, 9, 10 * SECOND) == 0
+    assert outstanding_work.uncounted_streams(4, 9, 10 * SECOND) == 0
 
 
 @behave.given("an instance whose only engine is full")
--- a/tests/features/steps/plain_servers_steps.py
+++ b/tests/features/steps/plain_servers_steps.py
@@ -5,7 +5,7 @@
 import behave
 
 from pimentolatch import fleet
-from pimentolatch.decisions import outstanding, plain_routing
+from pimentolatch.decisions import outstanding_work, plain_routing
 from pimentolatch.document import schema
 from standins import processes
 
@@ -29,7 +29,7 @@
 @behave.given("{count:d} plain servers of which the first breaks every call at once")
 def servers_one_broken(context, count):
     context.servers = [plain_server(number) for number in range(1, count + 1)]
-    context.counted = outstanding.Outstanding()
+    context.counted = outstanding_work.OutstandingWork()
     context.router = plain_routing.PlainRouter("north", context.counted)
     context.broken = {"plain-1"}
     context.now = datetime.timedelta()
--- a/tests/features/steps/roles_prefill_steps.py
+++ b/tests/features/steps/roles_prefill_steps.py
@@ -2,11 +2,11 @@
 
 import behave
 
-from pimentolatch.decisions import prefill
+from pimentolatch.decisions import disaggregation
 
 
 def engine(name, role, **work):
-    return prefill.EngineLoad(name, role, 16, 3000.0, 400.0, **work)
+    return disaggregation.EngineLoad(name, role, 16, 3000.0, 400.0, **work)
 
 
 @behave.given("prefill choices among a reader and 2 busy answering engines")
@@ -17,7 +17,7 @@
         engine("one", "mixed", **busy),
         engine("two", "decode", **busy),
     ]
-    context.costs = prefill.Costs()
+    context.costs = disaggregation.Costs()
 
 
 @behave.given(
@@ -45,26 +45,28 @@
 
 def path(context, tokens, **changes):
     costs = dataclasses.replace(context.costs, **changes)
-    return prefill.choose_path(prefill.Prompt(tokens, 120), context.engines, costs)
+    return disaggregation.choose_path(
+        disaggregation.RequestSize(tokens, 120), context.engines, costs
+    )
 
 
 @behave.then("a prompt of {tokens:d} tokens is read where it is answered")
 def read_whole(context, tokens):
     context.path = path(context, tokens)
-    assert isinstance(context.path, prefill.Whole), context.path
+    assert isinstance(context.path, disaggregation.Colocated), context.path
 
 
 @behave.then("a prompt of {tokens:d} tokens is read on the reader")
 def read_apart(context, tokens):
     found = path(context, tokens)
-    assert isinstance(found, prefill.Apart), found
+    assert isinstance(found, disaggregation.Disaggregated), found
     assert found.prefill_engine == "reader", found
 
 
 @behave.then("with a fixed limit a prompt of {tokens:d} tokens is read on the reader")
 def fixed_limit(context, tokens):
     context.fixed = path(context, tokens, adaptive=False)
-    assert isinstance(context.fixed, prefill.Apart), context.fixed
+    assert isinstance(context.fixed, disaggregation.Disaggregated), context.fixed
 
 
 @behave.then("its predicted finish is earlier than with the fixed limit")
@@ -80,7 +82,7 @@
         engine("other", "mixed", streams=4),
         engine("holder", "mixed", streams=4, cached_tokens=1400),
     ]
-    context.costs = prefill.Costs()
+    context.costs = disaggregation.Costs()
 
 
 @behave.then("a prompt of {tokens:d} tokens goes to the engine that holds it")
@@ -94,7 +96,9 @@
     context.engines[1] = engine("holder", "mixed", streams=4)
     true = path(context, 1500)
     alone = engine("idle", "mixed", streams=4)
-    reading = prefill.choose_path(prefill.Prompt(1500, 0), [alone], context.costs)
+    reading = disaggregation.choose_path(
+        disaggregation.RequestSize(1500, 0), [alone], context.costs
+    )
     late = true.first_token_s - context.believed.first_token_s
     assert 0.0 < late <= reading.first_token_s, (late, reading)
     context.engines[1] = engine("holder", "mixed", streams=4, cached_tokens=1400)
@@ -119,9 +123,9 @@
 @behave.given("prefill choices among readers alone")
 def readers_alone(context):
     context.engines = [engine("one", "prefill"), engine("two", "prefill")]
-    context.costs = prefill.Costs()
+    context.costs = disaggregation.Costs()
 
 
 @behave.then("there is no engine for a prompt")
 def no_engine(context):
-    assert path(context, 300) == prefill.NoEngine()
+    assert path(context, 300) == disaggregation.NoEngine()
--- a/tests/features/steps/routes_fleet_steps.py
+++ b/tests/features/steps/routes_fleet_steps.py
@@ -10,7 +10,7 @@
     neighbours,
     peer_loads,
     placement,
-    places,
+    placement_types,
     store_readers,
 )
 from pimentolatch.gateway import cache_updates
@@ -104,8 +104,8 @@
 
 def two_instances(domain, one, two):
     found = engine_loads.EngineLoad(engine("p1", servers.Stage.PREFILL, domain))
-    found.reading[3] += one
-    found.peers.hear("two", peer_loads.PeerLoad((0.0, float(two)), 2, 9000), NOW)
+    found.prefill_tokens[3] += one
+    found.peers.update("two", peer_loads.PeerLoad((0.0, float(two)), 2, 9000), NOW)
     return found
 
 
@@ -113,18 +113,20 @@
     "an instance of either domain that hears of the other counts {tokens:d} tokens"
 )
 def each_counts(context, tokens):
-    told = context.here.domain_work(NOW), context.there.domain_work(NOW)
-    context.here.peers.hear_domain("there", told[1], NOW)
-    context.there.peers.hear_domain("here", told[0], NOW)
+    told = context.here.domain_load(NOW), context.there.domain_load(NOW)
+    context.here.peers.update_domain("there", told[1], NOW)
+    context.there.peers.update_domain("here", told[0], NOW)
     for found in (context.here, context.there):
-        assert found.all_reading(NOW) == tokens, found.all_reading(NOW)
-        assert found.all_writing(NOW) == 4
+        assert found.total_prefill_tokens(NOW) == tokens, found.total_prefill_tokens(
+            NOW
+        )
+        assert found.total_streams(NOW) == 4
 
 
 @behave.then("what each tells of its own domain stays {here:d} and {there:d} tokens")
 def tells_own(context, here, there):
     for found, tokens in ((context.here, here), (context.there, there)):
-        assert sum(found.domain_work(NOW).reading) == tokens
+        assert sum(found.domain_load(NOW).prefill_tokens) == tokens
 
 
 @behave.then(
@@ -132,7 +134,7 @@
 )
 def silence(context, here, there):
     for found, tokens in ((context.here, here), (context.there, there)):
-        assert found.all_reading(NOW + 3 * SECOND) == tokens
+        assert found.total_prefill_tokens(NOW + 3 * SECOND) == tokens
 
 
 @behave.given(
@@ -152,9 +154,9 @@
     )
     context.hearer.work.partly_heard = True
     for load in context.teller.loads.all():
-        load.reading[0] = 1000.0
-        load.writing = 3
-        load.held = 9000
+        load.prefill_tokens[0] = 1000.0
+        load.streams = 3
+        load.kv_tokens = 9000
 
 
 @behave.when("an instance of another domain hears its sums")
@@ -162,10 +164,10 @@
     "the first domain's work at half of the engines ends and sums are heard again"
 )
 def hear_sums(context):
-    if any(load.all_reading(NOW) for load in context.hearer.loads.all()):
+    if any(load.total_prefill_tokens(NOW) for load in context.hearer.loads.all()):
         for load in list(context.teller.loads.all())[::2]:
-            load.reading[0] = 0.0
-            load.writing = load.held = 0
+            load.prefill_tokens[0] = 0.0
+            load.streams = load.kv_tokens = 0
     for piece, totals in context.teller.work.totals(NOW):
         told = context.teller.beacon(NOW, totals=totals, piece=piece)
         sent = beacons.encode(told)
@@ -176,16 +178,18 @@
 @behave.then("it counts the work of all {count:d}")
 @behave.then("it counts the work of the other {count:d}")
 def counts_all(context, count):
-    busy = [load for load in context.hearer.loads.all() if load.all_reading(NOW)]
+    busy = [
+        load for load in context.hearer.loads.all() if load.total_prefill_tokens(NOW)
+    ]
     assert len(busy) == count, len(busy)
-    assert {load.all_writing(NOW) for load in busy} == {3}
+    assert {load.total_streams(NOW) for load in busy} == {3}
 
 
 @behave.given("a large fleet with engines here and there")
 def here_and_there(context):
     context.loads = engine_loads.EngineLoads()
-    context.loads.reading_rate = 50.0
-    context.loads.partly_heard = True
+    context.loads.prefill_rate = 50.0
+    context.loads.partial_view = True
     context.loads.update(
         engine(f"{stage.value}-{domain}-{n}", stage, domain)
         for stage in servers.Stage
@@ -198,7 +202,7 @@
 def near_have(context, tokens):
     for load in context.loads.all():
         if load.server.failure_domain == "here":
-            load.reading[6] = tokens
+            load.prefill_tokens[6] = tokens
 
 
 def place(context, session=None, domain="here", tokens=5000):
@@ -206,7 +210,7 @@
     parts = (*shared, prompts.Part("own", 4000))
     prompt = prompts.Prompt("m", sum(p.tokens for p in parts), 50, 50, parts)
     target = datetime.timedelta(milliseconds=800)
-    asked = places.Asked(prompt, 2, False, target, 4 * target, 0.9)
+    asked = placement_types.PlacementRequest(prompt, 2, False, target, 4 * target, 0.9)
     traits = table.EngineTraits(8, 200_000, SECOND)
     return placement.Placement(context.loads, domain).choose(asked, traits, NOW)
 
@@ -214,18 +218,18 @@
 @behave.then("a prompt that shares nothing is read and written here")
 def read_here(context):
     chosen = place(context)
-    assert chosen.reader.server.failure_domain == "here"
+    assert chosen.prefill_engine.server.failure_domain == "here"
     assert chosen.engine.server.failure_domain == "here"
 
 
 @behave.then("a prompt that shares nothing is read there")
 def read_there(context):
-    assert place(context).reader.server.failure_domain == "there"
+    assert place(context).prefill_engine.server.failure_domain == "there"
 
 
 def homes_of(context, domain):
     return {
-        session: place(context, session, domain).reader.server
+        session: place(context, session, domain).prefill_engine.server
         for session in (f"session-{n}" for n in range(40))
     }
 
@@ -262,8 +266,8 @@
 
 @behave.when("the home of a session has {tokens:d} tokens to read")
 def busy_home(context, tokens):
-    context.home = place(context, "session-1").reader
-    context.home.reading[0] = tokens
+    context.home = place(context, "session-1").prefill_engine
+    context.home.prefill_tokens[0] = tokens
 
 
 @behave.when(
@@ -271,22 +275,22 @@
 )
 def busy_home_of_long(context, shared, tokens):
     context.shared = shared
-    context.home = place(context, "session-1", tokens=shared).reader
-    context.home.reading[0] = tokens
+    context.home = place(context, "session-1", tokens=shared).prefill_engine
+    context.home.prefill_tokens[0] = tokens
 
 
 @behave.then("a prompt of that session is read elsewhere")
 def read_elsewhere(context):
     chosen = place(context, "session-1", tokens=context.shared)
-    assert isinstance(chosen, places.Apart), chosen
-    assert chosen.reader is not context.home
+    assert isinstance(chosen, placement_types.Disaggregated), chosen
+    assert chosen.prefill_engine is not context.home
 
 
 @behave.then("a prompt of the session is read elsewhere and fetched from its home")
 def fetched_from_home(context):
     chosen = place(context, "session-1")
-    assert chosen.reader is not context.home
-    assert chosen.donor is context.home
+    assert chosen.prefill_engine is not context.home
+    assert chosen.kv_source is context.home
 
 
 @behave.when("{count:d} cached parts are noted and told to near peers only")
@@ -312,7 +316,7 @@
 def all_busy(context, tokens):
     for load in context.loads.all():
         if load.server.stage is servers.Stage.PREFILL:
-            load.reading[0] = tokens
+            load.prefill_tokens[0] = tokens
 
 
 @behave.when("no engine reads any more")
@@ -324,19 +328,19 @@
 def place_short(context, tokens):
     prompt = prompts.Prompt("m", tokens, 50, 50, (prompts.Part("own", tokens),))
     target = datetime.timedelta(milliseconds=800)
-    asked = places.Asked(prompt, 2, False, target, 4 * target, 0.9)
+    asked = placement_types.PlacementRequest(prompt, 2, False, target, 4 * target, 0.9)
     traits = table.EngineTraits(8, 200_000, SECOND)
     return placement.Placement(context.loads, "here").choose(asked, traits, NOW)
 
 
 @behave.then("a short prompt of {tokens:d} tokens is read by another engine")
 def read_apart(context, tokens):
-    assert isinstance(place_short(context, tokens), places.Apart)
+    assert isinstance(place_short(context, tokens), placement_types.Disaggregated)
 
 
 @behave.then("a short prompt of {tokens:d} tokens is read by the engine that answers")
 def read_in_place(context, tokens):
-    assert isinstance(place_short(context, tokens), places.InPlace)
+    assert isinstance(place_short(context, tokens), placement_types.Colocated)
 
 
 @behave.when("{near:d} of the own domain are heard and {far:d} of another one")
--- a/tests/features/steps/routes_incarnations_steps.py
+++ b/tests/features/steps/routes_incarnations_steps.py
@@ -58,8 +58,8 @@
     context.loads = engine_loads.EngineLoads()
     context.loads.update([listed(name, born)])
     engine = context.loads.get(name)
-    engine.cached.keep(prompts.part_key(PART.name), PART.tokens, 100_000)
-    engine.peers.hear("peer", peer_loads.PeerLoad((3000.0,), 2, 500), NOW)
+    engine.prefix_cache.add(prompts.part_key(PART.name), PART.tokens, 100_000)
+    engine.peers.update("peer", peer_loads.PeerLoad((3000.0,), 2, 500), NOW)
     context.loads.failed(engine, NOW)
 
 
@@ -72,15 +72,15 @@
 @behave.then("incarnations: it keeps nothing, has no work and is not avoided")
 def without_past(context):
     engine = context.engine
-    assert engine.cached.kept(PROMPT) == 0
-    assert engine.all_reading(NOW) == 0 and engine.all_writing(NOW) == 0
+    assert engine.prefix_cache.cached_tokens(PROMPT) == 0
+    assert engine.total_prefill_tokens(NOW) == 0 and engine.total_streams(NOW) == 0
     assert engine.avoid_until <= NOW and engine.failures == 0
-    engine.cached.keep(prompts.part_key(PART.name), PART.tokens, 100_000)
+    engine.prefix_cache.add(prompts.part_key(PART.name), PART.tokens, 100_000)
 
 
 @behave.then("incarnations: nothing more is forgotten")
 def keeps_on(context):
-    assert context.engine.cached.kept(PROMPT) == PART.tokens
+    assert context.engine.prefix_cache.cached_tokens(PROMPT) == PART.tokens
 
 
 @behave.given('incarnations: an instance that knows engine "{name}" born {born:d}')
@@ -139,15 +139,15 @@
 @behave.then('incarnations: "{name}" has no work and keeps nothing')
 def has_nothing(context, name):
     engine = context.known.loads("lm").get(name)
-    assert engine.all_writing(datetime.timedelta()) == 0
-    assert engine.cached.kept(PROMPT) == 0
+    assert engine.total_streams(datetime.timedelta()) == 0
+    assert engine.prefix_cache.cached_tokens(PROMPT) == 0
 
 
 @behave.then('incarnations: "{name}" has that work and keeps that part')
 def has_work(context, name):
     engine = context.known.loads("lm").get(name)
-    assert engine.all_writing(datetime.timedelta()) == 3
-    assert engine.cached.kept(PROMPT) == PART.tokens
+    assert engine.total_streams(datetime.timedelta()) == 3
+    assert engine.prefix_cache.cached_tokens(PROMPT) == PART.tokens
 
 
 @behave.given('incarnations: plain servers "a1" and "a2" born {born:d}')
@@ -264,7 +264,7 @@
         await world.write("servers", name, reader.entry())
         known = world.instances["one"][1].known
         await world.until(lambda: known.servers.get(name).born == 1000)
-        known.loads("lm").get("d1").reading[0] += 10_000
+        known.loads("lm").get("d1").prefill_tokens[0] += 10_000
         reader.faults.append("slow")
         asked = asyncio.create_task(world.ask("digest", request))
         await world.until(lambda: reader.queued)
--- a/tests/features/steps/routes_logic_steps.py
+++ b/tests/features/steps/routes_logic_steps.py
@@ -11,7 +11,7 @@
     engine_loads,
     peer_loads,
     placement,
-    places,
+    placement_types,
     repeat_budget,
     server_choice,
     urgency,
@@ -164,7 +164,7 @@
         server("d1", servers.Stage.DECODE),
     ]
     context.loads = engine_loads.EngineLoads()
-    context.loads.reading_rate, context.loads.overhead_ms = 50.0, 15.0
+    context.loads.prefill_rate, context.loads.overhead_ms = 50.0, 15.0
     context.loads.update(context.listed)
 
 
@@ -177,20 +177,20 @@
 @behave.given('"{name}" keeps the shared part and has {tokens:d} tokens to read')
 def keeps(context, name, tokens):
     engine = context.loads.get(name)
-    engine.cached.keep(SHARED_KEY, SHARED.tokens, TRAITS.kv_tokens)
-    engine.reading[6] += tokens
+    engine.prefix_cache.add(SHARED_KEY, SHARED.tokens, TRAITS.kv_tokens)
+    engine.prefill_tokens[6] += tokens
 
 
 @behave.given("each reading engine has {tokens:d} tokens of rank 2 to read")
 def each_has(context, tokens):
     level = urgency.level_of(2, late=False, large=False, lot=0.9)
     for name in ("p1", "p2"):
-        context.loads.get(name).reading[level] += tokens
+        context.loads.get(name).prefill_tokens[level] += tokens
 
 
 @behave.given('"{name}" writes {count:d} streams')
 def writes(context, name, count):
-    context.loads.get(name).writing = count
+    context.loads.get(name).streams = count
 
 
 def place(context, own_tokens, rank=2, lot=0.9):
@@ -198,7 +198,7 @@
     prompt = prompts.Prompt("m", 5000 + own_tokens, 50, 50, parts)
     target = datetime.timedelta(milliseconds=800)
     patience = datetime.timedelta(milliseconds=3200)
-    asked = places.Asked(prompt, rank, False, target, patience, lot)
+    asked = placement_types.PlacementRequest(prompt, rank, False, target, patience, lot)
     return placement.Placement(context.loads, "here").choose(asked, TRAITS, NOW)
 
 
@@ -215,28 +215,28 @@
 @behave.then('"{name}" reads it and fetches the part from "{donor}"')
 def reads_with(context, name, donor):
     chosen = context.place
-    assert isinstance(chosen, places.Apart), chosen
-    assert chosen.reader.server.server_id == name
-    assert chosen.donor.server.server_id == donor
+    assert isinstance(chosen, placement_types.Disaggregated), chosen
+    assert chosen.prefill_engine.server.server_id == name
+    assert chosen.kv_source.server.server_id == donor
     assert chosen.tokens == 6000
 
 
 @behave.then('"{name}" reads it and fetches nothing')
 def reads_alone(context, name):
-    assert context.place.reader.server.server_id == name
-    assert context.place.donor is None
+    assert context.place.prefill_engine.server.server_id == name
+    assert context.place.kv_source is None
     assert context.place.tokens == 6000
 
 
 @behave.then("it is expected within {limit:d} milliseconds")
 def expected_within(context, limit):
-    assert not isinstance(context.place, places.Hopeless)
+    assert not isinstance(context.place, placement_types.Infeasible)
     assert context.place.expected <= datetime.timedelta(milliseconds=limit)
 
 
 @behave.then("it is refused with a time to come back")
 def refused(context):
-    assert isinstance(context.place, places.Hopeless), context.place
+    assert isinstance(context.place, placement_types.Infeasible), context.place
     assert context.place.retry_after > datetime.timedelta()
 
 
@@ -264,15 +264,17 @@
 
 @behave.then("a prompt of {tokens:d} tokens is read in place")
 def in_place(context, tokens):
-    context.loads.get("d1").cached.keep(SHARED_KEY, SHARED.tokens, TRAITS.kv_tokens)
+    context.loads.get("d1").prefix_cache.add(
+        SHARED_KEY, SHARED.tokens, TRAITS.kv_tokens
+    )
     context.tokens = tokens
-    assert isinstance(place(context, tokens), places.InPlace)
+    assert isinstance(place(context, tokens), placement_types.Colocated)
 
 
 @behave.then("with {tokens:d} tokens being read there it is read apart")
 def then_apart(context, tokens):
-    context.loads.get("d1").reading[0] += tokens
-    assert isinstance(place(context, context.tokens), places.Apart)
+    context.loads.get("d1").prefill_tokens[0] += tokens
+    assert isinstance(place(context, context.tokens), placement_types.Disaggregated)
 
 
 @behave.then('"{name}" writes the answer')
@@ -304,12 +306,12 @@
         tokens = chance.choice((300, 600, 4000, 9000))
         hidden = chance.choice(hidden_before)
         took = datetime.timedelta(milliseconds=15 + (tokens + hidden) / 60)
-        context.loads.read_in(tokens, took)
+        context.loads.observe_prefill(tokens, took)
 
 
 @behave.then("the learned rate is between 50 and 70 and the time between 10 and 20")
 def learned(context):
-    assert 50 < context.loads.reading_rate < 70, context.loads.reading_rate
+    assert 50 < context.loads.prefill_rate < 70, context.loads.prefill_rate
     assert 10 < context.loads.overhead_ms < 20, context.loads.overhead_ms
 
 
@@ -317,17 +319,17 @@
 def peer_told(context, tokens, name):
     context.engine = context.loads.get(name)
     told = peer_loads.PeerLoad((float(tokens),), 1, tokens)
-    context.engine.peers.hear("peer", told, NOW)
+    context.engine.peers.update("peer", told, NOW)
 
 
 @behave.then("after {seconds:d} second they count")
 def count_after(context, seconds):
-    assert context.engine.all_reading(NOW + seconds * SECOND) > 0
+    assert context.engine.total_prefill_tokens(NOW + seconds * SECOND) > 0
 
 
 @behave.then("after {seconds:d} seconds they do not")
 def not_after(context, seconds):
-    assert context.engine.all_reading(NOW + seconds * SECOND) == 0
+    assert context.engine.total_prefill_tokens(NOW + seconds * SECOND) == 0
 
 
 @behave.given("two plain servers")
--- a/tests/features/steps/routes_operations_steps.py
+++ b/tests/features/steps/routes_operations_steps.py
@@ -267,21 +267,21 @@
         )
     context.loads = engine_loads.EngineLoads()
     context.loads.update(listed)
-    context.loads.reading_rate = 50.0
-    context.loads.prompts_timed = 1000
+    context.loads.prefill_rate = 50.0
+    context.loads.prompts_observed = 1000
     for engine in context.loads.all():
         if engine.server.stage is servers.Stage.DECODE:
-            engine.writing = streams
+            engine.streams = streams
         else:
             # A second and more of prompts waits.
-            engine.reading[0] = 60_000.0
+            engine.prefill_tokens[0] = 60_000.0
     context.planner = stage_plan.StagePlanner()
 
 
 @behave.when("the emptiest of them declines {count:d} request")
 def declines(context, count):
     context.empty = context.loads.get("e1")
-    context.empty.writing = 0
+    context.empty.streams = 0
     for _ in range(count):
         context.loads.declined(context.empty, NOW)
 
--- a/tests/features/steps/routes_serving_steps.py
+++ b/tests/features/steps/routes_serving_steps.py
@@ -39,7 +39,7 @@
     _, instance = context.world.instances["one"]
     for engine in instance.known.loads("lm").all():
         if engine.server.stage.value == "decode":
-            engine.reading[0] += 5000
+            engine.prefill_tokens[0] += 5000
 
 
 @behave.given("routes: a store with a configuration")
@@ -242,7 +242,7 @@
     _, instance = context.world.instances["one"]
     for engine in instance.known.loads("lm").all():
         if engine.server.server_id not in (name, "d1", "d2"):
-            engine.reading[0] += tokens
+            engine.prefill_tokens[0] += tokens
 
 
 @behave.when('routes: clients ask for "digest" as "r1" and half a second later as "r2"')
--- a/tests/features/steps/routes_stages_steps.py
+++ b/tests/features/steps/routes_stages_steps.py
@@ -16,7 +16,7 @@
 
 @behave.given("no prompt has been timed")
 def none_timed(context):
-    context.loads.prompts_timed = 0
+    context.loads.prompts_observed = 0
 
 
 @behave.when("{rate:d} tokens a second are to be read for {seconds:d} seconds")
@@ -53,7 +53,7 @@
 @behave.given("no prompt waits")
 def nothing_waits(context):
     for engine in context.loads.all():
-        engine.reading[0] = 0.0
+        engine.prefill_tokens[0] = 0.0
 
 
 @behave.then("the first is planned to {does} within {seconds:d} seconds")
@@ -98,8 +98,8 @@
 
     def __init__(self, engines, reading):
         self.loads = engine_loads.EngineLoads()
-        self.loads.reading_rate = RATE
-        self.loads.prompts_timed = 1000
+        self.loads.prefill_rate = RATE
+        self.loads.prompts_observed = 1000
         self.stages = {
             f"e{n}": servers.Stage.PREFILL if n < reading else servers.Stage.DECODE
             for n in range(engines)
@@ -129,10 +129,10 @@
         # Clients leave after two seconds, and their prompts with them.
         self.queue = min(max(0.0, self.queue + asked - done), 4 * done)
         for engine in readers:
-            engine.reading[0] = self.queue / len(readers)
+            engine.prefill_tokens[0] = self.queue / len(readers)
         for engine in stages[servers.Stage.DECODE]:
-            engine.reading[0] = 0.0
-            engine.writing = round(64 * writing / len(stages[servers.Stage.DECODE]))
+            engine.prefill_tokens[0] = 0.0
+            engine.streams = round(64 * writing / len(stages[servers.Stage.DECODE]))
         for change in self.planner.plan(
             self.loads, TRAITS, 250.0, reading * RATE * 1000, RATE, at
         ):
--- a/tests/support/fleet_parts.py
+++ b/tests/support/fleet_parts.py
@@ -10,7 +10,7 @@
     demand_rate,
     neighbours,
     placement,
-    places,
+    placement_types,
     prompt_sizes,
     waiting,
 )
@@ -96,7 +96,7 @@
     arrived: float
     lot: float
     first_asked: float | None = None
-    place: places.Apart | None = None
+    place: placement_types.Disaggregated | None = None
     cost: float = 0.0
     ahead: float = 0.0
     sent: float = 0.0
--- a/tests/support/fleet_world.py
+++ b/tests/support/fleet_world.py
@@ -17,7 +17,7 @@
 from pimentolatch.decisions import (
     engine_loads,
     neighbours,
-    places,
+    placement_types,
     prompt_sizes,
     stage_plan,
     waiting,
@@ -109,7 +109,7 @@
             others = [place for place in places if place != instance.place]
             instance.told = neighbours.choose(instance.place, others)
             instance.work.partly_heard = bool(instance.told.far)
-            instance.loads.partly_heard = instance.work.partly_heard
+            instance.loads.partial_view = instance.work.partly_heard
             heard = [neighbours.Place(h, "d") for h in instance.told.near]
             known = [neighbours.Place(str(n), "d") for n in range(instances - 1)]
             self._weight = neighbours.weights(known, heard).get("d", 1.0)
@@ -206,7 +206,7 @@
 
     def _forget(self, job: fleet_parts.Job) -> None:
         if job.place is not None:
-            job.place.reader.reading[job.place.level] -= job.cost
+            job.place.prefill_engine.prefill_tokens[job.place.level] -= job.cost
             job.cost = 0.0
 
     def _end(self, job: fleet_parts.Job, fate: fleet_parts.Fate) -> None:
@@ -241,30 +241,30 @@
         target = kind.target_ms * fleet_parts.MS
         patience = job.patience_ms * fleet_parts.MS
         gone = (self.now - job.arrived) * fleet_parts.MS
-        asked = places.Asked(
+        asked = placement_types.PlacementRequest(
             prompt, kind.rank, job.large, target - gone, patience - gone, job.lot
         )
         place = instance.chooser.choose(
             asked, fleet_parts.TRAITS, self.time, frozenset(job.declined)
         )
-        apart = isinstance(place, places.Apart)
+        apart = isinstance(place, placement_types.Disaggregated)
         if not job.declined:
-            cost = instance.loads.reading_cost(place.tokens) if apart else 0.0
+            cost = instance.loads.prefill_cost(place.tokens) if apart else 0.0
             instance.demand.add(cost, kind.output, self.time)
-        if isinstance(place, places.NoEngine):
+        if isinstance(place, placement_types.NoEngine):
             self._refuse(job, NO_ENGINE_RETRY)
             return
-        if isinstance(place, places.Hopeless):
+        if isinstance(place, placement_types.Infeasible):
             self._refuse(job, place.retry_after)
             return
-        if isinstance(place, places.InPlace):
+        if isinstance(place, placement_types.Colocated):
             self._write(instance, job, place)
             return
         job.place = place
-        reader = place.reader
-        job.cost = instance.loads.reading_cost(place.tokens)
-        job.ahead = reader.all_reading(self.time, place.level)
-        reader.reading[place.level] += job.cost
+        reader = place.prefill_engine
+        job.cost = instance.loads.prefill_cost(place.tokens)
+        job.ahead = reader.total_prefill_tokens(self.time, place.level)
+        reader.prefill_tokens[place.level] += job.cost
         job.sent = self.now
         way = self._way(instance, reader.server)
         self.at(self.now + way, lambda: self._queue(instance, job))
@@ -274,7 +274,7 @@
         return NEAR_WAY_MS if near else FAR_WAY_MS
 
     def _queue(self, instance: fleet_parts.Instance, job: fleet_parts.Job) -> None:
-        engine = self.engines[job.place.reader.server.server_id]
+        engine = self.engines[job.place.prefill_engine.server.server_id]
         if job.over:
             return
         if engine.changing:
@@ -286,8 +286,8 @@
             self._read_next(engine)
 
     def _decline(self, instance: fleet_parts.Instance, job: fleet_parts.Job) -> None:
-        reader, level = job.place.reader, job.place.level
-        reader.reading[level] -= job.cost
+        reader, level = job.place.prefill_engine, job.place.level
+        reader.prefill_tokens[level] -= job.cost
         instance.loads.declined(reader, self.time)
         job.declined.add(reader.server.incarnation)
         self._place(instance, job)
@@ -296,7 +296,7 @@
         """Have the first instance plan, and the engines do what it says."""
         first = next(iter(self.instances.values()))
         demand = sum(i.demand.rate(self.time).reading for i in self.instances.values())
-        rate = max(i.loads.reading_rate for i in self.instances.values())
+        rate = max(i.loads.prefill_rate for i in self.instances.values())
         planned = self._planner.plan(
             first.loads, fleet_parts.TRAITS, PAUSE_TARGET_MS, demand, rate, self.time
         )
@@ -340,7 +340,7 @@
         if not engine.queue:
             return
         _, _, instance, job = heapq.heappop(engine.queue)
-        kept, donor = set(engine.kept), job.place.donor
+        kept, donor = set(engine.kept), job.place.kv_source
         if donor is not None:
             kept |= self.engines[donor.server.server_id].kept
         unread = 0
@@ -368,10 +368,14 @@
         if job.over:
             return
         place, loads = job.place, instance.loads
-        place.reader.reading[place.level] -= job.cost
-        loads.read_in(place.tokens, (self.now - job.sent) * fleet_parts.MS, job.ahead)
-        place.reader.cached.keep_prompt(job.prompt, fleet_parts.TRAITS.kv_tokens)
-        instance.updates.add(place.reader.server.incarnation, job.prompt)
+        place.prefill_engine.prefill_tokens[place.level] -= job.cost
+        loads.observe_prefill(
+            place.tokens, (self.now - job.sent) * fleet_parts.MS, job.ahead
+        )
+        place.prefill_engine.prefix_cache.add_prompt(
+            job.prompt, fleet_parts.TRAITS.kv_tokens
+        )
+        instance.updates.add(place.prefill_engine.server.incarnation, job.prompt)
         self.errors.append(
             (place.expected / fleet_parts.MS, self.now - job.sent + HANDOVER_MS)
         )
@@ -381,21 +385,21 @@
         self,
         instance: fleet_parts.Instance,
         job: fleet_parts.Job,
-        place: places.Apart | places.InPlace,
+        place: placement_types.Disaggregated | placement_types.Colocated,
     ) -> None:
         job.prefilled = True
         writer = place.engine
-        unread = place.tokens if isinstance(place, places.InPlace) else 0
+        unread = place.tokens if isinstance(place, placement_types.Colocated) else 0
         held = job.prompt.tokens + job.kind.output
         at = self.engines[writer.server.server_id]
         at.writing += 1
-        writer.writing += 1
-        writer.held += held
-        writer.reading[place.level] += unread
+        writer.streams += 1
+        writer.kv_tokens += held
+        writer.prefill_tokens[place.level] += unread
         took = HANDOVER_MS + 2 * unread / READING_RATE
 
         def first() -> None:
-            writer.reading[place.level] -= unread
+            writer.prefill_tokens[place.level] -= unread
             if job.over:
                 return
             self.done[job.kind.name] += 1
@@ -407,9 +411,9 @@
 
         def end() -> None:
             at.writing -= 1
-            instance.loads.paused(writer, EVENT_MS * fleet_parts.MS)
-            writer.writing -= 1
-            writer.held -= held
+            instance.loads.observe_event_gap(writer, EVENT_MS * fleet_parts.MS)
+            writer.streams -= 1
+            writer.kv_tokens -= held
 
         self.at(self.now + took, first)
         self.at(self.now + took + TOKEN_MS * job.kind.output, end)
--- a/tests/support/request_parts.py
+++ b/tests/support/request_parts.py
@@ -11,7 +11,7 @@
 
 from pimentolatch import fleet, results, settings
 from pimentolatch.backend import instance, outcomes, plain
-from pimentolatch.decisions import outstanding
+from pimentolatch.decisions import outstanding_work
 from pimentolatch.document import schema
 from pimentolatch.requests import claims, keys, once, retired, service_call, tickets
 from standins import memory_store, objects
@@ -179,7 +179,7 @@
                 own_fleet=grounds.fleet,
                 own_domain="north",
                 servers=links,
-                work=outstanding.Outstanding(),
+                work=outstanding_work.OutstandingWork(),
                 time=grounds.time,
             ),
             time=grounds.time,
