--- a/src/pimentolatch/decisions/disaggregation.py
+++ b/src/pimentolatch/decisions/disaggregation.py
@@ -1,14 +1,15 @@
-"""Decides whether a prompt is read where it is answered or on another engine.
+"""Decides whether to disaggregate the prefill of a request from its decode.
 
-Load pattern: a long briefing among many short drafts. Read between the streams of an
-engine that answers, it makes every one of them stutter for seconds; read apart, its KV
-cache has to be moved. Short prompts cost less to read than to move. With one fixed
-limit in between, one kind of engine queues while the other kind idles as soon as the
-mix shifts.
+Load pattern: a few long prompts among many short ones. Prefilled between the decode
+steps of an engine that generates answers, a long prompt makes every stream there
+stutter for seconds; prefilled on another engine, its KV cache has to be transferred.
+Short prompts cost less to prefill than to transfer. With one fixed limit in between,
+one kind of engine queues while the other kind idles as soon as the mix shifts.
 
-So the limit is where both ways cost the same, in seconds of waiting summed over this
-caller and those it delays, from the work outstanding now. It moves with every request
-sent, long before a role change, which takes an engine away for seconds.
+So the limit is the prompt length at which both ways cost the same, in seconds of
+waiting summed over this caller and those it delays, from the work outstanding now. It
+follows every dispatch, long before a role change, which takes an engine out of service
+for seconds.
 
 Grounds for the figures: docs/ROLE-PLANNING.md.
 """
@@ -35,27 +36,28 @@
 
 # Share of a full batch's step time that is spent however few streams there are.
 _FIXED_STEP_SHARE = 0.4
-# Reading is this much slower in a full batch than alone: a decode engine reads in
-# small pieces so that its streams go on, a mixed one in larger pieces.
+# Extra time of prefill in a full batch, relative to prefill on an idle engine: a decode
+# engine prefills in small chunks so that its streams continue, a mixed one in larger
+# chunks.
 _PREFILL_SLOWDOWN: dict[schema.Role, float] = {
     "prefill": 0.0,
     "mixed": 0.6,
     "decode": 2.4,
 }
-# Reading for a second, at full speed, holds each stream of the engine up this long.
+# Delay of each stream of an engine per second of prefill at full speed.
 _STREAM_DELAY = 1.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Costs:
-    """What moving a KV cache costs.
+    """Costs of a KV transfer.
 
     Attributes:
         kv_bytes_per_token: Size of the KV cache of one token.
-        kv_bytes_per_s: Speed of the link between the engines.
-        handover_s: Time of one export and import beside the bytes.
+        kv_bytes_per_s: Bandwidth of the link between the engines.
+        handover_s: Time of one export and import apart from the transfer of the bytes.
         adaptive: Whether the limit follows the outstanding work; off only to measure
-            what that is worth.
+            the benefit of that.
     """
 
     kv_bytes_per_token: int = 160_000
@@ -64,7 +66,7 @@
     adaptive: bool = True
 
     def transfer_s(self, tokens: float) -> float:
-        """Return the time it takes to move the cache of a prompt, in seconds."""
+        """Return the time to transfer the KV cache of a prompt, in seconds."""
         return self.handover_s + tokens * self.kv_bytes_per_token / self.kv_bytes_per_s
 
 
@@ -78,15 +80,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """What is known of one engine that takes work.
+    """The load of one engine that accepts work.
 
     Attributes:
-        batch: Streams the engine batches at once.
-        streams: Requests sent there and not yet ended.
-        prompt_tokens: Prompt tokens sent there and not yet read.
-        output_tokens: Tokens still expected from it.
-        cached_tokens: Tokens of this prompt's prefix that it is believed to hold. A
-            belief that is stale costs their reading, no more.
+        name: Name of the engine.
+        role: Role of the engine.
+        batch: Streams that the engine batches at most.
+        prefill_tokens_per_s: Prefill rate.
+        decode_tokens_per_s: Decode rate of a full batch.
+        streams: Requests dispatched there that have not ended.
+        prompt_tokens: Prompt tokens dispatched there that are not yet prefilled.
+        output_tokens: Output tokens still expected from it.
+        cached_tokens: Estimate of the tokens of this prompt's prefix that it has
+            cached. If the estimate is stale, these tokens are prefilled again, and
+            nothing else goes wrong.
     """
 
     name: str
@@ -102,7 +109,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Colocated:
-    """Read and answer on one engine; predictions in seconds from now."""
+    """Prefill and decode on one engine; predictions in seconds from now."""
 
     engine: str
     first_token_s: float
@@ -111,7 +118,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Disaggregated:
-    """Read on one engine, move the KV cache, answer on another."""
+    """Prefill on one engine, transfer the KV cache, decode on another."""
 
     prefill_engine: str
     engine: str
@@ -121,7 +128,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoEngine:
-    """No engine can answer."""
+    """No engine can generate the answer."""
 
 
 Path = Colocated | Disaggregated | NoEngine
@@ -130,10 +137,10 @@
 def choose_path(
     prompt: RequestSize, engines: abc.Iterable[EngineLoad], costs: Costs
 ) -> Path:
-    """Return the way that costs the callers least time.
+    """Return the path that costs all callers the least time.
 
-    Engines of the role prefill never answer. If they are all that is left, there is
-    no way, and the caller is told so.
+    Engines with the role prefill never decode. If no other engine is left, the result
+    is `NoEngine`.
     """
     prefill_engines: list[EngineLoad] = []
     decode_engines: list[EngineLoad] = []
@@ -155,10 +162,11 @@
 def break_even_tokens(
     colocated: EngineLoad, prefill_engine: EngineLoad, costs: Costs
 ) -> float:
-    """Return the prompt length from which reading apart pays, in tokens.
+    """Return the prompt length from which disaggregation pays, in tokens.
 
-    Both ways cost a wait and a price for each token; the lengths where the sums meet
-    is the limit. Infinite if the price for each token is higher apart.
+    Each path costs a fixed wait and a price per token; the limit is the length at which
+    the two sums are equal. Infinite if the price per token is not lower with
+    disaggregation.
     """
     colocated_s = 1.0 / colocated.prefill_tokens_per_s
     prefill_engine_s = 1.0 / prefill_engine.prefill_tokens_per_s
@@ -180,7 +188,7 @@
 
 
 def decode_step_s(engine: EngineLoad, streams: int) -> float:
-    """Return the time between two tokens of a stream when nothing is read."""
+    """Return the time between two tokens of a stream without concurrent prefill."""
     full = engine.batch / engine.decode_tokens_per_s
     share = min(streams, engine.batch) / engine.batch
     return full * (_FIXED_STEP_SHARE + (1.0 - _FIXED_STEP_SHARE) * share)
@@ -197,7 +205,7 @@
 
 
 def _slot_wait_s(engine: EngineLoad) -> float:
-    """Wait for a place in the batch, in seconds."""
+    """Return the wait for a slot in the batch, in seconds."""
     excess = engine.streams + 1 - engine.batch
     if excess <= 0:
         return 0.0
@@ -208,11 +216,11 @@
 def _decode_s(
     prompt: RequestSize, engine: EngineLoad, prefilled_here: int = 0
 ) -> float:
-    """Time of the answer itself, with the reading that will interrupt it.
+    """Return the decode time, including the prefills that will interrupt it.
 
-    Streams that end are followed by others whose prompts are read meanwhile; those
-    are taken to be like this one. Left out, a full engine would look almost twice as
-    fast as it is, and whatever it took on would be late.
+    Streams that end are followed by others whose prompts are prefilled meanwhile, and
+    those are assumed to be like this one. Without them a full engine would look almost
+    twice as fast as it is, and whatever it accepted would be late.
     """
     own = prompt.output_tokens * decode_step_s(engine, engine.streams + 1)
     followers = min(engine.streams, engine.batch) * prefilled_here
--- a/src/pimentolatch/decisions/dispatcher.py
+++ b/src/pimentolatch/decisions/dispatcher.py
@@ -1,13 +1,14 @@
-"""Puts the decisions together: who waits, who is refused, and what is sent where.
+"""Combines the decisions on completions: admission, queueing and dispatch.
 
-Load pattern: all of them at once, as in production: a hot caller, during a burst,
-while an engine is slow. The single decisions live in the modules that this one
-imports; here is only their order. A request meets its caller's limit first, so that
-work over the limit never shapes the forecast of others; then the forecast; then the
-queue of its model, since engines of one model are no use to another's requests.
+Load pattern: all patterns at once, as in production: a hot caller, during a burst,
+while an engine is slow. Each decision is a module of its own; this one only fixes their
+order. A request is checked against its caller's limit first, so that work over the
+limit never shapes the wait forecast of others; then against the forecast; then it
+enters the queue of its model, since engines of one model are of no use to requests for
+another.
 
-It neither waits nor sends: `requests.schedule` does that in an instance, and tests do
-it on a clock of their own.
+It neither waits nor sends: `requests.schedule` does that in an instance, and tests
+drive it with a clock of their own.
 """
 
 import dataclasses
@@ -41,15 +42,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Queued:
-    """The request waits for an engine."""
+    """The request waits in the queue for an engine."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Start:
-    """A request leaves the queue for an engine; it is counted as sent.
+    """A request leaves the queue for an engine and is counted as dispatched.
 
     Attributes:
-        reader: Engine that reads the prompt first; None to read it in place.
+        request_id: The request.
+        engine: Engine that decodes, and prefills too if there is no prefill engine.
+        prefill_engine: Engine that prefills first; None to colocate prefill and decode.
     """
 
     request_id: str
@@ -59,19 +62,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Expired:
-    """A request leaves the queue with a final answer."""
+    """A request leaves the queue with a refusal as its final result."""
 
     request_id: str
     refusal: results.Refusal
 
 
 class Dispatcher:
-    """The decisions of one instance about completions.
+    """The decisions of one instance on completions.
 
     Args:
         own_instance: Name of this instance.
         own_domain: Its failure domain.
-        counted: Counts the work sent, if others send to the same servers.
+        outstanding: Counts the dispatched work, if others dispatch to the same servers.
     """
 
     def __init__(
@@ -107,21 +110,21 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of requests in the queues."""
         return sum(len(lane.queue) for lane in self._lanes.values())
 
     @property
     def busy(self) -> bool:
-        """Whether any request waits or runs."""
+        """Whether any request is queued or running."""
         return bool(self._held)
 
     def set_instances(self, own_domain: frozenset[str], everywhere: int) -> None:
-        """Set who shares the engines, and how many share the callers' limits."""
+        """Set the instances of the own domain and the number of all instances."""
         self.router.set_instances(own_domain)
         self._accounts.set_instances(everywhere)
 
     def shares(self, now: datetime.timedelta) -> shares.Shares:
-        """Return what the peers need to know of this instance's work."""
+        """Return the work of this instance that is reported to its peers."""
         self.peers.expire(now)
         totals = dataclasses.replace(self._demand, uptime_s=now.total_seconds())
         return shares.Shares(
@@ -139,8 +142,8 @@
         self._learn_document(document)
         lane = self._lane(request.model, engines)
         held = self._accounts.expected(request, lane, engines, now)
-        asked = held.asked
-        self._demand = self._demand.plus(asked.prompt_tokens, asked.output_tokens)
+        work = held.asked
+        self._demand = self._demand.plus(work.prompt_tokens, work.output_tokens)
         if refusal := self._accounts.over_limit(held, now):
             return refusal
         found = self.router.candidates(view, request.model, request.prompt, now)
@@ -154,7 +157,7 @@
         return Queued()
 
     def start(self, view: fleet.View, now: datetime.timedelta) -> list[Start]:
-        """Take from the queues what engines have room for."""
+        """Dispatch from the queues what engines have room for."""
         self._dispatches.check(now)
         started: list[Start] = []
         for lane in self._lanes.values():
@@ -170,7 +173,7 @@
         return started
 
     def expire(self, now: datetime.timedelta) -> list[Expired]:
-        """Take from the queues what can no longer be answered in time."""
+        """Remove from the queues what can no longer be answered before its deadline."""
         expired = []
         for lane in self._lanes.values():
             for item in lane.queue.expire(now):
@@ -192,11 +195,11 @@
         failed: frozenset[str],
         now: datetime.timedelta,
     ) -> Start | None:
-        """Return an engine for a dispatch that failed, or None if it must not retry.
+        """Return an engine to retry a failed dispatch on; None if it must not retry.
 
-        It goes before all that waits: it was admitted before them, and a stream that
-        broke off has a reader in front of it. The budget pays only for dispatches
-        that may have cost an engine work and gave nothing.
+        A retry goes before all queued requests: it was admitted before them, and a
+        client is reading the broken stream. The retry budget is spent only on
+        dispatches that may have cost an engine work and produced no token.
         """
         held = self._held.get(request_id)
         document = view.document
@@ -211,7 +214,7 @@
         return self._begin(view, held, found, now)
 
     def prefill_ended(self, request_id: str) -> None:
-        """Count a prompt that was read apart as done, or as given up."""
+        """Count a prefill on a separate engine as ended or abandoned."""
         self._prefills.end(request_id)
 
     def token(self, request_id: str, now: datetime.timedelta) -> None:
@@ -224,7 +227,7 @@
         outcome: outcomes.EngineEvent | None,
         now: datetime.timedelta,
     ) -> None:
-        """Count a dispatch as over; None if the caller went away."""
+        """Count a dispatch as ended; the outcome is None if the caller disconnected."""
         failed = isinstance(outcome, outcomes.Broken | outcomes.NotRun)
         over = self._dispatches.end(request_id, now, failed=failed)
         held = self._held.get(request_id)
@@ -238,7 +241,7 @@
             self._finished(held, outcome.length, now)
 
     def leave(self, request_id: str, now: datetime.timedelta) -> None:
-        """Forget a request that ended or whose caller went away."""
+        """Remove a request that has ended or whose caller has disconnected."""
         self._prefills.end(request_id)
         self._dispatches.end(request_id, now, failed=False)
         held = self._held.pop(request_id, None)
--- a/src/pimentolatch/decisions/dispatches.py
+++ b/src/pimentolatch/decisions/dispatches.py
@@ -1,15 +1,14 @@
-"""Follows what was sent until it ends, and learns from how it goes.
-
-Load pattern: answers of ten seconds. An engine that slows down or hangs is known by
-the ends of its answers only after seconds in which it was sent more. So each stream
-tells while it runs: at its first token, at every sixteenth, and when a token is long
-overdue.
-
-Grounds: a count of sixteen tokens is half a second at the full batch, and a sixteenth
-of the cost of counting each. The time expected of a token follows the batch down to
-half of it: smaller ones are not much faster on every engine. A first token is expected
-in no less than half a second, so that its pace is not that of the network or of the
-prompts before it. Tokens are overdue at four times their expected time, the bound at
+"""Tracks dispatches until they end and learns engine speeds from their tokens.
+
+Load pattern: answers of ten seconds. If an engine slows down or hangs, the ends of its
+answers show it only after seconds in which it was sent more. So each stream is observed
+while it runs: at its first token, at every sixteenth, and when a token is long overdue.
+
+Grounds: sixteen tokens take half a second in a full batch, and observing them costs a
+sixteenth of observing each. The expected time of a token follows the batch down to half
+of it: smaller batches are not much faster on every engine. A first token is expected in
+no less than half a second, so that its pace is not that of the network or of the
+prompts before it. Tokens are overdue at four times their expected time, the slowness at
 which an engine is ejected.
 """
 
@@ -30,7 +29,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ended:
-    """A dispatch that is over; `tokens` is what it gave."""
+    """A dispatch that has ended.
+
+    Attributes:
+        engine: Name of the engine.
+        tokens: Tokens that were received.
+    """
 
     engine: str
     tokens: int
@@ -47,12 +51,12 @@
 
 
 class Dispatches:
-    """Dispatches under way, by request.
+    """Dispatches in progress, by request.
 
     Args:
-        counted: Counts their work.
+        outstanding: Counts their work.
         peers: Work of other instances at the same engines.
-        known: Learns their paces.
+        server_health: Learns the pace of the engines.
     """
 
     def __init__(
@@ -74,14 +78,14 @@
         self,
         request_id: str,
         engine: schema.Engine,
-        asked: request_work.Work,
+        work: request_work.Work,
         first_token: datetime.timedelta,
         now: datetime.timedelta,
     ) -> None:
-        """Count a request as sent; its first token is expected after a time."""
+        """Count a request as dispatched, with the expected time to its first token."""
         expected = max(first_token, _MIN_FIRST_TOKEN)
-        self._sent[request_id] = _Sent(engine, asked, expected, now)
-        self._outstanding.begin(engine.name, asked)
+        self._sent[request_id] = _Sent(engine, work, expected, now)
+        self._outstanding.begin(engine.name, work)
 
     def token(self, request_id: str, now: datetime.timedelta) -> None:
         """Count one token as received."""
@@ -101,7 +105,7 @@
     def end(
         self, request_id: str, now: datetime.timedelta, *, failed: bool
     ) -> Ended | None:
-        """Count a dispatch as over; None if it is not known."""
+        """Count a dispatch as ended; returns None for an unknown request."""
         sent = self._sent.pop(request_id, None)
         if sent is None:
             return None
@@ -111,7 +115,7 @@
         return Ended(sent.engine.name, sent.tokens)
 
     def check(self, now: datetime.timedelta) -> None:
-        """Learn from tokens that are overdue, so that a hanging engine is found."""
+        """Observe streams whose tokens are overdue, to detect an engine that hangs."""
         if now - self._checked < _CHECK_INTERVAL:
             return
         self._checked = now
@@ -123,15 +127,16 @@
         self, sent: _Sent, now: datetime.timedelta, *, restart: bool = True
     ) -> None:
         pace = (now - sent.since) / self._expected(sent)
-        # A first token can only show that an engine is slow: its expectation is
-        # generous, and taken for a good pace it would bring back an ejected engine.
+        # A first token can only show that an engine is slow: its expected time is
+        # generous, and if a good pace were taken from it, an ejected engine would be
+        # readmitted.
         if sent.tokens > 1 or pace > 1:
             self._health.observe(sent.engine.name, pace, now)
         if restart:
             sent.since = now
 
     def _expected(self, sent: _Sent) -> datetime.timedelta:
-        """Return the time expected of the tokens that are waited for."""
+        """Return the expected time of the next tokens."""
         if sent.tokens <= 1:
             return sent.first_token
         engine = sent.engine
--- a/src/pimentolatch/decisions/engine_loads.py
+++ b/src/pimentolatch/decisions/engine_loads.py
@@ -1,15 +1,15 @@
-"""What each engine of a model service still has to do, and which prompts it keeps.
+"""Tracks the outstanding work of each engine of a model service.
 
-Load pattern: engines report their work some hundred milliseconds late, which is longer
-than it takes to read most prompts. Sent by such reports, all instances choose the same
-idle engine at once and leave it to queue for a second. So work is counted when it is
-sent and taken off when it ends; peers tell their counts several times a second.
+Load pattern: engines report their load some hundred milliseconds late, which is longer
+than the prefill of most prompts takes. Placing requests by such reports, all instances
+choose the same idle engine at once and leave it with a queue of a second. So work is
+counted when it is dispatched and subtracted when it ends, and instances report their
+counts to each other several times a second.
 
-What peers tell is added up in `peer_loads`, what engines keep of prompts is remembered
-in `prefix_cache`.
+`peer_loads` sums the reports of peers; `prefix_cache` tracks what engines have cached.
 
-Speeds are learned from answers and start at figures that any engine of today exceeds,
-so that a cold start expects too long waits rather than too short ones.
+Speeds are learned from answers. Their initial figures are such that any engine of today
+is faster, so that a cold start expects waits that are too long rather than too short.
 """
 
 import dataclasses
@@ -23,47 +23,50 @@
 
 __all__ = ["EngineLoad", "EngineLoads", "StageChange"]
 
-# Prompt tokens that an engine reads in a millisecond, and the time that each prompt
-# takes besides, before any answer was seen.
+# Prefill rate in tokens per millisecond, and the additional time of each prompt, before
+# any answer was observed.
 _INITIAL_PREFILL_RATE = 30.0
 _INITIAL_OVERHEAD_MS = 20.0
-# An engine that writes answers reads prompts between its steps, at about half the rate.
+# A decode engine prefills between its steps, at about half the rate.
 COLOCATED_SLOWDOWN = 2.0
-# Weight of one answer in the learned pauses: the mean of about the last twenty.
+# Weight of one observation in the mean event gap: the mean of about the last twenty.
 _EVENT_GAP_WEIGHT = 0.05
-# Steps of the learned figures, as a share, when a prompt was read faster or slower than
-# they say. Waiting makes a prompt late and nothing makes it early, so the fast ones say
-# more: with these steps the figures follow the fastest fourteenth. A step of fixed
-# size keeps one odd answer from saying much.
+# Relative steps of the learned figures after a prefill that was faster or slower than
+# they predict. Queueing makes a prefill late and nothing makes it early, so fast ones
+# are better evidence: with these steps the figures follow the fastest fourteenth. A
+# step of fixed size limits the influence of an outlier.
 _FASTER_STEP = 0.08
 _SLOWER_STEP = 0.006
-# Prompts above the first figure show the rate, those below the second the overhead.
+# Prompts of at least the first length update the rate, those of at most the second the
+# overhead.
 _MIN_LONG_PROMPT = 3000
 _MAX_SHORT_PROMPT = 1000
-# A server that failed is passed over for this long while others can serve; it doubles
-# with each failure in a row up to the longest.
+# An engine that failed is avoided for this long while others can serve; the time
+# doubles with each consecutive failure up to the maximum.
 _FIRST_BACKOFF = datetime.timedelta(seconds=1)
 _MAX_BACKOFF = datetime.timedelta(seconds=8)
 _MAX_DOUBLINGS = 3
-# While no engine of its stage is sound, one that failed is tried again after this: it
-# is the only hope, and a crashed one is back within seconds of its last failure.
+# While no engine of its stage is healthy, one that failed is retried after this time:
+# nothing else can serve, and a crashed engine is back within seconds of its last
+# failure.
 _PROBE_INTERVAL = datetime.timedelta(milliseconds=300)
-# The pause after a request that was declined: one may be declined for its own sake,
+# Backoff after a declined request. One may be declined because of the request itself,
 # several in a row are not.
 _DECLINED_BACKOFF = datetime.timedelta(milliseconds=100)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageChange:
-    """A change of an engine's stage that is under way.
+    """A change of an engine's stage that is in progress.
 
-    Until it is over the engine declines whatever it is sent. Found out by each instance
-    for itself, that costs a declined sending for each of them and engine, and requests
-    that meet several such engines are refused; told of the changes, instances pass such
-    engines over.
+    Until it ends the engine declines whatever it is sent. If each instance found that
+    out for itself, it would cost a declined dispatch per instance and engine, and
+    requests that meet several such engines would be refused. Instances that are
+    notified of changes leave these engines out.
 
     Attributes:
-        until: When it is over at the latest; the list of servers shows it sooner.
+        stage: The new stage.
+        until: Latest end of the change; the list of servers may show it sooner.
     """
 
     stage: servers.Stage
@@ -71,22 +74,23 @@
 
 
 class EngineLoad:
-    """Counts of one engine.
+    """Load and state of one engine.
 
     Attributes:
-        reading: Prompt tokens that this instance has sent and that are not read yet,
-            by urgency.
-        writing: Streams of this instance that run there.
-        held: Tokens that these streams keep in memory.
-        pause_ms: Mean time between events of its streams.
-        failures: Exchanges in a row that broke off.
-        declines: Requests in a row that it stated not to run.
-        answered_at: When it last answered, as a sign of life.
-        avoid_until: Until when it is passed over while others are sound.
-        probe_at: When it may be tried again if none is.
-        change: The change of stage that it is carrying out, as far as is known.
+        server: The listed server.
+        prefill_tokens: Prompt tokens that this instance dispatched and that are not yet
+            prefilled, by urgency level.
+        streams: Streams of this instance that run there.
+        kv_tokens: Tokens that these streams hold in KV memory.
+        event_gap_ms: Mean time between events of its streams.
+        failures: Consecutive dispatches that broke off.
+        declines: Consecutive requests that it declined to run.
+        answered_at: Time of its last answer, as evidence that it is alive.
+        avoid_until: Until when it is avoided while others are healthy.
+        probe_at: When it may be retried if no engine is healthy.
+        change: The stage change that it is carrying out, if one is known.
         peers: Work of other instances there.
-        cached: Parts of prompts that it keeps.
+        prefix_cache: Estimate of its prefix cache.
     """
 
     def __init__(self, server: servers.Server) -> None:
@@ -105,28 +109,28 @@
         self.prefix_cache = prefix_cache.PrefixCache()
 
     def begin_change(self, change: StageChange) -> None:
-        """Note a change of stage, told by whoever ordered it or by others."""
+        """Record a change of stage that this or another instance ordered."""
         if change.stage is self.server.stage:
-            # The list has shown its end; who says otherwise is behind.
+            # The list already shows the new stage, so the notice is stale.
             return
         if self.change is None or change.until > self.change.until:
             self.change = change
 
     def is_changing(self, now: datetime.timedelta) -> bool:
-        """Tell whether the engine declines everything for a change of its stage."""
+        """Return whether the engine declines everything because of a stage change."""
         return self.change is not None and now < self.change.until
 
     def own_load(self) -> peer_loads.PeerLoad:
-        """Return what this instance has under way here."""
+        """Return the outstanding work of this instance here."""
         return peer_loads.PeerLoad(
             tuple(self.prefill_tokens), self.streams, self.kv_tokens
         )
 
     def domain_load(self, now: datetime.timedelta) -> peer_loads.PeerLoad:
-        """Return what the instances of this failure domain have under way here.
+        """Return the outstanding work of this failure domain's instances here.
 
-        It goes to the other domains, so nothing of theirs is in it: told back, their
-        work would be counted twice, and then again.
+        It is reported to the other domains, so it contains nothing of theirs: their
+        work would return to them and be counted twice, and then again.
         """
         totals = self.peers.near(now)
         prefill_tokens = tuple(
@@ -141,11 +145,11 @@
     def total_prefill_tokens(
         self, now: datetime.timedelta, level: int = urgency.LEVELS - 1
     ) -> float:
-        """Prompt tokens under way from all instances that are heard.
+        """Return the prompt tokens to prefill from all instances that report.
 
         Args:
-            now: The time.
-            level: Only count what is read before a prompt of this urgency.
+            now: The current time.
+            level: Only count what is prefilled before a prompt of this urgency level.
         """
         return (
             sum(self.prefill_tokens[: level + 1])
@@ -153,15 +157,15 @@
         )
 
     def total_streams(self, now: datetime.timedelta) -> int:
-        """Streams from all instances that are heard."""
+        """Return the number of streams from all instances that report."""
         return self.streams + self.peers.totals(now).streams
 
     def total_kv_tokens(self, now: datetime.timedelta) -> int:
-        """Tokens in memory for streams from all instances that are heard."""
+        """Return the KV tokens of streams from all instances that report."""
         return self.kv_tokens + self.peers.totals(now).kv_tokens
 
     def uncached_tokens(self, prompt: prompts.Prompt) -> int:
-        """Return the tokens of a prompt that the engine would have to read."""
+        """Return the tokens of a prompt that the engine would have to prefill."""
         return prompt.tokens - self.prefix_cache.cached_tokens(prompt)
 
 
@@ -169,11 +173,13 @@
     """The engines of one model service.
 
     Attributes:
-        partly_heard: The fleet is too large for everybody to hear everybody, so the
-            counts of engines in other failure domains are older and less exact.
-        reading_rate: Prompt tokens that an engine reads in a millisecond, as learned.
-        overhead_ms: Time that each prompt takes besides, as learned.
-        prompts_timed: Prompts that were read.
+        partial_view: Whether the fleet is too large for each instance to receive the
+            reports of all others, so that the counts of engines in other failure
+            domains are older and less exact.
+        prefill_rate: Prompt tokens that an engine prefills in a millisecond, as
+            learned.
+        overhead_ms: Additional time of each prompt, as learned.
+        prompts_observed: Number of prefills observed.
     """
 
     def __init__(self) -> None:
@@ -184,13 +190,14 @@
         self.prompts_observed = 0
 
     def update(self, listed: abc.Iterable[servers.Server]) -> None:
-        """Take the listed engines; what is known of the others is dropped."""
+        """Set the listed engines; the state of all others is dropped."""
         engines = {}
         for server in listed:
             known = self._engines.get(server.server_id)
             if known is None or known.server.incarnation != server.incarnation:
-                # After a new start nothing of before holds: no part is kept, nothing
-                # is under way, and the failures were those of the life that ended.
+                # After a restart no earlier state holds: the prefix cache is empty, no
+                # work is outstanding, and the failures were those of the previous
+                # incarnation.
                 known = EngineLoad(server)
             elif known.server.stage is not server.stage:
                 known.change = None
@@ -199,11 +206,11 @@
         self._engines = engines
 
     def get(self, server_id: str) -> EngineLoad | None:
-        """Return the counts of an engine that is listed."""
+        """Return the load of a listed engine, or None."""
         return self._engines.get(server_id)
 
     def all(self) -> abc.Collection[EngineLoad]:
-        """Return every engine."""
+        """Return all listed engines."""
         return self._engines.values()
 
     def usable(
@@ -212,10 +219,10 @@
         now: datetime.timedelta,
         without: abc.Container[servers.Incarnation],
     ) -> list[EngineLoad]:
-        """Return the engines of a stage that take requests.
+        """Return the engines of a stage that accept requests.
 
-        Engines that failed lately are left out as long as others remain; if none does,
-        they are tried again one failure after the other.
+        Engines that failed recently are left out as long as others remain. If none
+        remains, each is retried after its probe interval.
         """
         found = [
             engine
@@ -231,17 +238,18 @@
     def observe_prefill(
         self, tokens: float, took: datetime.timedelta, ahead: float = 0.0
     ) -> None:
-        """Learn the reading rate from a prompt that was read apart.
+        """Learn the prefill rate from a prompt that was prefilled on a separate engine.
 
-        Prompts that waited are not left out: at a busy fleet hardly any waits for
-        nobody, and the others alone teach too little. What was known to be ahead counts
-        as read too, if it was no more than the prompt: behind a long queue, clients
-        that leave take their prompts with them, and the rate would be learned too high.
+        Prompts that were queued are included: in a busy fleet hardly any prompt finds
+        an empty queue, and those alone teach too little. The tokens known to be ahead
+        count as prefilled too, if they were no more than the prompt: behind a long
+        queue, clients that disconnect take their prompts with them, and the learned
+        rate would be too high.
 
         Args:
-            tokens: Tokens of the prompt that had to be read.
-            took: Time from sending to the answer.
-            ahead: Tokens that were to be read before it, as far as was known.
+            tokens: Tokens of the prompt that had to be prefilled.
+            took: Time from the dispatch to the answer.
+            ahead: Tokens to be prefilled before it, as far as was known.
         """
         self.prompts_observed += 1
         milliseconds = took / datetime.timedelta(milliseconds=1)
@@ -255,7 +263,7 @@
             self.overhead_ms *= 1 + (-_FASTER_STEP if faster else _SLOWER_STEP)
 
     def prefill_cost(self, tokens: int) -> float:
-        """Return the tokens that could be read in the time that a prompt takes."""
+        """Return the prefill time of a prompt, in tokens at the learned rate."""
         return tokens + self.overhead_ms * self.prefill_rate
 
     def observe_event_gap(self, engine: EngineLoad, took: datetime.timedelta) -> None:
@@ -264,13 +272,13 @@
         engine.event_gap_ms += _EVENT_GAP_WEIGHT * (milliseconds - engine.event_gap_ms)
 
     def succeeded(self, engine: EngineLoad, now: datetime.timedelta) -> None:
-        """Note an answer and forget earlier failures of an engine."""
+        """Record an answer and reset the failures of an engine."""
         engine.answered_at = now
         engine.failures = 0
         engine.declines = 0
 
     def declined(self, engine: EngineLoad, now: datetime.timedelta) -> None:
-        """Pass over an engine that does not run what it is sent.
+        """Avoid an engine that declined to run a request.
 
         An engine that changes its stage declines everything and soon has no stream
         left: by its counts it looks the best of all and would get every request.
@@ -280,7 +288,7 @@
         engine.avoid_until = max(engine.avoid_until, now + pause)
 
     def failed(self, engine: EngineLoad, now: datetime.timedelta) -> None:
-        """Pass an engine over for a while."""
+        """Avoid an engine for a while after a failure."""
         pause = _FIRST_BACKOFF * 2**engine.failures
         engine.failures = min(engine.failures + 1, _MAX_DOUBLINGS)
         engine.avoid_until = now + min(pause, _MAX_BACKOFF)
--- a/src/pimentolatch/decisions/engine_selection.py
+++ b/src/pimentolatch/decisions/engine_selection.py
@@ -1,20 +1,20 @@
-"""Chooses the backend server for a request.
+"""Selects the engine for a request.
 
-Load pattern: short drafts and long briefings among few engines, each able to take
-many streams at once. Chosen by number of requests, an engine that reads three
-briefings looks idle beside one that writes ten drafts; chosen by late reports, all
-instances send the same burst to the same engine.
+Load pattern: short and long prompts among few engines, each of which batches many
+streams. Selected by number of requests, an engine that prefills three long prompts
+looks idle beside one that decodes ten short answers; selected by delayed load reports,
+all instances send the same burst to the same engine.
 
-The engine is the one with the earliest predicted finish, from the work that this
-instance and its peers count as outstanding, less what of the prompt an engine holds
-in its cache, times its slowness. An engine with a full batch, or with more than a
-second of prompts unread, has no room: the request waits here instead, where it can
-still be put in a fair order, refused in time, or sent elsewhere. A second is about
-half of the 1.9 s that 95 of 100 first tokens may take.
+The engine with the earliest predicted finish is selected: the work that this instance
+and its peers count as outstanding, less the tokens of the prompt in the engine's prefix
+cache, times the engine's slowness. An engine with a full batch, or with more than 250
+ms of prompts to prefill, has no room: the request waits here instead, where it can
+still be queued fairly, refused in time, or sent elsewhere. The limit is about an eighth
+of the 1.9 s within which 95 of 100 first tokens must arrive.
 
 Another failure domain costs a link that may be cut while the answer streams, and room
-that its own callers need. It is used only when no engine of the own domain has room,
-and only up to half of an engine's batch, since instances there are not counted here.
+that its own callers need. It is used only if no engine of the own domain has room, and
+only up to half of an engine's batch, since the instances there are not counted here.
 """
 
 import dataclasses
@@ -28,26 +28,28 @@
 
 _PREFILL_BACKLOG_LIMIT = datetime.timedelta(milliseconds=250)
 _REMOTE_SHARE = 0.5
-# A slower engine is tried only with requests that stand it.
+# An engine this many times slower than its peers gets only requests that it finishes
+# before their deadline.
 _SLOW_FACTOR = 1.5
-# An engine that hangs costs a probe the limit on the first token (5 s and three times
-# the reading, see `requests.stream`) before the stream is resumed elsewhere.
+# A probe to an unresponsive engine costs the limit on the first token (5 s and three
+# times the prefill, see `requests.stream`) before the stream is resumed elsewhere.
 _PROBE_SPARE = datetime.timedelta(seconds=10)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """An engine that may be chosen, with what is known of it.
+    """An engine that may be selected, with what is known of it.
 
     Attributes:
-        load: Work outstanding there, from all instances that are heard.
-        own: The part of it that this instance sent.
-        senders: Instances that send there.
-        own_domain: Whether it stands in the instance's failure domain.
-        slowness: Times slower than its peers; 1 for a healthy engine.
+        engine: The engine.
+        load: Work outstanding there from all instances whose reports are received.
+        own: The part of it that this instance dispatched.
+        senders: Number of instances that dispatch there.
+        own_domain: Whether the engine is in the instance's failure domain.
+        slowness: How many times slower than its peers it is; 1 for a healthy engine.
         ejected: Whether it gets only probes.
         probe: Whether a probe is due.
-        cached_tokens: Prompt tokens it need not read again.
+        cached_tokens: Prompt tokens that it has in its prefix cache.
     """
 
     engine: schema.Engine
@@ -62,7 +64,7 @@
 
     @property
     def limit(self) -> int:
-        """Streams the engine should hold, by its slowness and domain."""
+        """Most streams the engine should run, by its slowness and failure domain."""
         share = 1.0 if self.own_domain else _REMOTE_SHARE
         return max(1, int(share * self.engine.streams / self.slowness))
 
@@ -70,11 +72,11 @@
     def room(self) -> bool:
         """Whether the engine should be sent more.
 
-        An instance may always fill its even part of the batch and of the unread
-        prompts. It sees its own work done at once and its peers' a report later, so
-        without a part of its own it would find the room taken again each time and its
-        callers would starve. What goes above the whole waits at the engine until the
-        other instances see it and hold back.
+        An instance may always fill its even share of the batch and of the prefill
+        backlog. It sees its own completed work at once and its peers' only with their
+        next report, so without a share of its own it would find the room taken again
+        each time and its callers would starve. What exceeds the total waits at the
+        engine until the other instances see it and hold back.
         """
         if self.ejected:
             return False
@@ -89,7 +91,7 @@
         )
 
     def finish(self, work: request_work.Work) -> datetime.timedelta:
-        """Return the time to the end of an answer, if sent now."""
+        """Return the predicted time to the end of an answer if dispatched now."""
         backlog = self.load.prompt_tokens + work.prompt_tokens - self.cached_tokens
         prefill_s = max(0, backlog) / self.engine.prefill_tokens_per_s
         gap = (self.load.streams + 1) / self.engine.decode_tokens_per_s
@@ -108,9 +110,9 @@
 
     Args:
         candidates: The engines that serve the model.
-        work: The request's work.
+        work: The work of the request.
         time_left: Time until its deadline.
-        force: Choose even if no engine has room, as for a stream that broke off.
+        force: Select an engine even if none has room, as for a broken stream.
     """
     for candidate in candidates:
         if candidate.probe and _tolerates_probe(candidate, work, time_left):
--- a/src/pimentolatch/decisions/outstanding_work.py
+++ b/src/pimentolatch/decisions/outstanding_work.py
@@ -1,13 +1,13 @@
-"""Counts the work this instance has sent to each backend server.
+"""Counts the work this instance has outstanding at each backend server.
 
-Load pattern: reports of load come seconds late, while a burst of short drafts is over
-in one. Without a count of our own, every instance sends the burst to the engine that
-looked idle seconds ago. What was sent is known at once and needs no report.
+Load pattern: load reports come seconds late, while a burst of short prompts is over
+within one. Without a count of its own, every instance sends the burst to the engine
+that looked idle seconds ago. What was dispatched is known at once and needs no report.
 
-Reports still find what nobody counts any more, such as the streams of an instance that
-was killed. `unseen_streams` takes from a report only what it shows above our own count
-of the same moment, and trusts it less as it ages: after ten seconds, the longest lag
-that engines have shown, it counts for nothing.
+Reports still reveal work that no instance counts any more, such as the streams of an
+instance that was killed. `uncounted_streams` takes from a report only what exceeds the
+count at the time of the report, and trusts it less as it ages: after ten seconds, the
+longest lag that engines have shown, the report is ignored.
 """
 
 import dataclasses
@@ -42,17 +42,17 @@
 
 
 class OutstandingWork:
-    """Work sent and not yet done, by backend server."""
+    """Work dispatched and not yet done, by backend server."""
 
     def __init__(self) -> None:
         self._loads: dict[str, Load] = {}
 
     def begin(self, server: str, sent: request_work.Work = _NO_WORK) -> None:
-        """Count a request as sent."""
+        """Count a request as dispatched."""
         self._add(server, 1, sent.prompt_tokens, sent.output_tokens)
 
     def progress(self, server: str, done: request_work.Work) -> None:
-        """Count a part of a request's tokens as read or written."""
+        """Count some of a request's tokens as prefilled or decoded."""
         self._add(server, 0, -done.prompt_tokens, -done.output_tokens)
 
     def end(self, server: str, left: request_work.Work = _NO_WORK) -> None:
@@ -60,15 +60,15 @@
         self._add(server, -1, -left.prompt_tokens, -left.output_tokens)
 
     def load(self, server: str) -> Load:
-        """Return the work now at a server."""
+        """Return the outstanding work at a server."""
         return self._loads.get(server, _NOTHING)
 
     def requests(self, server: str) -> int:
-        """Return the requests now at a server."""
+        """Return the number of outstanding requests at a server."""
         return self.load(server).streams
 
     def shares(self) -> tuple[shares.ServerWork, ...]:
-        """Return what peers need to know."""
+        """Return the outstanding work as it is reported to peers."""
         return tuple(
             shares.ServerWork(
                 server, load.streams, load.prompt_tokens, load.output_tokens
@@ -85,11 +85,11 @@
 
 
 def uncounted_streams(counted: int, reported: int, age: datetime.timedelta) -> int:
-    """Return the streams that a report shows and that nobody counts.
+    """Return the streams in a load report that no instance counts.
 
     Args:
-        counted: Streams that all instances counted when the report was made.
-        reported: Streams in the report, running and waiting.
+        counted: Streams that all instances counted at the time of the report.
+        reported: Streams in the report, running and queued.
         age: Age of the report.
     """
     trust = max(0.0, 1.0 - age / _REPORT_LIFETIME)
--- a/src/pimentolatch/decisions/peer_loads.py
+++ b/src/pimentolatch/decisions/peer_loads.py
@@ -1,8 +1,9 @@
-"""Adds up what other instances have under way at one engine.
+"""Sums the work that other instances have outstanding at one engine.
 
-Load pattern: an engine has the work of hundreds of instances, of which one hears ten
-neighbours and a sum for each other failure domain. A peer's count is worth something
-for half a second, and is dropped when the peer falls silent: its work ends by itself.
+Load pattern: an engine has the work of hundreds of instances, of which one receives the
+reports of ten neighbours and a sum for each other failure domain. A peer's count is
+accurate for half a second, and is dropped when the peer is unresponsive, since its work
+ends by itself.
 """
 
 import dataclasses
@@ -14,19 +15,20 @@
 
 __all__ = ["PeerLoad", "PeerLoads", "Totals"]
 
-# A peer that is silent for longer has ended or is cut off; its work ends by itself.
+# A peer without a report for longer has terminated or is partitioned; its work ends by
+# itself.
 _EXPIRY = datetime.timedelta(seconds=2)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerLoad:
-    """What one peer has under way at one engine.
+    """Work that one peer has outstanding at one engine.
 
     Attributes:
-        reading: Prompt tokens that are not read yet, by urgency.
-        writing: Streams that run.
-        held: Tokens that these streams keep in memory.
-        weight: For how many instances the peer stands.
+        prefill_tokens: Prompt tokens that are not yet prefilled, by urgency level.
+        streams: Running streams.
+        kv_tokens: Tokens that these streams hold in KV memory.
+        weight: Number of instances that the peer stands for.
     """
 
     prefill_tokens: tuple[float, ...]
@@ -37,11 +39,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Totals:
-    """What all peers that are heard have under way at one engine.
+    """Work that all peers with current reports have outstanding at one engine.
 
     Attributes:
-        reading: Prompt tokens that are read before a prompt of each urgency.
-        until: When the first of these peers has been silent for too long.
+        prefill_tokens: Tokens that are prefilled before a prompt of each urgency level.
+        streams: Running streams.
+        kv_tokens: Tokens that these streams hold in KV memory.
+        valid_until: When the first of these reports expires.
     """
 
     prefill_tokens: tuple[float, ...]
@@ -54,10 +58,10 @@
 
 
 class PeerLoads:
-    """Work of peers at one engine: of near ones each, of other domains in sums.
+    """Work of peers at one engine: of neighbours each, of other domains in sums.
 
-    It is added up once for all questions until the next beacon, since one choice of
-    engines asks for it many times.
+    The totals are cached until the next report, since one placement reads them many
+    times.
     """
 
     def __init__(self) -> None:
@@ -66,33 +70,33 @@
         self._totals: Totals | None = None
 
     def update(self, peer: str, load: PeerLoad, now: datetime.timedelta) -> None:
-        """Take what a peer has under way."""
+        """Set the work of a neighbour."""
         self._near[peer] = load, now
         self._totals = None
 
     def forget(self, peer: str) -> None:
-        """Drop what a peer had under way."""
+        """Remove the work of a neighbour."""
         if self._near.pop(peer, None) is not None:
             self._totals = None
 
     def update_domain(
         self, domain: str, load: PeerLoad, now: datetime.timedelta
     ) -> None:
-        """Take what all instances of another failure domain have under way."""
+        """Set the work of all instances of another failure domain."""
         self._domains[domain] = load, now
         self._totals = None
 
     def forget_domain(self, domain: str) -> None:
-        """Drop what the instances of another failure domain had under way."""
+        """Remove the work of the instances of another failure domain."""
         if self._domains.pop(domain, None) is not None:
             self._totals = None
 
     def near(self, now: datetime.timedelta) -> PeerLoad:
-        """Return what near peers have under way, without the sums of other domains."""
+        """Return the work of neighbours, without the sums of other domains."""
         return _sum(_current(self._near.values(), now))
 
     def totals(self, now: datetime.timedelta) -> Totals:
-        """Return what all others have under way."""
+        """Return the work of all other instances."""
         if self._totals is None or now > self._totals.valid_until:
             self._totals = self._add_up(now)
         return self._totals
@@ -116,13 +120,13 @@
 
 
 def _sum(current: abc.Iterable[_Reported]) -> PeerLoad:
-    """Return the work of all peers that are heard, each by its weight."""
+    """Return the sum of the current reports, each with its weight."""
     prefill_tokens = [0.0] * urgency.LEVELS
     streams = kv_tokens = 0.0
     for load, _ in current:
         weight = load.weight
         for level, tokens in enumerate(load.prefill_tokens):
-            # Most levels are empty, at most engines.
+            # At most engines most levels are empty.
             if tokens:
                 prefill_tokens[level] += weight * tokens
         if load.streams or load.kv_tokens:
--- a/src/pimentolatch/decisions/placement.py
+++ b/src/pimentolatch/decisions/placement.py
@@ -1,21 +1,22 @@
-"""Chooses where a prompt is read and where its answer is written.
-
-Load pattern: prompts of twelve thousand tokens beside prompts of three hundred, their
-shares turning over within seconds. Read where the answers are written, a long prompt
-stops the streams there for longer than the pause that callers accept. Read apart, its
-memory crosses a link, which costs most between failure domains. Without one choice of
-both servers, each half is cheap and the pair is dear.
-
-The choice adds up, in milliseconds, what a pair of servers costs: the wait for the
-prompts ahead, the reading of what the server does not keep, a charge for each shared
-token that is read again and for each token that crosses a link. Prompts are read in
-place only when they are short and few are being read there, so that the streams of
-that server go on within their pause.
-
-Shared parts come back to the engine that read them, which the charge for reading again
-sees to, and to their home (`homes`), where instances that have not heard of one
-another's prompts meet. When that engine has a queue, another one fetches them from it,
-which costs a few milliseconds of a link where reading takes a hundred of an engine.
+"""Chooses the prefill and the decode engine of a request.
+
+Load pattern: prompts of 12,000 tokens arrive beside prompts of 300, and their shares
+shift within seconds. Prefilled on a decode engine, a long prompt stalls the streams
+there for longer than clients accept. Prefilled on another engine, its KV cache has to
+be transferred, which costs most between failure domains. If the two engines are chosen
+independently, each choice is cheap and the pair is expensive.
+
+The cost of a pair of engines is a sum in milliseconds: the wait for queued prompts, the
+prefill of the uncached tokens, a charge for each shared token that is recomputed, and a
+charge for each token that is transferred. Prefill is colocated with decode only if the
+prompt is short and few tokens are queued for prefill on the decode engine, so that its
+streams keep their event gap.
+
+Requests with a shared prefix return to the engine that has it cached, because of the
+charge for recomputing, and to the preferred engine of the prefix (`prefix_affinity`),
+where instances converge that have not received each other's reports. If that engine has
+a queue, another engine fetches the prefix from it: the transfer takes a few
+milliseconds of a link, while the prefill takes a hundred of an engine.
 """
 
 import dataclasses
@@ -34,43 +35,42 @@
 
 __all__ = ["Placement", "utilization"]
 
-# Charge of a shared token that is read again, on top of the time it takes: reading
-# again what another engine keeps takes the time of others in the queue.
+# Charge per shared token that is recomputed, on top of its prefill time: recomputing
+# what another engine has cached delays the other prompts in the queue.
 _RECOMPUTE_MS = 0.035
-# Charge of a token whose memory crosses a link, and the factor between domains.
+# Charge per transferred token, and the factor for a transfer between failure domains.
 _TRANSFER_MS = 0.002
 _CROSS_DOMAIN_FACTOR = 3.0
-# Charge of an answer whose server stands in another failure domain.
+# Charge for a decode engine in another failure domain.
 _CROSS_DOMAIN_MS = 5.0
-# The same, and for a reading engine too, in a fleet where not everybody hears
-# everybody: what is known of far engines is half a second old, so that an engine that
-# looks idle is chosen by many at once.
+# The same with a partial view of the fleet, where it is charged for a prefill engine
+# too: what is known of engines in other failure domains is half a second old, so many
+# instances choose the same engine that looks idle.
 _STALE_CROSS_DOMAIN_MS = 60.0
-# A prompt that is read in place delays the streams there. This many unread tokens may
-# wait at an engine that writes, so that no pause grows past what callers accept. With
-# no engine left that reads for others there is no bound: late answers are better than
-# none.
+# Most tokens that may be queued for prefill on a decode engine, the prompt itself
+# included, so that no stream's event gap exceeds what clients accept. Without any
+# prefill engine there is no bound: a late answer is better than none.
 _COLOCATED_TOKENS = 2000
-# Charge for the streams that a server already writes, as a whole batch.
+# Charge for the streams running on a decode engine, at a full batch.
 _BATCH_MS = 150.0
-# Charge of a first event that comes too late to be on time.
+# Charge for a first event that misses the latency target.
 _LATE_MS = 300.0
-# From the end of reading to the first event: on the same engine, and on another one.
+# Time from the end of prefill to the first event: colocated, and after a KV transfer.
 _FIRST_STEP_MS = 30.0
 _HANDOVER_MS = 60.0
-# Requests that are refused in one burst are told different times to come back, or they
-# would meet again; sooner than the first figure no queue is shorter.
+# Requests refused in one burst get different retry times, or they would collide again.
+# No queue gets shorter sooner than the minimum.
 _MIN_RETRY_AFTER = datetime.timedelta(milliseconds=200)
 _RETRY_JITTER = 0.5
-# Above this share of its slots or memory an engine sets streams back or lets them wait;
-# the charge grows so fast that only an engine that is as full is chosen.
+# Above this share of its slots or memory an engine preempts streams or queues them. The
+# charge grows so steeply that such an engine is chosen only if all others are as full.
 _HIGH_UTILIZATION = 0.85
 _OVERFULL_MS = 4000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _KvSource:
-    """An engine that keeps the first `tokens` tokens of a prompt."""
+    """An engine that has the first `tokens` tokens of a prompt cached."""
 
     engine: engine_loads.EngineLoad
     tokens: int
@@ -80,7 +80,7 @@
     """Chooses engines for one model service.
 
     Args:
-        loads: Work of the engines.
+        loads: Loads of the service's engines.
         own_domain: Failure domain of this instance.
     """
 
@@ -95,13 +95,13 @@
         now: datetime.timedelta,
         without: frozenset[servers.Incarnation] = frozenset(),
     ) -> placement_types.PlacementResult:
-        """Return where to send a prompt.
+        """Return the engines for a request.
 
         Args:
-            request: The prompt and its time.
-            traits: The service's engines.
-            now: The time.
-            without: Engines that have failed the request.
+            request: The prompt and its time limits.
+            traits: Properties of the service's engines.
+            now: The current time.
+            without: Engines to leave out, such as those that failed the request.
         """
         decode_engines = self._loads.usable(servers.Stage.DECODE, now, without)
         prefill_engines = self._loads.usable(servers.Stage.PREFILL, now, without)
@@ -110,8 +110,9 @@
         )
         if not found:
             return placement_types.NoEngine()
-        # The charge for leaving a home may be longer than clients wait: by cost alone a
-        # prompt would be refused for its home's queue while other engines are idle.
+        # The charge for missing the preferred engine may exceed the time to the
+        # deadline: by cost alone a request would be refused because of its preferred
+        # engine's queue while other engines are idle.
         on_time = [
             item for item in found if item[1].expected <= request.time_to_deadline
         ]
@@ -130,10 +131,10 @@
         now: datetime.timedelta,
         without: frozenset[servers.Incarnation] = frozenset(),
     ) -> engine_loads.EngineLoad | None:
-        """Return where to write the answer to a prompt that was just read.
+        """Return the decode engine for a prompt that was just prefilled.
 
-        Reading takes up to seconds. The engine that was the best when it began may be
-        full by now, or leaving: then it must not get the request any more.
+        Prefill takes up to seconds. The engine that was the best when it began may be
+        full or draining by now, and must not get the request any more.
         """
         decode_engines = self._loads.usable(servers.Stage.DECODE, now, without)
         if not decode_engines:
@@ -156,11 +157,12 @@
     ) -> abc.Iterator[
         tuple[float, placement_types.Colocated | placement_types.Disaggregated]
     ]:
-        """Yield the places worth comparing with their costs in milliseconds.
+        """Yield the candidate placements with their costs in milliseconds.
 
-        Of the pairs of a reading and a writing engine, those with the best writer for
-        each reader are enough. Which writer that is depends on the reader's failure
-        domain only, since that alone changes the cost of what crosses the link.
+        Of the pairs of a prefill and a decode engine, only those with the best decode
+        engine for each prefill engine are needed. The best one depends only on the
+        failure domain of the prefill engine, since nothing else changes the transfer
+        cost.
         """
         ranking = prefix_affinity.rank(
             request.prompt, prefill_engines, self._loads.prefill_rate
@@ -195,11 +197,11 @@
             yield base + cost + ranking.charges[prefill_engine.server.server_id], place
 
     def _colocated_bound(self) -> float:
-        """Return the tokens that may wait at an engine that writes.
+        """Return the most tokens that may be queued for prefill on a decode engine.
 
-        In a large fleet none: each instance would see that room by counts that are half
-        a second old, and together they would stop the streams there until their clients
-        leave.
+        With a partial view it is zero: each instance would see that room in reports
+        that are half a second old, and together they would stall the streams there
+        until their clients leave.
         """
         return 0.0 if self._loads.partial_view else _COLOCATED_TOKENS
 
@@ -238,7 +240,7 @@
         milliseconds = (ahead + self._loads.prefill_cost(tokens)) / rate
         expected = datetime.timedelta(milliseconds=milliseconds + _FIRST_STEP_MS)
         late = expected > request.time_to_target
-        # The streams there wait for it too.
+        # The streams of the engine are delayed by the same time.
         cost = 2 * milliseconds + (_LATE_MS if late else 0)
         cost += fetched + _RECOMPUTE_MS * _shared(request.prompt, tokens)
         level = urgency.level_of(
@@ -282,7 +284,7 @@
     traits: table.EngineTraits,
     now: datetime.timedelta,
 ) -> float:
-    """Return the used share of an engine's slots or memory, whichever is scarcer."""
+    """Return the used share of an engine's slots or KV memory, whichever is scarcer."""
     slots = decode_engine.total_streams(now) / max(1, traits.slots)
     return max(slots, decode_engine.total_kv_tokens(now) / max(1, traits.kv_tokens))
 
@@ -293,7 +295,7 @@
     prompt: prompts.Prompt,
     domain: str,
 ) -> tuple[float, engine_loads.EngineLoad]:
-    """Return the best writer for a prompt read in a domain, and its cost."""
+    """Return the cost and the decode engine that is best for a prefill in a domain."""
 
     def cost(decode_engine: engine_loads.EngineLoad) -> float:
         return costs[decode_engine.server.server_id] + _transfer_cost(
@@ -307,7 +309,7 @@
 def _transfer_cost(
     domain: str, decode_engine: engine_loads.EngineLoad, prompt: prompts.Prompt
 ) -> float:
-    """Return the charge of moving a prompt that was read in a failure domain."""
+    """Return the charge for transferring a prompt prefilled in a failure domain."""
     transfer = decode_engine.uncached_tokens(prompt) * _TRANSFER_MS
     return transfer * (
         _CROSS_DOMAIN_FACTOR if decode_engine.server.failure_domain != domain else 1.0
@@ -317,7 +319,7 @@
 def _kv_sources(
     prompt: prompts.Prompt, engines: abc.Iterable[engine_loads.EngineLoad]
 ) -> list[_KvSource]:
-    """Return the engines that keep some of a prompt, the most first."""
+    """Return the engines that have some of a prompt cached, the most tokens first."""
     found = [
         _KvSource(engine, engine.prefix_cache.cached_tokens(prompt))
         for engine in engines
@@ -335,7 +337,7 @@
     prompt: prompts.Prompt,
     kv_sources: abc.Sequence[_KvSource],
 ) -> tuple[int, engine_loads.EngineLoad | None, float]:
-    """Return the tokens to read, who gives the others, and the charge of giving."""
+    """Return the tokens to prefill, the KV source of the rest, and its charge."""
     cached_tokens = engine.prefix_cache.cached_tokens(prompt)
     best: tuple[float, _KvSource] | None = None
     for kv_source in kv_sources:
@@ -357,6 +359,6 @@
 
 
 def _shared(prompt: prompts.Prompt, tokens: int) -> int:
-    """Return how many of the tokens to be read belong to shared parts."""
+    """Return how many of the tokens to prefill belong to shared parts."""
     own = prompt.parts[-1].tokens if prompt.parts else prompt.tokens
     return max(0, tokens - own)
--- a/src/pimentolatch/decisions/placement_types.py
+++ b/src/pimentolatch/decisions/placement_types.py
@@ -1,4 +1,4 @@
-"""What is asked of placement, and the places that it answers with."""
+"""Requests to `placement` and its results."""
 
 import dataclasses
 import datetime
@@ -18,14 +18,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Colocated:
-    """Read and write on one engine.
+    """Prefill and decode on one engine.
 
     Attributes:
-        tokens: Tokens that have to be read.
-        donor: Engine that keeps more of the prompt, to fetch it from; None if the
-            reading engine keeps as much itself.
-        level: Urgency to send it with.
-        expected: Time to the first event.
+        engine: The engine.
+        tokens: Prompt tokens to prefill.
+        kv_source: Engine to fetch a longer cached prefix from; None if the prefilling
+            engine has as much cached itself.
+        level: Urgency level to dispatch with.
+        expected: Expected time to the first event.
     """
 
     engine: engine_loads.EngineLoad
@@ -37,7 +38,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Disaggregated:
-    """Read on one engine, write on another; see `InPlace`."""
+    """Prefill on one engine and decode on another.
+
+    Attributes:
+        prefill_engine: Engine that runs the prefill.
+        engine: Engine that runs the decode.
+        tokens: Prompt tokens to prefill.
+        kv_source: See `Colocated`.
+        level: Urgency level to dispatch the prefill with.
+        expected: Expected time to the first event.
+    """
 
     prefill_engine: engine_loads.EngineLoad
     engine: engine_loads.EngineLoad
@@ -49,10 +59,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Infeasible:
-    """No engine can give a first event in time.
+    """No engine can produce the first event before the client's deadline.
 
     Attributes:
-        retry_after: When the queue is expected to have room.
+        retry_after: Time until the queue is expected to have room.
     """
 
     retry_after: datetime.timedelta
@@ -60,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoEngine:
-    """No engine that writes takes requests now; one may be back in a moment."""
+    """No decode engine accepts requests now; one may be available again shortly."""
 
 
 PlacementResult = Colocated | Disaggregated | Infeasible | NoEngine
@@ -68,14 +78,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """A prompt to be placed.
+    """A prompt that needs engines.
 
     Attributes:
-        rank: Rank of its route, 0 first.
-        large: It is large among the prompts of its route.
-        due: What is left of the route's time for a first event.
-        patience: Its client waits this long for the first event.
-        lot: Drawn evenly from 0 to 1 for the request.
+        prompt: The prompt.
+        rank: Priority rank of its route; 0 is the highest.
+        large: Whether it is large among the prompts of its route.
+        time_to_target: Time left until the route's latency target for the first event.
+        time_to_deadline: Time the client still waits for the first event.
+        lot: Uniform random number from 0 to 1, fixed for the request.
     """
 
     prompt: prompts.Prompt
--- a/src/pimentolatch/decisions/prefill_dispatches.py
+++ b/src/pimentolatch/decisions/prefill_dispatches.py
@@ -1,8 +1,9 @@
-"""Chooses where a long prompt is read, once it is known where it is answered.
+"""Chooses the prefill engine of a request whose decode engine is known.
 
-Load pattern: engines in the role prefill beside engines that answer. Without this the
-first stand idle while the second read briefings between their streams. `prefill` holds
-the comparison; here it meets the work that instances count.
+Load pattern: engines with the role prefill beside engines that decode. Without this
+module the former stand idle while the latter prefill long prompts between the steps of
+their streams. `disaggregation` compares the two paths; this module feeds it the work
+that instances count.
 """
 
 import dataclasses
@@ -21,11 +22,11 @@
 
 
 class PrefillDispatches:
-    """Prompts that are read apart, by request.
+    """Dispatches of prompts to prefill engines, by request.
 
     Args:
-        counted: Counts the prompts as work of the engines that read them.
-        load: Returns the work at an engine from all instances that are heard.
+        outstanding: Counts the prompts as work of their prefill engines.
+        load: Returns the work at an engine, as reported by all instances.
     """
 
     def __init__(
@@ -43,16 +44,16 @@
         model: str,
         decode_engine: disaggregation.EngineLoad,
         prefill_engines: abc.Sequence[schema.Engine],
-        asked: request_work.Work,
+        work: request_work.Work,
     ) -> schema.Engine | None:
-        """Return the engine that should read the prompt; None to read it in place."""
+        """Return the prefill engine of a request; None to colocate it with decode."""
         if not prefill_engines:
             return None
         loads = [
             decode_engine,
             *(self.load_of(engine, "prefill") for engine in prefill_engines),
         ]
-        prompt = disaggregation.RequestSize(asked.prompt_tokens, asked.output_tokens)
+        prompt = disaggregation.RequestSize(work.prompt_tokens, work.output_tokens)
         path = disaggregation.choose_path(prompt, loads, _costs(document, model))
         if not isinstance(path, disaggregation.Disaggregated):
             return None
@@ -61,7 +62,7 @@
     def load_of(
         self, engine: schema.Engine, role: schema.Role, cached_tokens: int = 0
     ) -> disaggregation.EngineLoad:
-        """Return what is known of an engine, as `prefill` needs it."""
+        """Return the load of an engine in the form that `disaggregation` needs."""
         load = self._load(engine.name)
         return disaggregation.EngineLoad(
             engine.name,
@@ -76,13 +77,13 @@
         )
 
     def begin(self, request_id: str, engine: schema.Engine, tokens: int) -> None:
-        """Count a prompt as sent to the engine that reads it."""
+        """Count a prompt as dispatched to its prefill engine."""
         prefill = _Prefill(engine.name, request_work.Work(tokens, 0))
         self._prefills[request_id] = prefill
         self._outstanding.begin(prefill.engine, prefill.left)
 
     def end(self, request_id: str) -> None:
-        """Count a prompt as read or given up; harmless if it was not read apart."""
+        """Count a prefill as ended or abandoned; no effect if there was none."""
         prefill = self._prefills.pop(request_id, None)
         if prefill is not None:
             self._outstanding.end(prefill.engine, prefill.left)
--- a/src/pimentolatch/decisions/prefix_affinity.py
+++ b/src/pimentolatch/decisions/prefix_affinity.py
@@ -1,22 +1,24 @@
-"""Gives each shared part of prompts a home among the engines that read.
-
-Load pattern: thousands of sessions, each asked for a few times a minute, through any of
-hundreds of instances. An engine that has not read a session's part reads it anew:
-13,300 tokens instead of none. An instance hears of one in twenty of the others, so by
-what it has heard it finds the engine that keeps a part for few requests. Sent to the
-shortest queue, the others are read again there and lengthen it: in overload half of all
-that is read had been read before.
-
-So every instance ranks the engines for a part alike, by rendezvous hashing over the
-whole fleet, and a prompt that leaves its home is charged for more than the time that
-reading again takes: it takes that time from all that wait there, and the next ones of
-its session find two engines that keep it where one would do. The second in the ranking
-is charged half, so that a session whose home is busy has one other place that all know.
-
-A prompt that leaves its home all the same has its engine fetch the part from there. If
-the home keeps nothing of it, nothing is fetched.
-
-Where an engine comes or goes, only its own sessions move.
+"""Ranks prefill engines for each shared prompt prefix by rendezvous hashing.
+
+Load pattern: thousands of sessions, each with a few requests a minute that arrive
+through any of hundreds of instances. An engine without a session's prefix in its cache
+prefills it again: 13,300 tokens instead of none. An instance receives the reports of
+one in twenty of the others, so its reports tell it for few requests which engine has
+the prefix cached. Sent to the shortest queue, the other requests are prefilled again
+there and lengthen it: in overload half of all prefilled tokens had been prefilled
+before.
+
+So every instance ranks the engines for a prefix alike, by rendezvous hashing over the
+whole fleet. A request that is not placed on the preferred engine is charged more than
+the time of recomputing its prefix: it takes that time from all requests queued there,
+and the next requests of its session find the prefix on two engines where one would do.
+The second engine in the ranking is charged half, so that a session whose preferred
+engine is busy has one alternative that all instances know.
+
+A request that is placed elsewhere nevertheless has its engine fetch the prefix from the
+preferred engine. If that has nothing of it cached, nothing is fetched.
+
+If an engine joins or leaves, only its own sessions move.
 """
 
 import dataclasses
@@ -27,28 +29,28 @@
 
 __all__ = ["MIN_FETCH_TOKENS", "Ranking", "rank"]
 
-# Charge of an engine that is no home of a prompt, in times of reading its shared part
-# again: reading it elsewhere takes the time of all that wait there, and draws the next
-# prompts of its session away too.
+# Charge for an engine that is not preferred, in multiples of the time to recompute the
+# shared prefix there: recomputing delays all requests queued there and attracts the
+# next requests of the session too.
 _MISS_FACTOR = 10.0
-# A prompt without a shared part has a home too, drawn for it alone, and below the homes
-# the ranking still counts: among engines that look alike, instances would all take the
-# first of the list.
+# A prompt without a shared prefix has preferred engines too, by a key of its own, and
+# the rank counts also among engines that are not preferred: otherwise all instances
+# would take the first one of several engines that look alike.
 _MIN_MISS_MS = 10.0
 _PREFERRED_ENGINES = 2
 _RANK_STEP_MS = 0.5
-# Fewer tokens are read sooner than fetched.
+# Fewer tokens are prefilled sooner than fetched.
 MIN_FETCH_TOKENS = 256
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ranking:
-    """The engines that read, as homes of one prompt.
+    """Prefill engines ranked for one prompt.
 
     Attributes:
-        donor: The home of the prompt's shared part; None if there is none worth
-            fetching.
-        charges: Charge for reading the prompt at an engine, in milliseconds, by id.
+        kv_source: Preferred engine of the prompt's shared prefix; None if the prefix is
+            too short to be worth fetching.
+        charges: Charge for a prefill at each engine, in milliseconds, by server id.
     """
 
     kv_source: engine_loads.EngineLoad | None
@@ -60,12 +62,12 @@
     prefill_engines: abc.Sequence[engine_loads.EngineLoad],
     prefill_rate: float,
 ) -> Ranking:
-    """Return the homes of a prompt.
+    """Return the ranking of the prefill engines for a prompt.
 
     Args:
         prompt: The prompt.
-        prefill_engines: Engines that read, in any order.
-        prefill_rate: Tokens that an engine reads in a millisecond.
+        prefill_engines: The prefill engines, in any order.
+        prefill_rate: Tokens that an engine prefills in a millisecond.
     """
     shared = prompt.tokens - prompt.parts[-1].tokens if prompt.parts else 0
     part = _affinity_key(prompt)
@@ -85,9 +87,10 @@
 
 
 def _affinity_key(prompt: prompts.Prompt) -> str:
-    """Return the part whose homes are asked for: the last one that is shared.
+    """Return the hashing key of a prompt: its last shared part.
 
-    A prompt of one part goes by that: no other one has it, so prompts spread.
+    The key of a prompt with one part is that part: no other prompt has it, so such
+    prompts are distributed evenly.
     """
     names = [part.name for part in prompt.parts[-2:]]
     return names[0] if names else prompt.model
--- a/src/pimentolatch/decisions/prefix_cache.py
+++ b/src/pimentolatch/decisions/prefix_cache.py
@@ -1,9 +1,10 @@
-"""Remembers which parts of prompts one engine keeps in its prefix cache.
+"""Estimates which prompt parts one engine has in its prefix cache.
 
-Load pattern: a part that an engine has read is kept there until memory runs out, and
-reading it again elsewhere costs as much as a new prompt. What was sent where is known
-at once; the engine's own events of it come late and with gaps. Parts are taken to
-yield in the order in which they were last used, as far as instances tell each other.
+Load pattern: a part that an engine has prefilled stays cached there until memory runs
+out, and recomputing it elsewhere costs as much as a new prompt. An instance knows at
+once what it dispatched where; the engine's own cache events come late and with gaps.
+Eviction is assumed to be least recently used first, by the uses that instances report
+to each other.
 """
 
 import collections
@@ -12,22 +13,22 @@
 
 __all__ = ["PrefixCache"]
 
-# Part of an engine's memory that is taken to hold shared parts; running requests take
-# the rest first.
+# Share of an engine's KV memory assumed to hold shared parts; running requests take the
+# rest first.
 _SHARED_PART_SHARE = 0.75
 
 
 class PrefixCache:
-    """Parts that one engine keeps, by their keys; the least lately used ones yield."""
+    """Cached parts of one engine by key, evicted least recently used first."""
 
     def __init__(self) -> None:
         self._parts: collections.OrderedDict[int, int] = collections.OrderedDict()
         self._tokens = 0
 
     def cached_tokens(self, prompt: prompts.Prompt) -> int:
-        """Return the tokens at the beginning of a prompt that the engine keeps.
+        """Return the length of a prompt's prefix that the engine has cached, in tokens.
 
-        A kept part saves its tokens only if every part before it is kept too.
+        A cached part saves its tokens only if every part before it is cached too.
         """
         cached = 0
         for part in prompt.parts:
@@ -37,15 +38,15 @@
         return min(cached, prompt.tokens)
 
     def add(self, part: int, tokens: int, capacity_tokens: int) -> bool:
-        """Note that the engine keeps a part.
+        """Record that the engine has a part cached.
 
         Args:
             part: Key of the part.
-            tokens: Its tokens.
-            capacity_tokens: Tokens that fit the engine's memory.
+            tokens: Tokens of the part.
+            capacity_tokens: Tokens that fit the engine's KV memory.
 
         Returns:
-            Whether this was not known.
+            Whether this was not known before.
         """
         known = part in self._parts
         if known:
@@ -59,6 +60,6 @@
         return not known
 
     def add_prompt(self, prompt: prompts.Prompt, capacity_tokens: int) -> None:
-        """Note that the engine keeps all parts of a prompt; see `keep`."""
+        """Record that the engine has all parts of a prompt cached; see `add`."""
         for part in prompt.parts:
             self.add(prompts.part_key(part.name), part.tokens, capacity_tokens)
--- a/src/pimentolatch/decisions/recent_prefixes.py
+++ b/src/pimentolatch/decisions/recent_prefixes.py
@@ -1,16 +1,17 @@
-"""Remembers which engines lately read which prompt prefixes.
+"""Tracks which engines recently prefilled which prompt prefixes.
 
-Load pattern: thousands of prompts begin with the same visitor policy or health file.
-Without locality every engine reads it anew and evicts something else for it; with
-strict locality the engine that holds a hot prefix is full while others idle.
+Load pattern: thousands of prompts begin with the same policy or patient file. Without
+cache locality every engine prefills it again and evicts something else for it; with
+strict locality the engine that has a hot prefix cached is full while others idle.
 
-The memory only tells how many tokens an engine need not read again. Routing weighs
-that against the engine's queue, so a hot prefix spreads as soon as waiting for it
-costs more than reading it again; each engine it spreads to is remembered too.
+This module only estimates how many tokens an engine need not prefill. Routing weighs
+that against the engine's queue, so a hot prefix spreads as soon as waiting for it costs
+more than recomputing it; each engine it spreads to is tracked too.
 
-Engines publish cache events late and with gaps, so what was sent is the better source.
-A memory of an evicted prefix costs one prompt read at full length. It fades after two
-minutes without use, and an engine that broke off is forgotten at once.
+Engines publish cache events late and with gaps, so the dispatches are the better
+source. An entry whose prefix was evicted costs one prefill at full length. Entries
+expire after two minutes without use, and those of an engine whose stream broke off are
+removed at once.
 """
 
 import collections
@@ -21,7 +22,7 @@
 
 __all__ = ["RecentPrefixes"]
 
-# Prefixes are compared at these lengths; a prompt has at most this many entries.
+# Lengths at which prefixes are compared; a prompt has at most one entry for each.
 _CHARACTERS = tuple(256 << doubling for doubling in range(10))
 _ENTRIES = 10_000
 _ENGINES_PER_PREFIX = 16
@@ -29,7 +30,7 @@
 
 
 class RecentPrefixes:
-    """Prefixes lately sent, by engine; the least lately sent are forgotten first."""
+    """Prefixes recently dispatched, by engine; the least recent ones are evicted."""
 
     def __init__(self) -> None:
         self._sent: collections.OrderedDict[bytes, dict[str, datetime.timedelta]] = (
@@ -37,7 +38,7 @@
         )
 
     def record(self, prompt: str, engine: str, now: datetime.timedelta) -> None:
-        """Remember that an engine reads a prompt."""
+        """Record that a prompt was dispatched to an engine."""
         for _, key in _keys(prompt):
             engines = self._sent.setdefault(key, {})
             engines.pop(engine, None)
@@ -49,7 +50,7 @@
             self._sent.popitem(last=False)
 
     def cached_tokens(self, prompt: str, now: datetime.timedelta) -> dict[str, int]:
-        """Return the prompt tokens that engines need not read, by engine."""
+        """Return the prompt tokens that engines probably have cached, by engine."""
         found: dict[str, int] = {}
         for length, key in _keys(prompt):
             for engine, at in self._sent.get(key, {}).items():
@@ -58,7 +59,7 @@
         return found
 
     def forget(self, engine: str) -> None:
-        """Drop what an engine that failed or changed its role has lost."""
+        """Remove the entries of an engine that failed or changed its role."""
         for engines in self._sent.values():
             engines.pop(engine, None)
 
--- a/src/pimentolatch/decisions/rendezvous.py
+++ b/src/pimentolatch/decisions/rendezvous.py
@@ -1,20 +1,21 @@
-"""Chooses which engines an instance sends to.
+"""Assigns engines to instances by rendezvous hashing.
 
-Load pattern: hundreds of instances before thousands of engines. If each sent to each,
-every engine would hold hundreds of connections, every count of outstanding work would
-be a sum over all instances, and a drain would wait for all of them to acknowledge it.
+Load pattern: hundreds of instances before thousands of engines. If each instance
+dispatched to each engine, every engine would hold hundreds of connections, every count
+of outstanding work would be a sum over all instances, and a drain would wait for all of
+them to acknowledge it.
 
 Each engine ranks the instances of its failure domain by rendezvous hashing and takes
 the first ones that still have room. Ranking from the engine's side leaves no engine
 without senders, which ranking from the instance's side does: with 41 instances that
 choose 24 of 420 engines each, one engine in eleven would have none. An instance that
-comes or goes moves only the engines that ranked it high.
+joins or leaves moves only the engines that ranked it high.
 
-Grounds: two senders keep an engine in use when one instance dies. Above that an
+Grounds: two senders keep an engine in use when one instance crashes. Above that an
 instance takes what the document's `engine_subset` allows; it is exceeded only where
-engines would otherwise have fewer than two senders. Elsewhere an instance knows four
-engines of a model in each other failure domain: enough to find a free one when its
-own are full, few enough to cost nothing.
+engines would otherwise have fewer than two senders. In each other failure domain an
+instance knows four engines of a model: enough to find a free one when its own are full,
+few enough to cost nothing.
 """
 
 import functools
@@ -30,7 +31,7 @@
 
 @functools.lru_cache(maxsize=65_536)
 def rank(first: str, second: str) -> int:
-    """Return the rendezvous rank of a pair; higher is preferred."""
+    """Return the rendezvous hash of a pair; higher is preferred."""
     digest = hashlib.blake2b(f"{first}/{second}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
@@ -43,7 +44,7 @@
     Args:
         instances: Live instances of the domain.
         engines: Engines of one model in the domain.
-        size: Engines that an instance should send to, at most.
+        size: Most engines that an instance should dispatch to.
     """
     senders = min(_MIN_SENDERS, len(instances))
     if len(engines) <= size or not senders:
@@ -69,6 +70,6 @@
 
 
 def remote_engines(instance: str, engines: abc.Set[str]) -> frozenset[str]:
-    """Return the engines of another failure domain that an instance may send to."""
+    """Return the engines of another failure domain that an instance may dispatch to."""
     ranked = sorted(engines, key=lambda engine: rank(instance, engine), reverse=True)
     return frozenset(ranked[:REMOTE_ENGINES])
--- a/src/pimentolatch/decisions/request_work.py
+++ b/src/pimentolatch/decisions/request_work.py
@@ -1,15 +1,15 @@
-"""Measures requests by the engine time they take, before and after they ran.
-
-Load pattern: a long briefing of 16,000 prompt tokens beside badge drafts of 200.
-Counted as requests the two are equal, so whoever sends the long ones gets eighty times
-the engine time and every wait is predicted wrong.
-
-Grounds: an engine reads a prompt several times faster than it writes an answer, so a
-token of output weighs `prefill rate / decode rate` prompt tokens (6.7 at the
-document's default rates). Callers state the longest answer they allow, not the one
-they get; the mean of the last answers to prompts of about the same length predicts the
-next one. One mean for drafts and briefings would be wrong for both. An answer without
-history counts as 256 tokens, the default of the request form.
+"""Measures requests by the engine time they take, estimated or actual.
+
+Load pattern: a prompt of 16,000 tokens beside prompts of 200. Counted as requests the
+two are equal, so a caller that sends the long ones gets eighty times the engine time
+and every wait is predicted wrong.
+
+Grounds: an engine prefills several times faster than it decodes, so an output token
+weighs `prefill rate / decode rate` prompt tokens (6.7 at the document's default rates).
+Callers state the longest answer they allow, not the one they get; the mean of the last
+answers to prompts of about the same length predicts the next one. One mean for short
+and long prompts would be wrong for both. An answer without history counts as 256
+tokens, the default of the request form.
 """
 
 import collections
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Work:
-    """Tokens of a request that are still to be read and written."""
+    """Tokens of a request that are still to be prefilled and decoded."""
 
     prompt_tokens: int = 0
     output_tokens: int = 0
@@ -41,10 +41,10 @@
         return self.prompt_tokens + weight * self.output_tokens
 
     def run_time(self, engine: schema.Engine, streams: int) -> datetime.timedelta:
-        """Return the time on an engine that batches `streams` streams."""
-        reading = self.prompt_tokens / engine.prefill_tokens_per_s
-        writing = self.output_tokens * streams / engine.decode_tokens_per_s
-        return datetime.timedelta(seconds=reading + writing)
+        """Return the run time on an engine that batches `streams` streams."""
+        prefill_s = self.prompt_tokens / engine.prefill_tokens_per_s
+        decode_s = self.output_tokens * streams / engine.decode_tokens_per_s
+        return datetime.timedelta(seconds=prefill_s + decode_s)
 
 
 def prompt_tokens(prompt: str) -> int:
@@ -53,16 +53,16 @@
 
 
 def output_weight(engines: abc.Sequence[schema.Engine]) -> float:
-    """Return the prompt tokens that take as long as one token of output."""
+    """Return the prompt tokens that take as long as one output token."""
     prefill = sum(engine.prefill_tokens_per_s for engine in engines)
     decode = sum(engine.decode_tokens_per_s for engine in engines)
     return prefill / decode if decode else 1.0
 
 
 class OutputEstimates:
-    """Predicts the length of answers by caller, model and length of the prompt.
+    """Predicts the length of answers by caller, model and prompt length.
 
-    The table forgets whoever was not seen for longest, so its size is bounded.
+    The table is bounded; the least recently updated entries are evicted.
     """
 
     def __init__(self) -> None:
@@ -85,5 +85,5 @@
 
 
 def _length_class(tokens: int) -> int:
-    """Return a class in which lengths differ by less than four times."""
+    """Return a class of lengths that differ by less than a factor of four."""
     return tokens.bit_length() // 2
--- a/src/pimentolatch/decisions/routing.py
+++ b/src/pimentolatch/decisions/routing.py
@@ -1,8 +1,8 @@
-"""Gathers what an instance knows of the backend servers that it may send to.
+"""Collects what an instance knows of the engines that it may dispatch to.
 
-Load pattern: many instances before many engines that come, go, slow down and take work
-from all of them. What each instance sent is counted at once; peers and answers tell
-the rest. `choice` chooses by it.
+Load pattern: many instances before many engines that join, leave, slow down and take
+work from all instances. Each instance counts its own dispatches at once and learns the
+rest from peers and answers. `engine_selection` selects an engine by it.
 """
 
 import datetime
@@ -24,7 +24,7 @@
 
 
 def active_engines(view: fleet.View, model: str) -> list[schema.Engine]:
-    """Return the engines that take new work for a model."""
+    """Return the engines that accept new work for a model."""
     if view.document is None:
         return []
     return [
@@ -37,7 +37,7 @@
 
 
 def role_of(view: fleet.View, engine: schema.Engine) -> schema.Role:
-    """Return the role an engine has: the view's, or else the document's."""
+    """Return the role of an engine: the view's, or else the document's."""
     for name, role in view.roles:
         if name == engine.name:
             return typing.cast(schema.Role, role)
@@ -45,15 +45,15 @@
 
 
 class Router:
-    """Gathers what is known of engines, for `choice.choose`.
+    """Collects the candidates for `engine_selection.choose`.
 
     Args:
         own_instance: Name of this instance.
         own_domain: Its failure domain.
-        counted: Work this instance sent.
-        peers: Work its peers sent.
-        known: Slow and failing servers.
-        cached: Prefixes lately sent.
+        outstanding: Work this instance dispatched.
+        peers: Work its peers dispatched.
+        server_health: Knows slow and failing servers.
+        prefixes: Prefixes recently dispatched.
     """
 
     def __init__(
@@ -86,7 +86,7 @@
         self._instances = frozenset(instances) | {self._own_instance}
 
     def engines(self, view: fleet.View, model: str) -> tuple[schema.Engine, ...]:
-        """Return the engines of a model that this instance sends to."""
+        """Return the engines of a model that this instance dispatches to."""
         if self._reachable_for != (view, self._instances):
             self._reachable_for = view, self._instances
             self._reachable = {}
@@ -95,10 +95,12 @@
         return self._reachable[model]
 
     def load(self, engine: str) -> outstanding_work.Load:
-        """Return the work at an engine from all instances that are heard."""
-        told = self._peers.server(engine)
+        """Return the work at an engine from all instances that report."""
+        reported = self._peers.server(engine)
         return self._outstanding.load(engine).plus(
-            outstanding_work.Load(told.streams, told.prompt_tokens, told.output_tokens)
+            outstanding_work.Load(
+                reported.streams, reported.prompt_tokens, reported.output_tokens
+            )
         )
 
     def candidates(
@@ -109,9 +111,9 @@
         now: datetime.timedelta,
         avoid: abc.Set[str] = frozenset(),
     ) -> list[engine_selection.Candidate]:
-        """Return the engines that may be chosen for a request.
+        """Return the engines that may be selected for a request.
 
-        Engines that only prefill are left out unless there are no others.
+        Engines with the role prefill are left out unless there are no others.
         """
         engines = self.engines(view, model)
         answering = [e for e in engines if role_of(view, e) != "prefill"]
@@ -125,7 +127,7 @@
         ]
 
     def prefill_engines(self, view: fleet.View, model: str) -> list[schema.Engine]:
-        """Return the engines of the own failure domain that only read prompts."""
+        """Return the healthy prefill engines of the own failure domain."""
         return [
             engine
             for engine in self.engines(view, model)
@@ -169,8 +171,8 @@
                 names = chosen[self._own_instance]
             else:
                 names = rendezvous.remote_engines(self._own_instance, engines.keys())
-            # The order differs by instance, so that equal engines are not all
-            # tried in the order of their names.
+            # The order differs by instance, so that instances do not all try equal
+            # engines in the order of their names.
             found += [engines[name] for name in sorted(names, key=self._rank)]
         return tuple(found)
 
