--- a/src/pimentolatch/decisions/dispatcher.py
+++ b/src/pimentolatch/decisions/dispatcher.py
@@ -298,7 +298,7 @@
         request = held.request
         name = found.engine.name
         held.started = now
-        if found.probe:
+        if found.probe_due:
             self.health.probed(name, now)
         left = max(1, held.asked.output_tokens - held.delivered)
         uncached = max(0, held.asked.prompt_tokens - found.cached_tokens)
@@ -307,7 +307,7 @@
             self._prefills.begin(request.request_id, prefill_engine, uncached)
             uncached = 0
         sent = request_work.Work(uncached, left)
-        first = found.finish(request_work.Work(held.asked.prompt_tokens, 1))
+        first = found.time_to_finish(request_work.Work(held.asked.prompt_tokens, 1))
         self._dispatches.begin(request.request_id, found.engine, sent, first, now)
         self._prefixes.record(request.prompt, name, now)
         return Start(request.request_id, found.engine, prefill_engine)
--- a/src/pimentolatch/decisions/engine_selection.py
+++ b/src/pimentolatch/decisions/engine_selection.py
@@ -43,33 +43,33 @@
     Attributes:
         engine: The engine.
         load: Work outstanding there from all instances whose reports are received.
-        own: The part of it that this instance dispatched.
+        own_load: The part of it that this instance dispatched.
         senders: Number of instances that dispatch there.
         own_domain: Whether the engine is in the instance's failure domain.
         slowness: How many times slower than its peers it is; 1 for a healthy engine.
         ejected: Whether it gets only probes.
-        probe: Whether a probe is due.
+        probe_due: Whether a probe is due.
         cached_tokens: Prompt tokens that it has in its prefix cache.
     """
 
     engine: schema.Engine
     load: outstanding_work.Load = outstanding_work.Load()
-    own: outstanding_work.Load = outstanding_work.Load()
+    own_load: outstanding_work.Load = outstanding_work.Load()
     senders: int = 1
     own_domain: bool = True
     slowness: float = 1.0
     ejected: bool = False
-    probe: bool = False
+    probe_due: bool = False
     cached_tokens: int = 0
 
     @property
-    def limit(self) -> int:
+    def stream_limit(self) -> int:
         """Most streams the engine should run, by its slowness and failure domain."""
         share = 1.0 if self.own_domain else _REMOTE_SHARE
         return max(1, int(share * self.engine.streams / self.slowness))
 
     @property
-    def room(self) -> bool:
+    def has_room(self) -> bool:
         """Whether the engine should be sent more.
 
         An instance may always fill its even share of the batch and of the prefill
@@ -83,14 +83,14 @@
         limit = _PREFILL_BACKLOG_LIMIT.total_seconds() / self.slowness
         backlog = int(limit * self.engine.prefill_tokens_per_s) + self.cached_tokens
         return (
-            self.load.streams < self.limit
-            or self.own.streams < self.limit // self.senders
+            self.load.streams < self.stream_limit
+            or self.own_load.streams < self.stream_limit // self.senders
         ) and (
             self.load.prompt_tokens <= backlog
-            or self.own.prompt_tokens <= backlog // self.senders
+            or self.own_load.prompt_tokens <= backlog // self.senders
         )
 
-    def finish(self, work: request_work.Work) -> datetime.timedelta:
+    def time_to_finish(self, work: request_work.Work) -> datetime.timedelta:
         """Return the predicted time to the end of an answer if dispatched now."""
         backlog = self.load.prompt_tokens + work.prompt_tokens - self.cached_tokens
         prefill_s = max(0, backlog) / self.engine.prefill_tokens_per_s
@@ -115,14 +115,14 @@
         force: Select an engine even if none has room, as for a broken stream.
     """
     for candidate in candidates:
-        if candidate.probe and _tolerates_probe(candidate, work, time_left):
+        if candidate.probe_due and _tolerates_probe(candidate, work, time_left):
             return candidate
     for own_domain in (True, False):
         free = [
             candidate
             for candidate in candidates
             if candidate.own_domain is own_domain
-            and candidate.room
+            and candidate.has_room
             and _in_time(candidate, work, time_left)
         ]
         if free:
@@ -139,19 +139,21 @@
 def _preference(
     candidate: Candidate, work: request_work.Work
 ) -> tuple[datetime.timedelta, int, str]:
-    return candidate.finish(work), candidate.load.streams, candidate.engine.name
+    return candidate.time_to_finish(work), candidate.load.streams, candidate.engine.name
 
 
 def _in_time(
     candidate: Candidate, work: request_work.Work, time_left: datetime.timedelta
 ) -> bool:
-    return candidate.slowness < _SLOW_FACTOR or candidate.finish(work) <= time_left
+    return (
+        candidate.slowness < _SLOW_FACTOR or candidate.time_to_finish(work) <= time_left
+    )
 
 
 def _tolerates_probe(
     candidate: Candidate, work: request_work.Work, time_left: datetime.timedelta
 ) -> bool:
-    finish = candidate.finish(work) / candidate.slowness
+    finish = candidate.time_to_finish(work) / candidate.slowness
     return candidate.load.streams == 0 and time_left >= max(
         _PROBE_SPARE + finish, finish * min(candidate.slowness, 10.0)
     )
--- a/src/pimentolatch/decisions/lanes.py
+++ b/src/pimentolatch/decisions/lanes.py
@@ -108,7 +108,9 @@
             held.predicted_run = min(times, default=_ZERO)
             run = self.runs.corrected(held.predicted_run)
         else:
-            run = min((one.finish(held.asked) for one in healthy), default=_ZERO)
+            run = min(
+                (one.time_to_finish(held.asked) for one in healthy), default=_ZERO
+            )
         wait = held.waits.corrected(held.predicted_wait)
         return admission.Forecast(wait, run, len(self.queue))
 
--- a/tests/features/experiment.feature
+++ b/tests/features/experiment.feature
@@ -4,8 +4,8 @@
     Then the variant "<text>" is refused
 
     Examples:
-      | text                                    |
-      | fast=prefill                            |
+      | text                                           |
+      | fast=prefill                                   |
       | fast=decisions.disaggregation._STREAM_DELAY    |
       | fast=decisions.disaggregation._NO_SUCH=1       |
       | fast=decisions.disaggregation._STREAM_DELAY=;x |
