--- a/src/pimentolatch/decisions/dispatcher.py
+++ b/src/pimentolatch/decisions/dispatcher.py
@@ -1,13 +1,14 @@
-"""Puts the decisions together: who waits, who is refused, and what is sent where.
+"""Combines the decisions on completions: admission, queueing and dispatch.
 
-Load pattern: all of them at once, as in production: a hot caller, during a burst,
-while an engine is slow. The single decisions live in the modules that this one
-imports; here is only their order. A request meets its caller's limit first, so that
-work over the limit never shapes the forecast of others; then the forecast; then the
-queue of its model, since engines of one model are no use to another's requests.
+Load pattern: all patterns at once, as in production: a hot caller, during a burst,
+while an engine is slow. Each decision is a module of its own; this one only fixes their
+order. A request is checked against its caller's limit first, so that work over the
+limit never shapes the wait forecast of others; then against the forecast; then it
+enters the queue of its model, since engines of one model are of no use to requests for
+another.
 
-It neither waits nor sends: `requests.schedule` does that in an instance, and tests do
-it on a clock of their own.
+It neither waits nor sends: `requests.schedule` does that in an instance, and tests
+drive it with a clock of their own.
 """
 
 import dataclasses
@@ -18,18 +19,18 @@
 from pimentolatch.decisions import (
     accounts,
     admission,
-    choice,
     demand,
     dispatches,
+    engine_selection,
     health,
     lanes,
-    outstanding,
-    prefixes,
-    readers,
+    outstanding_work,
+    prefill_dispatches,
+    recent_prefixes,
+    request_work,
     retries,
     routing,
     shares,
-    work,
 )
 from pimentolatch.document import schema
 
@@ -41,50 +42,52 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Queued:
-    """The request waits for an engine."""
+    """The request waits in the queue for an engine."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Start:
-    """A request leaves the queue for an engine; it is counted as sent.
+    """A request leaves the queue for an engine and is counted as dispatched.
 
     Attributes:
-        reader: Engine that reads the prompt first; None to read it in place.
+        request_id: The request.
+        engine: Engine that decodes, and prefills too if there is no prefill engine.
+        prefill_engine: Engine that prefills first; None to colocate prefill and decode.
     """
 
     request_id: str
     engine: schema.Engine
-    reader: schema.Engine | None = None
+    prefill_engine: schema.Engine | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Expired:
-    """A request leaves the queue with a final answer."""
+    """A request leaves the queue with a refusal as its final result."""
 
     request_id: str
     refusal: results.Refusal
 
 
 class Dispatcher:
-    """The decisions of one instance about completions.
+    """The decisions of one instance on completions.
 
     Args:
         own_instance: Name of this instance.
         own_domain: Its failure domain.
-        counted: Counts the work sent, if others send to the same servers.
+        outstanding: Counts the dispatched work, if others dispatch to the same servers.
     """
 
     def __init__(
         self,
         own_instance: str,
         own_domain: str,
-        counted: outstanding.Outstanding | None = None,
+        outstanding: outstanding_work.OutstandingWork | None = None,
     ) -> None:
         self.peers = shares.PeerShares()
-        self.outstanding = counted or outstanding.Outstanding()
+        self.outstanding = outstanding or outstanding_work.OutstandingWork()
         self.health = health.ServerHealth()
         self.retries = retries.RetryBudget()
-        self._prefixes = prefixes.PrefixMemory()
+        self._prefixes = recent_prefixes.RecentPrefixes()
         self._accounts = accounts.Accounts(self.peers)
         self._dispatches = dispatches.Dispatches(
             self.outstanding, self.peers, self.health
@@ -92,34 +95,36 @@
         self.router = routing.Router(
             own_instance,
             own_domain,
-            counted=self.outstanding,
+            outstanding=self.outstanding,
             peers=self.peers,
-            known=self.health,
-            cached=self._prefixes,
+            server_health=self.health,
+            prefixes=self._prefixes,
         )
         self._demand = demand.Totals(own_instance, "")
-        self._readers = readers.Readers(self.outstanding, self.router.load)
+        self._prefills = prefill_dispatches.PrefillDispatches(
+            self.outstanding, self.router.load
+        )
         self._lanes: dict[str, lanes.Lane] = {}
         self._held: dict[str, lanes.Held] = {}
         self._document: schema.FleetDocument | None = None
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of requests in the queues."""
         return sum(len(lane.queue) for lane in self._lanes.values())
 
     @property
     def busy(self) -> bool:
-        """Whether any request waits or runs."""
+        """Whether any request is queued or running."""
         return bool(self._held)
 
     def set_instances(self, own_domain: frozenset[str], everywhere: int) -> None:
-        """Set who shares the engines, and how many share the callers' limits."""
+        """Set the instances of the own domain and the number of all instances."""
         self.router.set_instances(own_domain)
         self._accounts.set_instances(everywhere)
 
     def shares(self, now: datetime.timedelta) -> shares.Shares:
-        """Return what the peers need to know of this instance's work."""
+        """Return the work of this instance that is reported to its peers."""
         self.peers.expire(now)
         totals = dataclasses.replace(self._demand, uptime_s=now.total_seconds())
         return shares.Shares(
@@ -137,8 +142,8 @@
         self._learn_document(document)
         lane = self._lane(request.model, engines)
         held = self._accounts.expected(request, lane, engines, now)
-        asked = held.asked
-        self._demand = self._demand.plus(asked.prompt_tokens, asked.output_tokens)
+        work = held.asked
+        self._demand = self._demand.plus(work.prompt_tokens, work.output_tokens)
         if refusal := self._accounts.over_limit(held, now):
             return refusal
         found = self.router.candidates(view, request.model, request.prompt, now)
@@ -152,7 +157,7 @@
         return Queued()
 
     def start(self, view: fleet.View, now: datetime.timedelta) -> list[Start]:
-        """Take from the queues what engines have room for."""
+        """Dispatch from the queues what engines have room for."""
         self._dispatches.check(now)
         started: list[Start] = []
         for lane in self._lanes.values():
@@ -168,15 +173,15 @@
         return started
 
     def expire(self, now: datetime.timedelta) -> list[Expired]:
-        """Take from the queues what can no longer be answered in time."""
-        gone = []
+        """Remove from the queues what can no longer be answered before its deadline."""
+        expired = []
         for lane in self._lanes.values():
             for item in lane.queue.expire(now):
                 held = self._held.pop(item.request_id)
                 held.waits.observe(held.predicted_wait, now - held.arrived)
                 self._accounts.charge(held, -held.units, now)
-                gone.append(Expired(item.request_id, lane.late(held, now)))
-        return gone
+                expired.append(Expired(item.request_id, lane.late(held, now)))
+        return expired
 
     def next_expiry(self) -> datetime.timedelta | None:
         """Return when `expire` next has something to return, or None."""
@@ -190,11 +195,11 @@
         failed: frozenset[str],
         now: datetime.timedelta,
     ) -> Start | None:
-        """Return an engine for a dispatch that failed, or None if it must not retry.
+        """Return an engine to retry a failed dispatch on; None if it must not retry.
 
-        It goes before all that waits: it was admitted before them, and a stream that
-        broke off has a reader in front of it. The budget pays only for dispatches
-        that may have cost an engine work and gave nothing.
+        A retry goes before all queued requests: it was admitted before them, and a
+        client is reading the broken stream. The retry budget is spent only on
+        dispatches that may have cost an engine work and produced no token.
         """
         held = self._held.get(request_id)
         document = view.document
@@ -203,14 +208,14 @@
         wasted = held.maybe_ran and not held.delivered
         if wasted and not self.retries.spend():
             return None
-        found = self._choose(view, held, now, failed, must=True)
+        found = self._choose(view, held, now, failed, force=True)
         if found is None:
             return None
         return self._begin(view, held, found, now)
 
-    def prompt_read(self, request_id: str) -> None:
-        """Count a prompt that was read apart as done, or as given up."""
-        self._readers.end(request_id)
+    def prefill_ended(self, request_id: str) -> None:
+        """Count a prefill on a separate engine as ended or abandoned."""
+        self._prefills.end(request_id)
 
     def token(self, request_id: str, now: datetime.timedelta) -> None:
         """Count one token of a request as received."""
@@ -222,7 +227,7 @@
         outcome: outcomes.EngineEvent | None,
         now: datetime.timedelta,
     ) -> None:
-        """Count a dispatch as over; None if the caller went away."""
+        """Count a dispatch as ended; the outcome is None if the caller disconnected."""
         failed = isinstance(outcome, outcomes.Broken | outcomes.NotRun)
         over = self._dispatches.end(request_id, now, failed=failed)
         held = self._held.get(request_id)
@@ -236,8 +241,8 @@
             self._finished(held, outcome.length, now)
 
     def leave(self, request_id: str, now: datetime.timedelta) -> None:
-        """Forget a request that ended or whose caller went away."""
-        self._readers.end(request_id)
+        """Remove a request that has ended or whose caller has disconnected."""
+        self._prefills.end(request_id)
         self._dispatches.end(request_id, now, failed=False)
         held = self._held.pop(request_id, None)
         if held is None:
@@ -274,50 +279,52 @@
         now: datetime.timedelta,
         avoid: frozenset[str] = frozenset(),
         *,
-        must: bool = False,
-    ) -> choice.Candidate | None:
+        force: bool = False,
+    ) -> engine_selection.Candidate | None:
         request = held.request
         candidates = self.router.candidates(
             view, request.model, request.prompt, now, avoid
         )
         left = request.deadline - now
-        return choice.choose(candidates, held.asked, left, must=must)
+        return engine_selection.choose(candidates, held.asked, left, force=force)
 
     def _begin(
         self,
         view: fleet.View,
         held: lanes.Held,
-        found: choice.Candidate,
+        found: engine_selection.Candidate,
         now: datetime.timedelta,
     ) -> Start:
         request = held.request
         name = found.engine.name
         held.started = now
-        if found.probe:
+        if found.probe_due:
             self.health.probed(name, now)
         left = max(1, held.asked.output_tokens - held.delivered)
-        unread = max(0, held.asked.prompt_tokens - found.cached_tokens)
-        reader = self._reader(view, held, found)
-        if reader is not None:
-            self._readers.begin(request.request_id, reader, unread)
-            unread = 0
-        sent = work.Work(unread, left)
-        first = found.finish(work.Work(held.asked.prompt_tokens, 1))
+        uncached = max(0, held.asked.prompt_tokens - found.cached_tokens)
+        prefill_engine = self._prefill_engine(view, held, found)
+        if prefill_engine is not None:
+            self._prefills.begin(request.request_id, prefill_engine, uncached)
+            uncached = 0
+        sent = request_work.Work(uncached, left)
+        first = found.time_to_finish(request_work.Work(held.asked.prompt_tokens, 1))
         self._dispatches.begin(request.request_id, found.engine, sent, first, now)
-        self._prefixes.sent(request.prompt, name, now)
-        return Start(request.request_id, found.engine, reader)
+        self._prefixes.record(request.prompt, name, now)
+        return Start(request.request_id, found.engine, prefill_engine)
 
-    def _reader(
-        self, view: fleet.View, held: lanes.Held, found: choice.Candidate
+    def _prefill_engine(
+        self, view: fleet.View, held: lanes.Held, found: engine_selection.Candidate
     ) -> schema.Engine | None:
         document = view.document
         model = held.request.model
-        able = self.router.readers(view, model)
-        if not able or document is None:
+        prefill_engines = self.router.prefill_engines(view, model)
+        if not prefill_engines or document is None:
             return None
         role = routing.role_of(view, found.engine)
-        answering = self._readers.load_of(found.engine, role, found.cached_tokens)
-        return self._readers.choose(document, model, answering, able, held.asked)
+        decode_engine = self._prefills.load_of(found.engine, role, found.cached_tokens)
+        return self._prefills.choose(
+            document, model, decode_engine, prefill_engines, held.asked
+        )
 
 
 def _no_engine() -> results.Refusal:
--- a/src/pimentolatch/decisions/outstanding.py
+++ b/src/pimentolatch/decisions/outstanding_work.py
@@ -1,23 +1,23 @@
-"""Counts the work this instance has sent to each backend server.
+"""Counts the work this instance has outstanding at each backend server.
 
-Load pattern: reports of load come seconds late, while a burst of short drafts is over
-in one. Without a count of our own, every instance sends the burst to the engine that
-looked idle seconds ago. What was sent is known at once and needs no report.
+Load pattern: load reports come seconds late, while a burst of short prompts is over
+within one. Without a count of its own, every instance sends the burst to the engine
+that looked idle seconds ago. What was dispatched is known at once and needs no report.
 
-Reports still find what nobody counts any more, such as the streams of an instance that
-was killed. `unseen_streams` takes from a report only what it shows above our own count
-of the same moment, and trusts it less as it ages: after ten seconds, the longest lag
-that engines have shown, it counts for nothing.
+Reports still reveal work that no instance counts any more, such as the streams of an
+instance that was killed. `uncounted_streams` takes from a report only what exceeds the
+count at the time of the report, and trusts it less as it ages: after ten seconds, the
+longest lag that engines have shown, the report is ignored.
 """
 
 import dataclasses
 import datetime
 
-from pimentolatch.decisions import shares, work
+from pimentolatch.decisions import request_work, shares
 
-__all__ = ["Load", "Outstanding", "unseen_streams"]
+__all__ = ["Load", "OutstandingWork", "uncounted_streams"]
 
-_NO_WORK = work.Work()
+_NO_WORK = request_work.Work()
 _REPORT_LIFETIME = datetime.timedelta(seconds=10)
 
 
@@ -41,34 +41,34 @@
 _NOTHING = Load()
 
 
-class Outstanding:
-    """Work sent and not yet done, by backend server."""
+class OutstandingWork:
+    """Work dispatched and not yet done, by backend server."""
 
     def __init__(self) -> None:
         self._loads: dict[str, Load] = {}
 
-    def begin(self, server: str, sent: work.Work = _NO_WORK) -> None:
-        """Count a request as sent."""
+    def begin(self, server: str, sent: request_work.Work = _NO_WORK) -> None:
+        """Count a request as dispatched."""
         self._add(server, 1, sent.prompt_tokens, sent.output_tokens)
 
-    def progress(self, server: str, done: work.Work) -> None:
-        """Count a part of a request's tokens as read or written."""
+    def progress(self, server: str, done: request_work.Work) -> None:
+        """Count some of a request's tokens as prefilled or decoded."""
         self._add(server, 0, -done.prompt_tokens, -done.output_tokens)
 
-    def end(self, server: str, left: work.Work = _NO_WORK) -> None:
+    def end(self, server: str, left: request_work.Work = _NO_WORK) -> None:
         """Count a request as ended; `left` is what was not yet counted as done."""
         self._add(server, -1, -left.prompt_tokens, -left.output_tokens)
 
     def load(self, server: str) -> Load:
-        """Return the work now at a server."""
+        """Return the outstanding work at a server."""
         return self._loads.get(server, _NOTHING)
 
     def requests(self, server: str) -> int:
-        """Return the requests now at a server."""
+        """Return the number of outstanding requests at a server."""
         return self.load(server).streams
 
     def shares(self) -> tuple[shares.ServerWork, ...]:
-        """Return what peers need to know."""
+        """Return the outstanding work as it is reported to peers."""
         return tuple(
             shares.ServerWork(
                 server, load.streams, load.prompt_tokens, load.output_tokens
@@ -84,13 +84,13 @@
             self._loads.pop(server, None)
 
 
-def unseen_streams(counted_then: int, reported: int, age: datetime.timedelta) -> int:
-    """Return the streams that a report shows and that nobody counts.
+def uncounted_streams(counted: int, reported: int, age: datetime.timedelta) -> int:
+    """Return the streams in a load report that no instance counts.
 
     Args:
-        counted_then: Streams that all instances counted when the report was made.
-        reported: Streams in the report, running and waiting.
+        counted: Streams that all instances counted at the time of the report.
+        reported: Streams in the report, running and queued.
         age: Age of the report.
     """
     trust = max(0.0, 1.0 - age / _REPORT_LIFETIME)
-    return round(trust * max(0, reported - counted_then))
+    return round(trust * max(0, reported - counted))
--- /dev/null
+++ b/src/pimentolatch/decisions/placement_types.py
@@ -0,0 +1,97 @@
+"""Requests to `placement` and its results."""
+
+import dataclasses
+import datetime
+
+from pimentolatch.decisions import engine_loads
+from pimentolatch.requests import prompts
+
+__all__ = [
+    "Disaggregated",
+    "PlacementRequest",
+    "Infeasible",
+    "Colocated",
+    "NoEngine",
+    "PlacementResult",
+]
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Colocated:
+    """Prefill and decode on one engine.
+
+    Attributes:
+        engine: The engine.
+        tokens: Prompt tokens to prefill.
+        kv_source: Engine to fetch a longer cached prefix from; None if the prefilling
+            engine has as much cached itself.
+        level: Urgency level to dispatch with.
+        expected: Expected time to the first event.
+    """
+
+    engine: engine_loads.EngineLoad
+    tokens: int
+    kv_source: engine_loads.EngineLoad | None
+    level: int
+    expected: datetime.timedelta
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Disaggregated:
+    """Prefill on one engine and decode on another.
+
+    Attributes:
+        prefill_engine: Engine that runs the prefill.
+        engine: Engine that runs the decode.
+        tokens: Prompt tokens to prefill.
+        kv_source: See `Colocated`.
+        level: Urgency level to dispatch the prefill with.
+        expected: Expected time to the first event.
+    """
+
+    prefill_engine: engine_loads.EngineLoad
+    engine: engine_loads.EngineLoad
+    tokens: int
+    kv_source: engine_loads.EngineLoad | None
+    level: int
+    expected: datetime.timedelta
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Infeasible:
+    """No engine can produce the first event before the client's deadline.
+
+    Attributes:
+        retry_after: Time until the queue is expected to have room.
+    """
+
+    retry_after: datetime.timedelta
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class NoEngine:
+    """No decode engine accepts requests now; one may be available again shortly."""
+
+
+PlacementResult = Colocated | Disaggregated | Infeasible | NoEngine
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class PlacementRequest:
+    """A prompt that needs engines.
+
+    Attributes:
+        prompt: The prompt.
+        rank: Priority rank of its route; 0 is the highest.
+        large: Whether it is large among the prompts of its route.
+        time_to_target: Time left until the route's latency target for the first event.
+        time_to_deadline: Time the client still waits for the first event.
+        lot: Uniform random number from 0 to 1, fixed for the request.
+    """
+
+    prompt: prompts.Prompt
+    rank: int
+    large: bool
+    time_to_target: datetime.timedelta
+    time_to_deadline: datetime.timedelta
+    lot: float
--- a/src/pimentolatch/decisions/prefix_cache.py
+++ b/src/pimentolatch/decisions/prefix_cache.py
@@ -1,9 +1,10 @@
-"""Remembers which parts of prompts one engine keeps in its prefix cache.
+"""Estimates which prompt parts one engine has in its prefix cache.
 
-Load pattern: a part that an engine has read is kept there until memory runs out, and
-reading it again elsewhere costs as much as a new prompt. What was sent where is known
-at once; the engine's own events of it come late and with gaps. Parts are taken to
-yield in the order in which they were last used, as far as instances tell each other.
+Load pattern: a part that an engine has prefilled stays cached there until memory runs
+out, and recomputing it elsewhere costs as much as a new prompt. An instance knows at
+once what it dispatched where; the engine's own cache events come late and with gaps.
+Eviction is assumed to be least recently used first, by the uses that instances report
+to each other.
 """
 
 import collections
@@ -12,53 +13,53 @@
 
 __all__ = ["PrefixCache"]
 
-# Part of an engine's memory that is taken to hold shared parts; running requests take
-# the rest first.
-_KEPT_SHARE = 0.75
+# Share of an engine's KV memory assumed to hold shared parts; running requests take the
+# rest first.
+_SHARED_PART_SHARE = 0.75
 
 
 class PrefixCache:
-    """Parts that one engine keeps, by their keys; the least lately used ones yield."""
+    """Cached parts of one engine by key, evicted least recently used first."""
 
     def __init__(self) -> None:
-        self._kept: collections.OrderedDict[int, int] = collections.OrderedDict()
+        self._parts: collections.OrderedDict[int, int] = collections.OrderedDict()
         self._tokens = 0
 
-    def kept(self, prompt: prompts.Prompt) -> int:
-        """Return the tokens at the beginning of a prompt that the engine keeps.
+    def cached_tokens(self, prompt: prompts.Prompt) -> int:
+        """Return the length of a prompt's prefix that the engine has cached, in tokens.
 
-        A kept part saves its tokens only if every part before it is kept too.
+        A cached part saves its tokens only if every part before it is cached too.
         """
-        saved = 0
+        cached = 0
         for part in prompt.parts:
-            if prompts.part_key(part.name) not in self._kept:
+            if prompts.part_key(part.name) not in self._parts:
                 break
-            saved += part.tokens
-        return min(saved, prompt.tokens)
+            cached += part.tokens
+        return min(cached, prompt.tokens)
 
-    def keep(self, part: int, tokens: int, most_tokens: int) -> bool:
-        """Note that the engine keeps a part.
+    def add(self, part: int, tokens: int, capacity_tokens: int) -> bool:
+        """Record that the engine has a part cached.
 
         Args:
             part: Key of the part.
-            tokens: Its tokens.
-            most_tokens: Tokens that fit the engine's memory.
+            tokens: Tokens of the part.
+            capacity_tokens: Tokens that fit the engine's KV memory.
 
         Returns:
-            Whether this was not known.
+            Whether this was not known before.
         """
-        known = part in self._kept
+        known = part in self._parts
         if known:
-            self._kept.move_to_end(part)
+            self._parts.move_to_end(part)
         else:
-            self._kept[part] = tokens
+            self._parts[part] = tokens
             self._tokens += tokens
-        while self._tokens > most_tokens * _KEPT_SHARE and self._kept:
-            _, evicted = self._kept.popitem(last=False)
+        while self._tokens > capacity_tokens * _SHARED_PART_SHARE and self._parts:
+            _, evicted = self._parts.popitem(last=False)
             self._tokens -= evicted
         return not known
 
-    def keep_prompt(self, prompt: prompts.Prompt, most_tokens: int) -> None:
-        """Note that the engine keeps all parts of a prompt; see `keep`."""
+    def add_prompt(self, prompt: prompts.Prompt, capacity_tokens: int) -> None:
+        """Record that the engine has all parts of a prompt cached; see `add`."""
         for part in prompt.parts:
-            self.keep(prompts.part_key(part.name), part.tokens, most_tokens)
+            self.add(prompts.part_key(part.name), part.tokens, capacity_tokens)
