--- a/benchmarks/peer_member.py
+++ b/benchmarks/peer_member.py
@@ -16,7 +16,7 @@
 import psutil
 
 from pimentolatch import checks, clock, fleet, metrics, settings
-from pimentolatch.decisions import shares
+from pimentolatch.decisions import work_reports
 from pimentolatch.entry import control_plane
 
 __all__ = ["Usage", "main"]
@@ -43,11 +43,11 @@
     def __init__(self) -> None:
         self._chance = random.Random()
 
-    def __call__(self) -> shares.Shares:
+    def __call__(self) -> work_reports.WorkReport:
         chance = self._chance
-        return shares.Shares(
+        return work_reports.WorkReport(
             tuple(
-                shares.ServerWork(
+                work_reports.ServerWork(
                     f"engine-{number:04}",
                     chance.randint(1, 32),
                     chance.randint(0, 90_000),
@@ -56,7 +56,7 @@
                 for number in range(SERVERS)
             ),
             tuple(
-                shares.CallerWork(f"caller-{number:04}", chance.uniform(0, 5000))
+                work_reports.CallerWork(f"caller-{number:04}", chance.uniform(0, 5000))
                 for number in range(CALLERS)
             ),
         )
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -5,7 +5,7 @@
 from collections import abc
 
 from benchmarks import patterns, runs, serving
-from pimentolatch.decisions import demand, roles, states
+from pimentolatch.decisions import demand, engine_states, roles
 from pimentolatch.document import schema
 
 __all__ = ["Ours", "Reactive", "Schedule", "Static", "best_schedules", "split_name"]
@@ -20,7 +20,7 @@
     def plan(
         self,
         now: datetime.timedelta,
-        engines: abc.Sequence[states.EngineState],
+        engines: abc.Sequence[engine_states.EngineState],
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> tuple[roles.RoleChange, ...]:
@@ -37,7 +37,7 @@
     def plan(
         self,
         now: datetime.timedelta,
-        engines: abc.Sequence[states.EngineState],
+        engines: abc.Sequence[engine_states.EngineState],
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> tuple[roles.RoleChange, ...]:
@@ -68,13 +68,15 @@
     def plan(
         self,
         now: datetime.timedelta,
-        engines: abc.Sequence[states.EngineState],
+        engines: abc.Sequence[engine_states.EngineState],
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> tuple[roles.RoleChange, ...]:
         """See `runs.Planner.plan`."""
-        serving_now = [e for e in engines if e.condition is states.Condition.SERVING]
-        changing = any(e.condition is states.Condition.CHANGING for e in engines)
+        serving_now = [
+            e for e in engines if e.condition is engine_states.Condition.SERVING
+        ]
+        changing = any(e.condition is engine_states.Condition.CHANGING for e in engines)
         window = samples[-self.samples :]
         last = max((e.since for e in engines if e.since), default=None)
         paused = last and (now - last).total_seconds() < self.pause_s
@@ -84,7 +86,7 @@
 
     def _compare(
         self,
-        engines: list[states.EngineState],
+        engines: list[engine_states.EngineState],
         window: abc.Sequence[demand.Sample],
     ) -> tuple[roles.RoleChange, ...]:
         readers = [e for e in engines if e.role == "prefill"]
@@ -125,7 +127,7 @@
     def plan(
         self,
         now: datetime.timedelta,
-        engines: abc.Sequence[states.EngineState],
+        engines: abc.Sequence[engine_states.EngineState],
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> tuple[roles.RoleChange, ...]:
@@ -133,11 +135,11 @@
         moment = now.total_seconds()
         wanted = [split for at, split in self._splits if at <= moment][-1]
         missing = [ROLES[letter] for letter in wanted]
-        surplus: list[states.EngineState] = []
+        surplus: list[engine_states.EngineState] = []
         for state in engines:
             if state.role in missing:
                 missing.remove(state.role)
-            elif state.condition is states.Condition.SERVING:
+            elif state.condition is engine_states.Condition.SERVING:
                 surplus.append(state)
         return tuple(
             roles.RoleChange(state.engine.name, role, "foreseen")
--- a/benchmarks/runs.py
+++ b/benchmarks/runs.py
@@ -8,7 +8,7 @@
 from collections import abc
 
 from benchmarks import fakes, patterns
-from pimentolatch.decisions import demand, roles, states
+from pimentolatch.decisions import demand, engine_states, roles
 from pimentolatch.document import schema
 
 __all__ = ["Counts", "Options", "Outcome", "Planner", "Scenario", "Slot"]
@@ -66,7 +66,7 @@
     def plan(
         self,
         now: datetime.timedelta,
-        engines: abc.Sequence[states.EngineState],
+        engines: abc.Sequence[engine_states.EngineState],
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> tuple[roles.RoleChange, ...]:
--- a/benchmarks/serving.py
+++ b/benchmarks/serving.py
@@ -10,7 +10,7 @@
 from collections import abc
 
 from benchmarks import fakes, patterns, runs
-from pimentolatch.decisions import demand, prefill, states
+from pimentolatch.decisions import demand, engine_states, prefill
 
 __all__ = ["WINDOW_S", "Run", "serve"]
 
@@ -49,7 +49,7 @@
         ]
         self._totals = [demand.Totals(f"entry-{n}", "1") for n in range(ENTRIES)]
         self._history = demand.History()
-        self._reports: collections.deque[tuple[states.EngineState, ...]]
+        self._reports: collections.deque[tuple[engine_states.EngineState, ...]]
         self._reports = collections.deque()
         self._timers: list[tuple[float, int, abc.Callable[[float], None]]] = []
         self._order = itertools.count()
@@ -278,17 +278,19 @@
             self._reports.popleft()
         self._at(now + HEARTBEAT_S, self._heartbeat)
 
-    def _state(self, slot: runs.Slot) -> states.EngineState:
-        condition = states.Condition.SERVING
+    def _state(self, slot: runs.Slot) -> engine_states.EngineState:
+        condition = engine_states.Condition.SERVING
         if slot.withdrawn:
-            condition = states.Condition.WITHDRAWN
+            condition = engine_states.Condition.WITHDRAWN
         elif slot.down:
-            condition = states.Condition.UNCERTAIN
-        return states.EngineState(
+            condition = engine_states.Condition.UNCERTAIN
+        return engine_states.EngineState(
             slot.fake.engine, slot.fake.role, condition, slot.since
         )
 
-    def _known(self, report: states.EngineState, slot: runs.Slot) -> states.EngineState:
+    def _known(
+        self, report: engine_states.EngineState, slot: runs.Slot
+    ) -> engine_states.EngineState:
         """Roles come from the order slots, which are never late; the rest from reports.
 
         A late report still shows the old role when a change has just ended, and the
@@ -296,7 +298,7 @@
         """
         if slot.order:
             return dataclasses.replace(
-                report, role=slot.order.role, condition=states.Condition.CHANGING
+                report, role=slot.order.role, condition=engine_states.Condition.CHANGING
             )
         times = [t for t in (report.since, slot.role_since) if t is not None]
         return dataclasses.replace(
--- a/src/pimentolatch/control/allowance.py
+++ b/src/pimentolatch/control/allowance.py
@@ -9,7 +9,7 @@
 import collections
 from collections import abc
 
-from pimentolatch.decisions import capacity
+from pimentolatch.decisions import serving_floor
 from pimentolatch.document import schema
 
 __all__ = ["Allowance"]
@@ -38,7 +38,7 @@
         self._loads = loads
         self._spare = _models_of(in_service)
         for model, count in _models_of(active).items():
-            least = capacity.least_serving(count, policy.least_serving_share)
+            least = serving_floor.min_serving(count, policy.least_serving_share)
             self._spare[model] -= least
 
     def take_change(self, engine: schema.Engine, in_service: bool) -> str | None:
--- a/src/pimentolatch/decisions/accounts.py
+++ b/src/pimentolatch/decisions/accounts.py
@@ -10,7 +10,7 @@
 from collections import abc
 
 from pimentolatch import results
-from pimentolatch.decisions import lanes, limits, shares, work
+from pimentolatch.decisions import lanes, limits, work, work_reports
 from pimentolatch.document import schema
 
 __all__ = ["Accounts"]
@@ -23,7 +23,7 @@
         peers: What the other instances reported of the callers' demand.
     """
 
-    def __init__(self, peers: shares.PeerShares) -> None:
+    def __init__(self, peers: work_reports.PeerReports) -> None:
         self._limits = limits.CallerLimits(peers)
         self._estimates = work.OutputEstimates()
         self._callers: dict[str, schema.Caller] = {}
@@ -36,7 +36,7 @@
         """Set how many instances share the limits."""
         self._limits.set_instances(instances)
 
-    def shares(self, now: datetime.timedelta) -> tuple[shares.CallerWork, ...]:
+    def shares(self, now: datetime.timedelta) -> tuple[work_reports.CallerWork, ...]:
         """Return the demands that peers need to know."""
         return self._limits.shares(now)
 
--- a/src/pimentolatch/decisions/earnings.py
+++ b/src/pimentolatch/decisions/cost_benefit.py
@@ -11,16 +11,16 @@
 import itertools
 from collections import abc
 
-from pimentolatch.decisions import demand, splits, states
+from pimentolatch.decisions import demand, engine_states, overload_model
 from pimentolatch.document import schema
 
-__all__ = ["Earnings"]
+__all__ = ["CostBenefit"]
 
 # Samples that stand for the demand while an engine is away.
 _RECENT_SAMPLES = 6
 
 
-class Earnings:
+class CostBenefit:
     """Gains and prices of changes, by the demand that the present engines answered.
 
     Samples from before an engine last came, went or changed were answered by others.
@@ -30,26 +30,28 @@
 
     def __init__(
         self,
-        engines: abc.Sequence[states.EngineState],
+        engines: abc.Sequence[engine_states.EngineState],
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> None:
-        last = states.last_event(engines)
+        last = engine_states.last_change(engines)
         self._engines = engines
         self._policy = policy
         self._newest_first = [s for s in reversed(samples) if s.at > last]
         self._recent = self._newest_first[:_RECENT_SAMPLES]
-        self._staying = _losses(engines, self._newest_first)
+        self._staying_losses = _losses(engines, self._newest_first)
 
-    def may_earn(self) -> bool:
+    def may_pay_off(self) -> bool:
         """Tell whether any change could earn its price; spares looking at each one."""
         lost = sum(
             loss * sample.length_s
-            for loss, sample in zip(self._staying, self._newest_first, strict=True)
+            for loss, sample in zip(
+                self._staying_losses, self._newest_first, strict=True
+            )
         )
-        return lost > self._weight()
+        return lost > self._change_weight()
 
-    def gain(self, after: abc.Sequence[states.EngineState]) -> float:
+    def gain(self, after: abc.Sequence[engine_states.EngineState]) -> float:
         """Return the answers lost by staying since a shift began.
 
         The sum over the samples up to now, from the start that makes it largest: a
@@ -62,12 +64,12 @@
         gains = (
             (stay - change) * sample.length_s
             for stay, change, sample in zip(
-                self._staying, changed, self._newest_first, strict=True
+                self._staying_losses, changed, self._newest_first, strict=True
             )
         )
         return max(itertools.accumulate(gains), default=0.0)
 
-    def price(self, engine: str) -> float:
+    def cost(self, engine: str) -> float:
         """Return what a change of an engine costs, in answers.
 
         While it drains and changes, the others carry its work as well as they can;
@@ -78,19 +80,23 @@
             return 0.0
         others = [state for state in self._engines if state.engine.name != engine]
         lost = sum(_losses(others, self._recent)) - sum(
-            self._staying[: len(self._recent)]
+            self._staying_losses[: len(self._recent)]
         )
         (state,) = [state for state in self._engines if state.engine.name == engine]
-        away_s = self._policy.change_cost_s + self._drain_s(state)
-        return max(0.0, lost / len(self._recent)) * away_s + self._weight()
+        unavailable_s = self._policy.change_cost_s + self._drain_s(state)
+        return (
+            max(0.0, lost / len(self._recent)) * unavailable_s + self._change_weight()
+        )
 
-    def _weight(self) -> float:
+    def _change_weight(self) -> float:
         if not self._recent:
             return 0.0
-        asked = sum(sample.requests for sample in self._recent) / len(self._recent)
-        return self._policy.change_weight * asked / len(self._engines)
+        request_rate = sum(sample.requests for sample in self._recent) / len(
+            self._recent
+        )
+        return self._policy.change_weight * request_rate / len(self._engines)
 
-    def _drain_s(self, state: states.EngineState) -> float:
+    def _drain_s(self, state: engine_states.EngineState) -> float:
         """Return how long the engine's last streams take, in seconds."""
         requests = sum(sample.requests for sample in self._recent)
         if not requests or state.role == "prefill":
@@ -100,14 +106,15 @@
 
 
 def _losses(
-    engines: abc.Iterable[states.EngineState], samples: abc.Iterable[demand.Sample]
+    engines: abc.Iterable[engine_states.EngineState],
+    samples: abc.Iterable[demand.Sample],
 ) -> list[float]:
     speeds = [
-        splits.Speed(
+        overload_model.EngineSpeed(
             state.role,
             state.engine.prefill_tokens_per_s,
             state.engine.decode_tokens_per_s,
         )
-        for state in states.settled(engines)
+        for state in engine_states.settled(engines)
     ]
-    return [splits.loss(speeds, sample) for sample in samples]
+    return [overload_model.lost_answers(speeds, sample) for sample in samples]
--- a/src/pimentolatch/decisions/demand.py
+++ b/src/pimentolatch/decisions/demand.py
@@ -20,7 +20,7 @@
 LONG_PROMPT_TOKENS = 2048
 # Heartbeats come every second. An instance that is silent for this long is not
 # counted any more; until then it is taken to go on as before.
-_SILENCE = datetime.timedelta(seconds=15)
+_MAX_SILENCE = datetime.timedelta(seconds=15)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -108,9 +108,9 @@
     """
 
     def __init__(
-        self, keep: datetime.timedelta = datetime.timedelta(minutes=5)
+        self, retention: datetime.timedelta = datetime.timedelta(minutes=5)
     ) -> None:
-        self._keep = keep
+        self._retention = retention
         self._rates: dict[str, _Rate] = {}
         self._samples: collections.deque[Sample] = collections.deque()
         self._last: datetime.timedelta | None = None
@@ -127,7 +127,7 @@
         hour without the duty would otherwise take that hour for one long sample, and
         whatever it lost would earn a change at once.
         """
-        if self._last is not None and now - self._last > _SILENCE:
+        if self._last is not None and now - self._last > _MAX_SILENCE:
             self._samples.clear()
             self._rates.clear()
             self._last = None
@@ -136,12 +136,12 @@
         self._rates = {
             name: rate
             for name, rate in self._rates.items()
-            if now - rate.seen <= _SILENCE
+            if now - rate.seen <= _MAX_SILENCE
         }
         if self._last is not None and now > self._last:
             self._samples.append(self._sample(now, now - self._last))
         self._last = now
-        while self._samples and now - self._samples[0].at > self._keep:
+        while self._samples and now - self._samples[0].at > self._retention:
             self._samples.popleft()
 
     def _rate(self, now: datetime.timedelta, new: Totals) -> _Rate:
--- a/src/pimentolatch/decisions/demand_rate.py
+++ b/src/pimentolatch/decisions/demand_rate.py
@@ -21,38 +21,38 @@
 class ServiceDemand:
     """Tokens a second that are to be read, and written."""
 
-    reading: float
-    writing: float
+    prefill: float
+    decode: float
 
 
 class DemandRate:
     """Exponentially weighted rates of one service."""
 
     def __init__(self) -> None:
-        self._reading = 0.0
-        self._writing = 0.0
-        self._at = datetime.timedelta()
+        self._prefill = 0.0
+        self._decode = 0.0
+        self._updated_at = datetime.timedelta()
 
-    def add(self, reading: float, writing: int, now: datetime.timedelta) -> None:
+    def add(self, prefill: float, decode: int, now: datetime.timedelta) -> None:
         """Count a request.
 
         Args:
-            reading: Tokens that could be read in the time that its prompt takes.
-            writing: Tokens that it is expected to write.
+            prefill: Tokens that could be read in the time that its prompt takes.
+            decode: Tokens that it is expected to write.
             now: The time.
         """
-        self._fade(now)
-        self._reading += reading / _TIME_CONSTANT_S
-        self._writing += writing / _TIME_CONSTANT_S
+        self._decay(now)
+        self._prefill += prefill / _TIME_CONSTANT_S
+        self._decode += decode / _TIME_CONSTANT_S
 
     def rate(self, now: datetime.timedelta) -> ServiceDemand:
         """Return the rates of this moment."""
-        self._fade(now)
-        return ServiceDemand(self._reading, self._writing)
-
-    def _fade(self, now: datetime.timedelta) -> None:
-        passed = (now - self._at).total_seconds()
-        factor = math.exp(-passed / _TIME_CONSTANT_S)
-        self._reading *= factor
-        self._writing *= factor
-        self._at = now
+        self._decay(now)
+        return ServiceDemand(self._prefill, self._decode)
+
+    def _decay(self, now: datetime.timedelta) -> None:
+        elapsed_s = (now - self._updated_at).total_seconds()
+        factor = math.exp(-elapsed_s / _TIME_CONSTANT_S)
+        self._prefill *= factor
+        self._decode *= factor
+        self._updated_at = now
--- a/src/pimentolatch/decisions/dispatcher.py
+++ b/src/pimentolatch/decisions/dispatcher.py
@@ -28,8 +28,8 @@
     readers,
     retries,
     routing,
-    shares,
     work,
+    work_reports,
 )
 from pimentolatch.document import schema
 
@@ -80,7 +80,7 @@
         own_domain: str,
         counted: outstanding.Outstanding | None = None,
     ) -> None:
-        self.peers = shares.PeerShares()
+        self.peers = work_reports.PeerReports()
         self.outstanding = counted or outstanding.Outstanding()
         self.health = health.ServerHealth()
         self.retries = retries.RetryBudget()
@@ -118,11 +118,11 @@
         self.router.set_instances(own_domain)
         self._accounts.set_instances(everywhere)
 
-    def shares(self, now: datetime.timedelta) -> shares.Shares:
+    def shares(self, now: datetime.timedelta) -> work_reports.WorkReport:
         """Return what the peers need to know of this instance's work."""
         self.peers.expire(now)
         totals = dataclasses.replace(self._demand, uptime_s=now.total_seconds())
-        return shares.Shares(
+        return work_reports.WorkReport(
             self.outstanding.shares(), self._accounts.shares(now), (totals,)
         )
 
--- a/src/pimentolatch/decisions/dispatches.py
+++ b/src/pimentolatch/decisions/dispatches.py
@@ -16,7 +16,7 @@
 import dataclasses
 import datetime
 
-from pimentolatch.decisions import health, outstanding, shares, work
+from pimentolatch.decisions import health, outstanding, work, work_reports
 from pimentolatch.document import schema
 
 __all__ = ["Dispatches", "Ended"]
@@ -58,7 +58,7 @@
     def __init__(
         self,
         counted: outstanding.Outstanding,
-        peers: shares.PeerShares,
+        peers: work_reports.PeerReports,
         known: health.ServerHealth,
     ) -> None:
         self._counted = counted
--- a/src/pimentolatch/decisions/states.py
+++ b/src/pimentolatch/decisions/engine_states.py
@@ -7,7 +7,7 @@
 
 from pimentolatch.document import schema
 
-__all__ = ["Condition", "EngineState", "last_event", "serving", "settled"]
+__all__ = ["Condition", "EngineState", "last_change", "serving", "settled"]
 
 
 class Condition(enum.StrEnum):
@@ -45,11 +45,11 @@
 
 def settled(states: abc.Iterable[EngineState]) -> list[EngineState]:
     """Return the engines that take work now or will after their change."""
-    kept = (Condition.SERVING, Condition.CHANGING)
-    return [state for state in states if state.condition in kept]
+    counted = (Condition.SERVING, Condition.CHANGING)
+    return [state for state in states if state.condition in counted]
 
 
-def last_event(states: abc.Iterable[EngineState]) -> datetime.timedelta:
+def last_change(states: abc.Iterable[EngineState]) -> datetime.timedelta:
     """Return when an engine last came, went or changed; long ago if none did."""
     return max(
         (state.since for state in states if state.since is not None),
--- a/src/pimentolatch/decisions/succession.py
+++ b/src/pimentolatch/decisions/leader_election.py
@@ -16,12 +16,12 @@
 import datetime
 from collections import abc
 
-__all__ = ["Claim", "HolderNews"]
+__all__ = ["Claim", "LeaderTracker"]
 
 # News that are renewed take less than two seconds through a fleet of hundreds.
-_FRESH = datetime.timedelta(seconds=3)
+_CLAIM_LIFETIME = datetime.timedelta(seconds=3)
 # Time that each instance leaves to those before it.
-_TURN = datetime.timedelta(seconds=1)
+_ACQUIRE_STAGGER = datetime.timedelta(seconds=1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
     released: bool
 
 
-class HolderNews:
+class LeaderTracker:
     """What one instance has heard of the holder.
 
     Args:
@@ -51,7 +51,7 @@
 
     def __init__(self, now: datetime.timedelta) -> None:
         self._claim: Claim | None = None
-        self.at = now
+        self.claimed_at = now
 
     @property
     def released_fence(self) -> int | None:
@@ -59,7 +59,7 @@
         claim = self._claim
         return claim.fence if claim is not None and claim.released else None
 
-    def hear(self, claim: Claim, at: datetime.timedelta) -> None:
+    def receive(self, claim: Claim, at: datetime.timedelta) -> None:
         """Take a claim that was made at a moment, by this instance's clock.
 
         A released tenure stays released: claims of before arrive late.
@@ -67,21 +67,21 @@
         known = self._claim
         if known is not None:
             newer = (claim.fence, claim.released, at)
-            if newer <= (known.fence, known.released, self.at):
+            if newer <= (known.fence, known.released, self.claimed_at):
                 return
         self._claim = claim
-        self.at = at
+        self.claimed_at = at
 
-    def fresh(self, now: datetime.timedelta) -> Claim | None:
+    def current(self, now: datetime.timedelta) -> Claim | None:
         """Return the newest claim unless it has grown old."""
-        return self._claim if now - self.at <= _FRESH else None
+        return self._claim if now - self.claimed_at <= _CLAIM_LIFETIME else None
 
     def host(self, now: datetime.timedelta) -> str | None:
         """Return where the holder is; None if nobody seems to hold the lease."""
-        claim = self.fresh(now)
+        claim = self.current(now)
         return None if claim is None or claim.released else claim.host
 
-    def is_turn_of(
+    def should_acquire(
         self, own: str, others: abc.Iterable[str], now: datetime.timedelta
     ) -> bool:
         """Tell whether an instance tries for the lease.
@@ -95,5 +95,5 @@
             return False
         before = sum(name < own for name in others)
         released = self._claim is not None and self._claim.released
-        free_since = self.at if released else self.at + _FRESH
-        return now - free_since >= before * _TURN
+        free_since = self.claimed_at if released else self.claimed_at + _CLAIM_LIFETIME
+        return now - free_since >= before * _ACQUIRE_STAGGER
--- a/src/pimentolatch/decisions/limits.py
+++ b/src/pimentolatch/decisions/limits.py
@@ -26,7 +26,7 @@
 import datetime
 import math
 
-from pimentolatch.decisions import shares
+from pimentolatch.decisions import work_reports
 from pimentolatch.document import schema
 
 __all__ = ["CallerLimits", "Exceeded", "Granted"]
@@ -66,7 +66,7 @@
         peers: What the other instances reported.
     """
 
-    def __init__(self, peers: shares.PeerShares) -> None:
+    def __init__(self, peers: work_reports.PeerReports) -> None:
         self._peers = peers
         self._instances = 1
         self._buckets: dict[str, _Bucket] = {}
@@ -99,7 +99,7 @@
         bucket = self._bucket(caller, now)
         bucket.level = min(bucket.size, bucket.level - units)
 
-    def shares(self, now: datetime.timedelta) -> tuple[shares.CallerWork, ...]:
+    def shares(self, now: datetime.timedelta) -> tuple[work_reports.CallerWork, ...]:
         """Return the demands that peers need to know.
 
         Callers within the part that everybody has anyway are left out.
@@ -109,7 +109,7 @@
         for caller, bucket in sorted(self._buckets.items()):
             demand = bucket.demand * _decay(now - bucket.at)
             if demand > _EVEN_PART * bucket.limit / self._instances:
-                told.append(shares.CallerWork(caller, demand))
+                told.append(work_reports.CallerWork(caller, demand))
         return tuple(told)
 
     def part(self, caller: str, demand: float) -> float:
--- a/src/pimentolatch/decisions/log_budget.py
+++ b/src/pimentolatch/decisions/log_budget.py
@@ -26,7 +26,7 @@
 @dataclasses.dataclass(slots=True)
 class _Kind:
     tokens: float
-    filled: datetime.timedelta
+    refilled_at: datetime.timedelta
     dropped: int = 0
 
 
@@ -49,9 +49,9 @@
         """
         rate = LINES_A_SECOND_WRONG if wrong else LINES_A_SECOND
         kind = self._kinds.setdefault((event, wrong), _Kind(rate * _BURST_S, now))
-        gained = (now - kind.filled).total_seconds() * rate
-        kind.tokens = min(rate * _BURST_S, kind.tokens + gained)
-        kind.filled = now
+        refill = (now - kind.refilled_at).total_seconds() * rate
+        kind.tokens = min(rate * _BURST_S, kind.tokens + refill)
+        kind.refilled_at = now
         if kind.tokens < 1:
             kind.dropped += 1
             return None
--- a/src/pimentolatch/decisions/neighbours.py
+++ b/src/pimentolatch/decisions/neighbours.py
@@ -22,16 +22,16 @@
 
 from pimentolatch.decisions import subset
 
-__all__ = ["Neighbours", "Place", "choose", "weights"]
+__all__ = ["Neighbours", "Place", "choose", "domain_weights"]
 
 # Fleets of today have eight instances; up to this many everybody hears everybody.
-_WHOLE_FLEET = 16
+_MAX_FULL_MESH = 16
 # Neighbours in the own domain. Ten of twenty make a queue known to about a third of
 # its length; four beacons a second of some 400 bytes to ten are 16 KB/s.
-_NEAR = 10
+_MAX_NEAR = 10
 # A single prompt of a neighbour that stands for more instances than this would look
 # like a queue of its own.
-_MOST_WEIGHT = 3.0
+_MAX_WEIGHT = 3.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -67,20 +67,22 @@
         key=lambda place: subset.rank(*sorted((place.host, own.host))),
         reverse=True,
     )
-    if len(ranked) <= _WHOLE_FLEET:
+    if len(ranked) <= _MAX_FULL_MESH:
         return Neighbours(tuple(place.host for place in ranked))
     by_domain: dict[str, list[str]] = {}
     for place in ranked:
         by_domain.setdefault(place.failure_domain, []).append(place.host)
-    near = by_domain.pop(own.failure_domain, [])[:_NEAR]
+    near = by_domain.pop(own.failure_domain, [])[:_MAX_NEAR]
     return Neighbours(tuple(near), tuple(map(tuple, by_domain.values())))
 
 
-def weights(known: abc.Iterable[Place], heard: abc.Iterable[Place]) -> dict[str, float]:
+def domain_weights(
+    known: abc.Iterable[Place], heard: abc.Iterable[Place]
+) -> dict[str, float]:
     """Return for how many instances of its domain each heard one stands."""
     sizes = collections.Counter(place.failure_domain for place in known)
     found = collections.Counter(place.failure_domain for place in heard)
     return {
-        domain: min(_MOST_WEIGHT, max(1.0, sizes[domain] / count))
+        domain: min(_MAX_WEIGHT, max(1.0, sizes[domain] / count))
         for domain, count in found.items()
     }
--- a/src/pimentolatch/decisions/outstanding.py
+++ b/src/pimentolatch/decisions/outstanding.py
@@ -13,7 +13,7 @@
 import dataclasses
 import datetime
 
-from pimentolatch.decisions import shares, work
+from pimentolatch.decisions import work, work_reports
 
 __all__ = ["Load", "Outstanding", "unseen_streams"]
 
@@ -67,10 +67,10 @@
         """Return the requests now at a server."""
         return self.load(server).streams
 
-    def shares(self) -> tuple[shares.ServerWork, ...]:
+    def shares(self) -> tuple[work_reports.ServerWork, ...]:
         """Return what peers need to know."""
         return tuple(
-            shares.ServerWork(
+            work_reports.ServerWork(
                 server, load.streams, load.prompt_tokens, load.output_tokens
             )
             for server, load in sorted(self._loads.items())
--- a/src/pimentolatch/decisions/plain_routing.py
+++ b/src/pimentolatch/decisions/plain_routing.py
@@ -54,19 +54,19 @@
             repeatable: Whether the call may run twice, and so may be a probe.
             avoid: Servers that failed this call.
         """
-        able = [
+        candidates = [
             server
             for server in servers
             if server.serving == "active"
             and server.name not in view.withdrawn
             and server.name not in avoid
         ]
-        names = [server.name for server in able]
+        names = [server.name for server in candidates]
         self._health.judge(names, now)
-        if repeatable and (probe := self._due_probe(able, now)):
+        if repeatable and (probe := self._due_probe(candidates, now)):
             return probe
         return min(
-            able, key=lambda server: self._preference(server, names), default=None
+            candidates, key=lambda server: self._preference(server, names), default=None
         )
 
     def answered(
@@ -84,9 +84,9 @@
         self._health.forget(servers)
 
     def _due_probe(
-        self, able: abc.Sequence[schema.PlainServer], now: datetime.timedelta
+        self, candidates: abc.Sequence[schema.PlainServer], now: datetime.timedelta
     ) -> schema.PlainServer | None:
-        for server in able:
+        for server in candidates:
             if self._health.ejected(server.name) and self._health.may_probe(
                 server.name, now
             ):
--- a/src/pimentolatch/decisions/prompt_sizes.py
+++ b/src/pimentolatch/decisions/prompt_sizes.py
@@ -20,9 +20,9 @@
 # which the mix of one route hardly shifts.
 _WINDOW = 200
 # Before this many were seen a prompt is taken for one of the many.
-_LEAST_SEEN = 3
+_MIN_SAMPLES = 3
 # Routes that are remembered, the latest to appear; configurations may go through many.
-_MOST_ROUTES = 256
+_MAX_ROUTES = 256
 _LARGEST_SHARE = 0.1
 _LARGE_SHARE = 0.3
 
@@ -42,7 +42,7 @@
         self._latest: collections.deque[int] = collections.deque()
         self._ordered: list[int] = []
 
-    def not_smaller(self, tokens: int) -> float:
+    def share_at_least(self, tokens: int) -> float:
         """Return the share of prompts that are at least as large."""
         at = bisect.bisect_left(self._ordered, tokens)
         return (len(self._ordered) - at) / len(self._ordered)
@@ -74,12 +74,12 @@
         """
         window = self._windows.get(route)
         if window is None:
-            if len(self._windows) >= _MOST_ROUTES:
+            if len(self._windows) >= _MAX_ROUTES:
                 del self._windows[next(iter(self._windows))]
             window = self._windows[route] = _Window()
         found = SizeClass.REST
-        if len(window) >= _LEAST_SEEN:
-            share = window.not_smaller(tokens)
+        if len(window) >= _MIN_SAMPLES:
+            share = window.share_at_least(tokens)
             if share < _LARGEST_SHARE:
                 found = SizeClass.LARGEST
             elif share < _LARGE_SHARE:
--- a/src/pimentolatch/decisions/roles.py
+++ b/src/pimentolatch/decisions/roles.py
@@ -19,16 +19,16 @@
 import typing
 from collections import abc
 
-from pimentolatch.decisions import capacity, demand, earnings, states
+from pimentolatch.decisions import cost_benefit, demand, engine_states, serving_floor
 from pimentolatch.document import schema
 
 __all__ = ["RoleChange", "Safeguards", "confirm", "plan"]
 
 # Crashed engines come back and drained ones are replaced within about this time.
-_ABSENCE_S = 30.0
+_RECOVERY_S = 30.0
 # A change never leaves one engine alone: were it to crash, the domain would serve
 # nothing, and alone it falls behind for longer than the change takes.
-_LEAST_STAYING = 2
+_MIN_STAYING = 2
 _ROLES: tuple[schema.Role, ...] = typing.get_args(schema.Role)
 
 
@@ -53,7 +53,7 @@
 
 def plan(
     now: datetime.timedelta,
-    engines: abc.Sequence[states.EngineState],
+    engines: abc.Sequence[engine_states.EngineState],
     samples: abc.Sequence[demand.Sample],
     policy: schema.RolePolicy,
     safeguards: Safeguards = Safeguards(),
@@ -62,7 +62,7 @@
 
     The same observation gives the same changes, whoever plans.
     """
-    under_way = sum(e.condition is states.Condition.CHANGING for e in engines)
+    under_way = sum(e.condition is engine_states.Condition.CHANGING for e in engines)
     changes: list[RoleChange] = []
     known = sorted(engines, key=lambda state: state.engine.name)
     while under_way + len(changes) < policy.concurrent_changes:
@@ -70,13 +70,13 @@
         if best is None:
             break
         changes.append(best)
-        known = [_ordered(state, best) for state in known]
+        known = [_with_change(state, best) for state in known]
     return tuple(changes)
 
 
 def confirm(
     change: RoleChange,
-    engines: abc.Sequence[states.EngineState],
+    engines: abc.Sequence[engine_states.EngineState],
     policy: schema.RolePolicy,
 ) -> bool:
     """Tell whether a change may go on, now that its engine's order slot is taken.
@@ -91,11 +91,11 @@
         engines: States read after that, with this change among those under way.
         policy: The document's limits.
     """
-    under_way = sum(e.condition is states.Condition.CHANGING for e in engines)
+    under_way = sum(e.condition is engine_states.Condition.CHANGING for e in engines)
     if under_way > policy.concurrent_changes:
         return False
     before = [
-        dataclasses.replace(state, condition=states.Condition.SERVING)
+        dataclasses.replace(state, condition=engine_states.Condition.SERVING)
         if state.engine.name == change.engine
         else state
         for state in engines
@@ -105,15 +105,15 @@
 
 def _best_change(
     now: datetime.timedelta,
-    known: list[states.EngineState],
+    known: list[engine_states.EngineState],
     samples: abc.Sequence[demand.Sample],
     policy: schema.RolePolicy,
     safeguards: Safeguards,
 ) -> RoleChange | None:
     if rescue := _rescue(now, known, safeguards):
         return rescue
-    earnings_now = earnings.Earnings(known, samples, policy)
-    if safeguards.cost_test and not earnings_now.may_earn():
+    cost_benefit_now = cost_benefit.CostBenefit(known, samples, policy)
+    if safeguards.cost_test and not cost_benefit_now.may_pay_off():
         return None
     best, best_surplus = None, 0.0
     for state in known:
@@ -123,20 +123,22 @@
             if role == state.role:
                 continue
             change = RoleChange(state.engine.name, role, "")
-            after = [_ordered(other, change) for other in known]
+            after = [_with_change(other, change) for other in known]
             if safeguards.floor and not _safe(known, after, change, policy):
                 continue
-            gain = earnings_now.gain(after)
-            price = earnings_now.price(change.engine) if safeguards.cost_test else 0.0
-            if gain - price > best_surplus:
-                best_surplus = gain - price
-                reason = f"staying lost {gain:.1f} answers, a change costs {price:.1f}"
+            gain = cost_benefit_now.gain(after)
+            cost = cost_benefit_now.cost(change.engine) if safeguards.cost_test else 0.0
+            if gain - cost > best_surplus:
+                best_surplus = gain - cost
+                reason = f"staying lost {gain:.1f} answers, a change costs {cost:.1f}"
                 best = dataclasses.replace(change, reason=reason)
     return best
 
 
 def _rescue(
-    now: datetime.timedelta, known: list[states.EngineState], safeguards: Safeguards
+    now: datetime.timedelta,
+    known: list[engine_states.EngineState],
+    safeguards: Safeguards,
 ) -> RoleChange | None:
     """Return the change that lets a model be answered again, if one does.
 
@@ -145,17 +147,17 @@
     away, so neither its price nor the dwell time holds it up. It waits only until
     most crashes and drains are over, since the way back costs a change as well.
     """
-    lasted = (now - states.last_event(known)).total_seconds()
-    if safeguards.rescue_wait and lasted < _ABSENCE_S:
+    unchanged_s = (now - engine_states.last_change(known)).total_seconds()
+    if safeguards.rescue_wait and unchanged_s < _RECOVERY_S:
         return None
-    serving = states.serving(known)
+    serving = engine_states.serving(known)
     models = {model for state in known for model in state.engine.models}
     for model in sorted(models):
-        able = [state for state in serving if model in state.engine.models]
-        settled = [s for s in states.settled(known) if model in s.engine.models]
+        serving_model = [state for state in serving if model in state.engine.models]
+        settled = [s for s in engine_states.settled(known) if model in s.engine.models]
         if any(state.role != "prefill" for state in settled):
             continue
-        for state in able:
+        for state in serving_model:
             if not state.engine.pinned:
                 reason = f"no engine is left that answers for {model}"
                 return RoleChange(state.engine.name, "mixed", reason)
@@ -164,11 +166,11 @@
 
 def _may_change(
     now: datetime.timedelta,
-    state: states.EngineState,
+    state: engine_states.EngineState,
     policy: schema.RolePolicy,
     safeguards: Safeguards,
 ) -> bool:
-    if state.engine.pinned or state.condition is not states.Condition.SERVING:
+    if state.engine.pinned or state.condition is not engine_states.Condition.SERVING:
         return False
     if not safeguards.dwell or state.since is None:
         return True
@@ -176,8 +178,8 @@
 
 
 def _safe(
-    before: list[states.EngineState],
-    after: list[states.EngineState],
+    before: list[engine_states.EngineState],
+    after: list[engine_states.EngineState],
     change: RoleChange,
     policy: schema.RolePolicy,
 ) -> bool:
@@ -187,32 +189,37 @@
     that begins while one is down would leave callers with neither; so both the share
     that stays in service and the roles left for each model count serving ones only.
     """
-    present = [s for s in before if s.condition is not states.Condition.WITHDRAWN]
+    present = [
+        s for s in before if s.condition is not engine_states.Condition.WITHDRAWN
+    ]
     staying = [
         s
         for s in before
-        if s.condition is states.Condition.SERVING and s.engine.name != change.engine
+        if s.condition is engine_states.Condition.SERVING
+        and s.engine.name != change.engine
     ]
-    least = capacity.least_serving(len(present), policy.least_serving_share)
-    if len(staying) < max(least, _LEAST_STAYING):
+    least = serving_floor.min_serving(len(present), policy.least_serving_share)
+    if len(staying) < max(least, _MIN_STAYING):
         return False
     models = {model for state in present for model in state.engine.models}
     return all(
         _models_covered(model, staying)
-        and _models_covered(model, states.settled(after))
+        and _models_covered(model, engine_states.settled(after))
         for model in models
-        if _models_covered(model, states.serving(before))
+        if _models_covered(model, engine_states.serving(before))
     )
 
 
-def _models_covered(model: str, known: list[states.EngineState]) -> bool:
+def _models_covered(model: str, known: list[engine_states.EngineState]) -> bool:
     roles = {state.role for state in known if model in state.engine.models}
     return bool(roles & {"prefill", "mixed"}) and bool(roles & {"decode", "mixed"})
 
 
-def _ordered(state: states.EngineState, change: RoleChange) -> states.EngineState:
+def _with_change(
+    state: engine_states.EngineState, change: RoleChange
+) -> engine_states.EngineState:
     if state.engine.name != change.engine:
         return state
     return dataclasses.replace(
-        state, role=change.role, condition=states.Condition.CHANGING
+        state, role=change.role, condition=engine_states.Condition.CHANGING
     )
--- a/src/pimentolatch/decisions/routing.py
+++ b/src/pimentolatch/decisions/routing.py
@@ -15,8 +15,8 @@
     health,
     outstanding,
     prefixes,
-    shares,
     subset,
+    work_reports,
 )
 from pimentolatch.document import schema
 
@@ -62,7 +62,7 @@
         own_domain: str,
         *,
         counted: outstanding.Outstanding,
-        peers: shares.PeerShares,
+        peers: work_reports.PeerReports,
         known: health.ServerHealth,
         cached: prefixes.PrefixMemory,
     ) -> None:
--- a/src/pimentolatch/decisions/server_choice.py
+++ b/src/pimentolatch/decisions/server_choice.py
@@ -17,12 +17,12 @@
 __all__ = ["ServerChoice"]
 
 # A call to another failure domain costs about this part of a server's slots.
-_FOREIGN_COST = 0.35
+_REMOTE_COST = 0.35
 # Pause after a failure; it doubles with each further one. A server that fails two calls
 # in five is passed over most of the time, one that failed once by chance hardly.
-_FIRST_PAUSE = datetime.timedelta(milliseconds=300)
-_LONGEST_PAUSE = datetime.timedelta(seconds=5)
-_MOST_DOUBLINGS = 5
+_INITIAL_BACKOFF = datetime.timedelta(milliseconds=300)
+_MAX_BACKOFF = datetime.timedelta(seconds=5)
+_MAX_DOUBLINGS = 5
 
 
 @dataclasses.dataclass(slots=True)
@@ -48,21 +48,21 @@
         self,
         listed: abc.Sequence[servers.Server],
         now: datetime.timedelta,
-        without: abc.Container[servers.Incarnation] = (),
+        excluded: abc.Container[servers.Incarnation] = (),
     ) -> servers.Server | None:
         """Return the server with the least cost, or None if there is none."""
-        return min(self.usable(listed, now, without), key=self._cost, default=None)
+        return min(self.usable(listed, now, excluded), key=self._cost, default=None)
 
     def usable(
         self,
         listed: abc.Sequence[servers.Server],
         now: datetime.timedelta,
-        without: abc.Container[servers.Incarnation] = (),
+        excluded: abc.Container[servers.Incarnation] = (),
     ) -> list[servers.Server]:
         """Return the servers that have not failed lately; all of them if all have."""
-        found = [server for server in listed if server.incarnation not in without]
-        sound = [s for s in found if now >= self._records[s.incarnation].avoid_until]
-        return sound or found
+        found = [server for server in listed if server.incarnation not in excluded]
+        healthy = [s for s in found if now >= self._records[s.incarnation].avoid_until]
+        return healthy or found
 
     def begin(self, server: servers.Server) -> None:
         """Count a call that is sent."""
@@ -77,9 +77,9 @@
         if not failed:
             record.failures = max(0, record.failures - 1)
             return
-        pause = _FIRST_PAUSE * 2 ** min(record.failures, _MOST_DOUBLINGS)
+        backoff = _INITIAL_BACKOFF * 2 ** min(record.failures, _MAX_DOUBLINGS)
         record.failures += 1
-        record.avoid_until = now + min(pause, _LONGEST_PAUSE)
+        record.avoid_until = now + min(backoff, _MAX_BACKOFF)
 
     def retain(self, listed: abc.Container[servers.Incarnation]) -> None:
         """Forget servers that are no longer listed and have no call."""
@@ -90,5 +90,5 @@
     def _cost(self, server: servers.Server) -> tuple[float, str]:
         cost = self._records[server.incarnation].outstanding / max(1, server.slots)
         if server.failure_domain != self._domain:
-            cost += _FOREIGN_COST
+            cost += _REMOTE_COST
         return cost, server.server_id
--- a/src/pimentolatch/decisions/server_plan.py
+++ b/src/pimentolatch/decisions/server_plan.py
@@ -25,28 +25,28 @@
 
 from pimentolatch.routes import table
 
-__all__ = ["Order", "Policy", "ServerPlanner", "Sizing", "Standing"]
+__all__ = ["Order", "Policy", "ServerPlanner", "InitialSize", "ServerCounts"]
 
 # How long nothing more is ordered where nothing was to be had. It is longer than a
 # lease holds without being renewed: the refusal of a holder that has been followed by
 # another one looks the same, and such a holder must not repeat itself.
-_REFUSED_PAUSE = datetime.timedelta(seconds=3)
+_REFUSAL_BACKOFF = datetime.timedelta(seconds=3)
 # Failure domains to spare at most, and the cost up to which there is more than one, as
 # a share of what the dear servers would cost.
-_MOST_SPARE = 2
-_MOST_COST = 0.5
+_MAX_SPARE_DOMAINS = 2
+_MAX_SPOT_COST = 0.5
 # Servers that stand at a start have all registered when no more come for so long.
-_SETTLED_AFTER = datetime.timedelta(seconds=2)
+_SETTLING_TIME = datetime.timedelta(seconds=2)
 # An order is sent again so long after its servers should stand, if they do not: it may
 # have got lost, or what was taken back can be had again.
-_REPEAT = datetime.timedelta(seconds=2)
+_REORDER_DELAY = datetime.timedelta(seconds=2)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Standing:
+class ServerCounts:
     """Servers that serve in a failure domain, by kind."""
 
-    firm: int
+    on_demand: int
     spot: int
 
 
@@ -81,7 +81,7 @@
     at: datetime.timedelta
 
 
-class Sizing:
+class InitialSize:
     """Learns how many servers stood before any were ordered.
 
     Servers register one by one, so the most that stood while the number still grew is
@@ -89,17 +89,17 @@
     """
 
     def __init__(self) -> None:
-        self._most = 0
+        self._highest = 0
         self._grown_at = datetime.timedelta()
 
-    def note(self, total: int, now: datetime.timedelta) -> int | None:
+    def observe(self, total: int, now: datetime.timedelta) -> int | None:
         """Take how many stand; returns the size once it has settled."""
-        if total > self._most:
-            self._most = total
+        if total > self._highest:
+            self._highest = total
             self._grown_at = now
-        if not self._most or now - self._grown_at < _SETTLED_AFTER:
+        if not self._highest or now - self._grown_at < _SETTLING_TIME:
             return None
-        return self._most
+        return self._highest
 
 
 class ServerPlanner:
@@ -127,42 +127,44 @@
     def plan(
         self,
         scaling: table.Scaling,
-        standing: abc.Mapping[str, Standing],
+        current: abc.Mapping[str, ServerCounts],
         now: datetime.timedelta,
     ) -> tuple[Order, ...]:
         """Return the orders that are to go out now.
 
         Args:
             scaling: What the operator says.
-            standing: Servers that serve, by failure domain.
+            current: Servers that serve, by failure domain.
             now: The time.
         """
-        wanted = self._wanted(scaling, standing)
+        wanted = self._wanted(scaling, current)
         return tuple(
             Order(domain, spot, count)
             for (domain, spot), count in sorted(wanted.items())
-            if self._is_due((domain, spot), count, standing.get(domain), now, scaling)
+            if self._is_due((domain, spot), count, current.get(domain), now, scaling)
         )
 
     def _wanted(
-        self, scaling: table.Scaling, standing: abc.Mapping[str, Standing]
+        self, scaling: table.Scaling, current: abc.Mapping[str, ServerCounts]
     ) -> dict[tuple[str, bool], int]:
         domains = sorted(scaling.prices, key=lambda name: (scaling.prices[name], name))
-        nothing = Standing(0, 0)
-        found = {domain: standing.get(domain, nothing) for domain in domains}
-        spots = dict.fromkeys(domains, 0)
-        cheap_ones = self._policy.spot and _saves(scaling)
-        if cheap_ones:
+        nothing = ServerCounts(0, 0)
+        found = {domain: current.get(domain, nothing) for domain in domains}
+        spot_counts = dict.fromkeys(domains, 0)
+        uses_spot = self._policy.spot and _spot_is_cheaper(scaling)
+        if uses_spot:
             kept = max(1, len(domains) - self._spare(scaling))
-            each = min(scaling.most, math.ceil(self._need / kept))
+            per_domain = min(scaling.most, math.ceil(self._need / kept))
             for domain in domains:
-                room = max(0, scaling.most - found[domain].firm)
-                spots[domain] = min(each, room)
-        cheap = sum(min(found[d].spot, spots[d]) for d in domains)
-        firms = self._firms(scaling, found, max(0, self._need - cheap), spots)
-        wanted = {(domain, False): count for domain, count in firms.items()}
-        if cheap_ones:
-            wanted |= {(domain, True): count for domain, count in spots.items()}
+                room = max(0, scaling.most - found[domain].on_demand)
+                spot_counts[domain] = min(per_domain, room)
+        spot_serving = sum(min(found[d].spot, spot_counts[d]) for d in domains)
+        on_demand_counts = self._on_demand_counts(
+            scaling, found, max(0, self._need - spot_serving), spot_counts
+        )
+        wanted = {(domain, False): count for domain, count in on_demand_counts.items()}
+        if uses_spot:
+            wanted |= {(domain, True): count for domain, count in spot_counts.items()}
         return wanted
 
     def _spare(self, scaling: table.Scaling) -> int:
@@ -172,57 +174,59 @@
         domains = len(scaling.prices)
         affordable = [
             spare
-            for spare in range(1, _MOST_SPARE + 1)
-            if scaling.spot_price * domains < _MOST_COST * (domains - spare)
+            for spare in range(1, _MAX_SPARE_DOMAINS + 1)
+            if scaling.spot_price * domains < _MAX_SPOT_COST * (domains - spare)
         ]
         return max(affordable, default=1)
 
-    def _firms(
+    def _on_demand_counts(
         self,
         scaling: table.Scaling,
-        found: abc.Mapping[str, Standing],
+        found: abc.Mapping[str, ServerCounts],
         missing: int,
-        spots: abc.Mapping[str, int],
+        spot_counts: abc.Mapping[str, int],
     ) -> dict[str, int]:
         """Return how many dear servers each domain keeps or gets.
 
         Those that stand are kept first, in the cheapest domains; a change of place
         would cost a boot and their prefix caches.
         """
-        least = {d: max(0, scaling.least - spots[d]) for d in found}
-        firms = {domain: min(least[domain], scaling.most) for domain in found}
-        missing -= sum(firms.values())
+        least = {d: max(0, scaling.least - spot_counts[d]) for d in found}
+        on_demand_counts = {
+            domain: min(least[domain], scaling.most) for domain in found
+        }
+        missing -= sum(on_demand_counts.values())
         for room_of in (
-            lambda d: found[d].firm,
-            lambda d: scaling.most - spots[d],
+            lambda d: found[d].on_demand,
+            lambda d: scaling.most - spot_counts[d],
         ):
             for domain in found:
-                more = max(0, min(missing, room_of(domain) - firms[domain]))
-                firms[domain] += more
+                more = max(0, min(missing, room_of(domain) - on_demand_counts[domain]))
+                on_demand_counts[domain] += more
                 missing -= more
-        return firms
+        return on_demand_counts
 
     def _is_due(
         self,
         key: tuple[str, bool],
         count: int,
-        found: Standing | None,
+        found: ServerCounts | None,
         now: datetime.timedelta,
         scaling: table.Scaling,
     ) -> bool:
         refused = self._refused.get(key)
-        if refused is not None and now - refused < _REFUSED_PAUSE:
+        if refused is not None and now - refused < _REFUSAL_BACKOFF:
             return False
         sent = self._sent.get(key)
-        stands = 0 if found is None else found.spot if key[1] else found.firm
+        serving = 0 if found is None else found.spot if key[1] else found.on_demand
         if sent is None:
-            return stands != count
+            return serving != count
         if sent.count != count:
             return True
-        return stands != count and now - sent.at >= scaling.boot + _REPEAT
+        return serving != count and now - sent.at >= scaling.boot + _REORDER_DELAY
 
 
-def _saves(scaling: table.Scaling) -> bool:
+def _spot_is_cheaper(scaling: table.Scaling) -> bool:
     """Tell whether cheap servers with a failure domain to spare cost less."""
     domains = len(scaling.prices)
     return scaling.spot_price * domains < domains - 1
--- a/src/pimentolatch/decisions/capacity.py
+++ b/src/pimentolatch/decisions/serving_floor.py
@@ -11,10 +11,10 @@
 
 import math
 
-__all__ = ["least_serving"]
+__all__ = ["min_serving"]
 
 
-def least_serving(engines: int, share: float) -> int:
+def min_serving(engines: int, share: float) -> int:
     """Return how many of a model's engines in a failure domain stay in service."""
-    least = math.floor(share * engines)
-    return max(least, 1) if engines > 1 else least
+    minimum = math.floor(share * engines)
+    return max(minimum, 1) if engines > 1 else minimum
--- a/src/pimentolatch/decisions/mix.py
+++ b/src/pimentolatch/decisions/smoothed_demand.py
@@ -13,15 +13,15 @@
 import datetime
 import math
 
-__all__ = ["MixMemory"]
+__all__ = ["SmoothedDemand"]
 
 # A peak of writing fades with this time constant, longer than a turn of the mix.
-_PEAK_FADES_S = 20.0
-_READING_MEMORY_S = 3.0
-_WAIT_MEMORY_S = 3.0
+_DECODE_PEAK_TIME_CONSTANT_S = 20.0
+_PREFILL_TIME_CONSTANT_S = 3.0
+_WAIT_TIME_CONSTANT_S = 3.0
 
 
-class MixMemory:
+class SmoothedDemand:
     """What reading and writing needed lately.
 
     Attributes:
@@ -31,26 +31,32 @@
     """
 
     def __init__(self) -> None:
-        self.reading = 0.0
-        self.writing = 0.0
+        self.prefill = 0.0
+        self.decode = 0.0
         self.wait_ms = 0.0
-        self._at: datetime.timedelta | None = None
+        self._observed_at: datetime.timedelta | None = None
 
-    def note(
-        self, reading: float, writing: float, wait_ms: float, now: datetime.timedelta
+    def observe(
+        self, prefill: float, decode: float, wait_ms: float, now: datetime.timedelta
     ) -> None:
         """Take what is needed now; to be called several times a second."""
-        if self._at is None or not self.reading:
+        if self._observed_at is None or not self.prefill:
             # What was before the first request says nothing of the load.
-            self.reading = reading
+            self.prefill = prefill
             self.wait_ms = wait_ms
-            self._at = now
-        passed = (now - self._at).total_seconds()
-        self._at = now
-        self.reading += _weight(passed, _READING_MEMORY_S) * (reading - self.reading)
-        self.wait_ms += _weight(passed, _WAIT_MEMORY_S) * (wait_ms - self.wait_ms)
-        self.writing = max(writing, self.writing * math.exp(-passed / _PEAK_FADES_S))
-
-
-def _weight(passed_s: float, memory_s: float) -> float:
-    return 1 - math.exp(-passed_s / memory_s)
+            self._observed_at = now
+        elapsed_s = (now - self._observed_at).total_seconds()
+        self._observed_at = now
+        self.prefill += _weight(elapsed_s, _PREFILL_TIME_CONSTANT_S) * (
+            prefill - self.prefill
+        )
+        self.wait_ms += _weight(elapsed_s, _WAIT_TIME_CONSTANT_S) * (
+            wait_ms - self.wait_ms
+        )
+        self.decode = max(
+            decode, self.decode * math.exp(-elapsed_s / _DECODE_PEAK_TIME_CONSTANT_S)
+        )
+
+
+def _weight(elapsed_s: float, time_constant_s: float) -> float:
+    return 1 - math.exp(-elapsed_s / time_constant_s)
--- a/src/pimentolatch/decisions/stage_plan.py
+++ b/src/pimentolatch/decisions/stage_plan.py
@@ -21,29 +21,29 @@
 import statistics
 from collections import abc
 
-from pimentolatch.decisions import engine_loads, mix, placement, stage_split
+from pimentolatch.decisions import engine_loads, placement, smoothed_demand, stage_split
 from pimentolatch.routes import servers, table
 
-__all__ = ["STREAMS_END", "Change", "StagePlanner"]
+__all__ = ["STREAM_DRAIN_TIME", "Change", "StagePlanner"]
 
 # Streams of an engine that is told to change end about this much later.
-STREAMS_END = datetime.timedelta(seconds=4)
+STREAM_DRAIN_TIME = datetime.timedelta(seconds=4)
 # A stage that was given an engine lately keeps it for this long, several times the
 # length of a change.
 _DWELL = datetime.timedelta(seconds=6)
 # Price of a change, in seconds of pressure that it takes off. A pressure of three that
 # falls to two is answered within two seconds.
-_PRICE = 2.0
+_CHANGE_COST_S = 2.0
 # Prompts wait less than this where reading is not short, as a mean over some seconds.
-_LEAST_WAIT_MS = 50.0
+_MIN_WAIT_MS = 50.0
 # Prompts that must have been timed before the learned rate is worth a change.
-_LEAST_TIMED = 4
+_MIN_TIMED_PROMPTS = 4
 # Engines that may be changing at once, as a share of all: they serve nobody meanwhile.
-_AT_ONCE = 0.2
+_MAX_CHANGING_SHARE = 0.2
 # From this many engines on each stage keeps two that work, or a crash would empty it.
-_SMALLEST_SPARED = 4
+_MIN_ENGINES_FOR_SPARE = 4
 # No engine writes for this long: the stage is empty, not one connection reset.
-_EMPTY = datetime.timedelta(milliseconds=400)
+_EMPTY_STAGE_TIMEOUT = datetime.timedelta(milliseconds=400)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -52,9 +52,9 @@
 
     engine: servers.Incarnation
     stage: servers.Stage
-    reading_share: float
-    writing_share: float
-    reading_rate: float
+    prefill_share: float
+    decode_share: float
+    prefill_rate: float
 
 
 class StagePlanner:
@@ -62,18 +62,18 @@
 
     def __init__(self) -> None:
         self._relief = dict.fromkeys(servers.Stage, 0.0)
-        self._looked: datetime.timedelta | None = None
+        self._planned_at: datetime.timedelta | None = None
         self._empty_since: datetime.timedelta | None = None
-        self._changed: dict[servers.Incarnation, datetime.timedelta] = {}
-        self._told: dict[servers.Incarnation, servers.Stage] = {}
-        self._last_to: dict[servers.Stage, datetime.timedelta] = {}
-        self._mix = mix.MixMemory()
+        self._ordered_at: dict[servers.Incarnation, datetime.timedelta] = {}
+        self._target_stages: dict[servers.Incarnation, servers.Stage] = {}
+        self._last_change_to: dict[servers.Stage, datetime.timedelta] = {}
+        self._demand = smoothed_demand.SmoothedDemand()
 
     def changed(self, change: Change, now: datetime.timedelta) -> None:
         """Note that an engine was told to change."""
-        self._changed[change.engine] = now
-        self._told[change.engine] = change.stage
-        self._last_to[change.stage] = now
+        self._ordered_at[change.engine] = now
+        self._target_stages[change.engine] = change.stage
+        self._last_change_to[change.stage] = now
         self._relief[change.stage] = 0.0
 
     def plan(
@@ -81,8 +81,8 @@
         loads: engine_loads.EngineLoads,
         traits: table.EngineTraits,
         pause_target_ms: float,
-        reading_demand: float,
-        reading_rate: float,
+        prefill_demand: float,
+        prefill_rate: float,
         now: datetime.timedelta,
     ) -> tuple[Change, ...]:
         """Return the changes that are worth their price now.
@@ -91,52 +91,75 @@
             loads: Work of the engines, from all instances that are heard.
             traits: What the operator says of the engines.
             pause_target_ms: Longest pause between events that is on time.
-            reading_demand: Prompt tokens a second that all instances are asked to read.
-            reading_rate: Prompt tokens that an engine reads in a millisecond.
+            prefill_demand: Prompt tokens a second that all instances are asked to read.
+            prefill_rate: Prompt tokens that an engine reads in a millisecond.
             now: The time.
         """
         engines = [e for e in loads.all() if not e.server.leaving]
-        readers = [e for e in engines if e.server.stage is servers.Stage.PREFILL]
-        writers = [e for e in engines if e.server.stage is servers.Stage.DECODE]
-        self._hear_of_changes(engines, now)
-        moving = self._moving(traits, now)
-        reading = reading_demand / 1000 / reading_rate
-        writing = _writing_need(writers, traits, pause_target_ms, now)
-        self._mix.note(reading, writing, _waiting_ms(readers, reading_rate, now), now)
-        split = _Split(*self._as_ordered(readers, writers), moving, reading_rate)
+        prefill_engines = [
+            e for e in engines if e.server.stage is servers.Stage.PREFILL
+        ]
+        decode_engines = [e for e in engines if e.server.stage is servers.Stage.DECODE]
+        self._adopt_changes(engines, now)
+        changing = self._changing(traits, now)
+        prefill_need = prefill_demand / 1000 / prefill_rate
+        decode_need = _decode_need(decode_engines, traits, pause_target_ms, now)
+        self._demand.observe(
+            prefill_need,
+            decode_need,
+            _prefill_wait_ms(prefill_engines, prefill_rate, now),
+            now,
+        )
+        split = _Split(
+            *self._by_target_stage(prefill_engines, decode_engines),
+            changing,
+            prefill_rate,
+        )
         # Before the first request nothing is missing: engines only register one by one.
-        rescue = self._rescue(split, now) if reading_demand > 0 else ()
+        rescue = self._rescue(split, now) if prefill_demand > 0 else ()
         if rescue:
             return rescue
-        spare = 2 if len(engines) >= _SMALLEST_SPARED else 1
-        at_once = max(1, int(_AT_ONCE * len(engines)))
-        move = self._due_move(split, spare, at_once, now)
-        if move is None or loads.prompts_timed < _LEAST_TIMED:
+        min_per_stage = 2 if len(engines) >= _MIN_ENGINES_FOR_SPARE else 1
+        max_changing = max(1, int(_MAX_CHANGING_SHARE * len(engines)))
+        move = self._due_move(split, min_per_stage, max_changing, now)
+        if move is None or loads.prompts_timed < _MIN_TIMED_PROMPTS:
             return ()
-        givers = split.givers(move.stage)
-        sound = [engine for engine in givers if now >= engine.avoid_until]
-        count = min(move.count, at_once - len(moving), len(sound) - spare)
-        return self._changes(split, move.stage, sound, count, now)
+        sources = split.sources(move.stage)
+        healthy = [engine for engine in sources if now >= engine.avoid_until]
+        count = min(
+            move.count, max_changing - len(changing), len(healthy) - min_per_stage
+        )
+        return self._changes(split, move.stage, healthy, count, now)
 
     def _due_move(
-        self, split: "_Split", spare: int, at_once: int, now: datetime.timedelta
+        self,
+        split: "_Split",
+        min_per_stage: int,
+        max_changing: int,
+        now: datetime.timedelta,
     ) -> stage_split.Move | None:
         """Return the move whose relief has come to the price of a change."""
-        before, self._looked = self._looked, now
-        need = stage_split.Engines(self._mix.reading, self._mix.writing)
+        before, self._planned_at = self._planned_at, now
+        need = stage_split.EngineCounts(self._demand.prefill, self._demand.decode)
         move = stage_split.best_move(
-            need, len(split.readers), len(split.writers), spare, at_once
+            need,
+            len(split.prefill_engines),
+            len(split.decode_engines),
+            min_per_stage,
+            max_changing,
         )
-        reading_waits = self._mix.wait_ms >= _LEAST_WAIT_MS
+        prefill_waits = self._demand.wait_ms >= _MIN_WAIT_MS
         if move is not None and move.stage is servers.Stage.PREFILL:
-            move = move if reading_waits else None
+            move = move if prefill_waits else None
         for stage in servers.Stage:
             if move is None or stage is not move.stage:
                 self._relief[stage] = 0.0
         if move is None or before is None:
             return None
         self._relief[move.stage] += move.relief * (now - before).total_seconds()
-        due = self._relief[move.stage] >= _PRICE and not self._dwells(move.stage, now)
+        due = self._relief[move.stage] >= _CHANGE_COST_S and not self._dwells(
+            move.stage, now
+        )
         return move if due else None
 
     def _rescue(self, split: "_Split", now: datetime.timedelta) -> tuple[Change, ...]:
@@ -146,65 +169,70 @@
         engines that read.
         """
         empty = all(
-            _is_down(writer, now) and writer.server.incarnation not in split.moving
-            for writer in split.writers
+            _is_down(engine, now) and engine.server.incarnation not in split.changing
+            for engine in split.decode_engines
         )
         if not empty:
             self._empty_since = None
             return ()
         if self._empty_since is None:
             self._empty_since = now
-        if now - self._empty_since < _EMPTY:
+        if now - self._empty_since < _EMPTY_STAGE_TIMEOUT:
             return ()
-        sound = [r for r in split.readers if now >= r.avoid_until]
-        return self._changes(split, servers.Stage.DECODE, sound, 1, now)
+        healthy = [r for r in split.prefill_engines if now >= r.avoid_until]
+        return self._changes(split, servers.Stage.DECODE, healthy, 1, now)
 
     def _changes(
         self,
         split: "_Split",
         stage: servers.Stage,
-        givers: abc.Collection[engine_loads.EngineLoad],
+        sources: abc.Collection[engine_loads.EngineLoad],
         count: int,
         now: datetime.timedelta,
     ) -> tuple[Change, ...]:
-        left = list(givers)
+        remaining = list(sources)
         changes: list[Change] = []
         while len(changes) < count:
-            engine = _cheapest(left, split.givers(_other(stage)), split.moving, now)
+            engine = _cheapest(
+                remaining, split.sources(_other(stage)), split.changing, now
+            )
             if engine is None:
                 break
-            left.remove(engine)
+            remaining.remove(engine)
             changes.append(
                 Change(
                     engine.server.incarnation,
                     stage,
-                    self._mix.reading / max(len(split.readers), 0.5),
-                    self._mix.writing / max(len(split.writers), 0.5),
-                    split.reading_rate,
+                    self._demand.prefill / max(len(split.prefill_engines), 0.5),
+                    self._demand.decode / max(len(split.decode_engines), 0.5),
+                    split.prefill_rate,
                 )
             )
         return tuple(changes)
 
-    def _as_ordered(
+    def _by_target_stage(
         self,
-        readers: list[engine_loads.EngineLoad],
-        writers: list[engine_loads.EngineLoad],
+        prefill_engines: list[engine_loads.EngineLoad],
+        decode_engines: list[engine_loads.EngineLoad],
     ) -> tuple[list[engine_loads.EngineLoad], list[engine_loads.EngineLoad]]:
         """Return the engines by the stage that they were told to take.
 
         The list shows a change when it is over. Counted as before until then, the same
         need would be met a second time.
         """
-        ordered: dict[servers.Stage, list[engine_loads.EngineLoad]] = {
+        by_stage: dict[servers.Stage, list[engine_loads.EngineLoad]] = {
             stage: [] for stage in servers.Stage
         }
-        for engine in (*readers, *writers):
-            stage = self._told.get(engine.server.incarnation) or engine.server.stage
+        for engine in (*prefill_engines, *decode_engines):
+            stage = (
+                self._target_stages.get(engine.server.incarnation)
+                or engine.server.stage
+            )
             if stage is not None:
-                ordered[stage].append(engine)
-        return ordered[servers.Stage.PREFILL], ordered[servers.Stage.DECODE]
+                by_stage[stage].append(engine)
+        return by_stage[servers.Stage.PREFILL], by_stage[servers.Stage.DECODE]
 
-    def _hear_of_changes(
+    def _adopt_changes(
         self, engines: abc.Iterable[engine_loads.EngineLoad], now: datetime.timedelta
     ) -> None:
         """Take changes that another instance ordered for those of one's own.
@@ -214,22 +242,28 @@
         for engine in engines:
             name = engine.server.incarnation
             if engine.change is not None and engine.is_changing(now):
-                self._changed.setdefault(name, now)
-                self._told.setdefault(name, engine.change.stage)
+                self._ordered_at.setdefault(name, now)
+                self._target_stages.setdefault(name, engine.change.stage)
 
-    def _moving(
+    def _changing(
         self, traits: table.EngineTraits, now: datetime.timedelta
     ) -> set[servers.Incarnation]:
-        away = traits.stage_change + STREAMS_END
-        self._changed = {
-            name: at for name, at in self._changed.items() if now - at < 4 * away
+        change_time = traits.stage_change + STREAM_DRAIN_TIME
+        self._ordered_at = {
+            name: at
+            for name, at in self._ordered_at.items()
+            if now - at < 4 * change_time
         }
-        moving = {name for name, at in self._changed.items() if now - at < away}
-        self._told = {name: to for name, to in self._told.items() if name in moving}
-        return moving
+        changing = {
+            name for name, at in self._ordered_at.items() if now - at < change_time
+        }
+        self._target_stages = {
+            name: to for name, to in self._target_stages.items() if name in changing
+        }
+        return changing
 
-    def _dwells(self, taker: servers.Stage, now: datetime.timedelta) -> bool:
-        last = self._last_to.get(_other(taker))
+    def _dwells(self, target: servers.Stage, now: datetime.timedelta) -> bool:
+        last = self._last_change_to.get(_other(target))
         return last is not None and now - last < _DWELL
 
 
@@ -238,18 +272,22 @@
     """The engines by the stage that they have or were told to take.
 
     Attributes:
-        moving: Engines that are changing.
-        reading_rate: Prompt tokens that an engine reads in a millisecond.
+        changing: Engines that are changing.
+        prefill_rate: Prompt tokens that an engine reads in a millisecond.
     """
 
-    readers: list[engine_loads.EngineLoad]
-    writers: list[engine_loads.EngineLoad]
-    moving: abc.Container[servers.Incarnation]
-    reading_rate: float
+    prefill_engines: list[engine_loads.EngineLoad]
+    decode_engines: list[engine_loads.EngineLoad]
+    changing: abc.Container[servers.Incarnation]
+    prefill_rate: float
 
-    def givers(self, taker: servers.Stage) -> list[engine_loads.EngineLoad]:
+    def sources(self, target: servers.Stage) -> list[engine_loads.EngineLoad]:
         """Return the engines that may be given to a stage."""
-        return self.writers if taker is servers.Stage.PREFILL else self.readers
+        return (
+            self.decode_engines
+            if target is servers.Stage.PREFILL
+            else self.prefill_engines
+        )
 
 
 def _is_down(engine: engine_loads.EngineLoad, now: datetime.timedelta) -> bool:
@@ -261,35 +299,37 @@
     return next(other for other in servers.Stage if other is not stage)
 
 
-def _waiting_ms(
-    readers: abc.Sequence[engine_loads.EngineLoad],
-    reading_rate: float,
+def _prefill_wait_ms(
+    prefill_engines: abc.Sequence[engine_loads.EngineLoad],
+    prefill_rate: float,
     now: datetime.timedelta,
 ) -> float:
     """Return how long a prompt waits now; a rate learned too low only says so."""
-    waiting = sum(reader.all_reading(now) for reader in readers)
-    return waiting / reading_rate / max(1, len(readers))
+    waiting = sum(engine.all_reading(now) for engine in prefill_engines)
+    return waiting / prefill_rate / max(1, len(prefill_engines))
 
 
-def _writing_need(
-    writers: abc.Sequence[engine_loads.EngineLoad],
+def _decode_need(
+    decode_engines: abc.Sequence[engine_loads.EngineLoad],
     traits: table.EngineTraits,
     pause_target_ms: float,
     now: datetime.timedelta,
 ) -> float:
     """Return how many engines the running streams fill."""
-    by_room = sum(placement.fullness(engine, traits, now) for engine in writers)
-    pauses = [engine.pause_ms for engine in writers if engine.pause_ms > 0]
+    by_occupancy = sum(
+        placement.fullness(engine, traits, now) for engine in decode_engines
+    )
+    pauses = [engine.pause_ms for engine in decode_engines if engine.pause_ms > 0]
     if not pauses or pause_target_ms <= 0:
-        return by_room
-    by_pause = statistics.fmean(pauses) / pause_target_ms * len(writers)
-    return max(by_room, by_pause)
+        return by_occupancy
+    by_pause = statistics.fmean(pauses) / pause_target_ms * len(decode_engines)
+    return max(by_occupancy, by_pause)
 
 
 def _cheapest(
-    givers: abc.Collection[engine_loads.EngineLoad],
-    takers: abc.Collection[engine_loads.EngineLoad],
-    moving: abc.Container[servers.Incarnation],
+    sources: abc.Collection[engine_loads.EngineLoad],
+    target_engines: abc.Collection[engine_loads.EngineLoad],
+    changing: abc.Container[servers.Incarnation],
     now: datetime.timedelta,
 ) -> engine_loads.EngineLoad | None:
     """Return the engine that a stage can best spare.
@@ -301,10 +341,10 @@
 
     def cost(engine: engine_loads.EngineLoad) -> tuple[float, float, str]:
         domain = engine.server.failure_domain
-        own = sum(g.server.failure_domain == domain for g in givers)
-        others = sum(t.server.failure_domain == domain for t in takers)
+        own = sum(g.server.failure_domain == domain for g in sources)
+        others = sum(t.server.failure_domain == domain for t in target_engines)
         work = engine.all_writing(now) + engine.all_reading(now) / 1000
         return (others - own, work, engine.server.server_id)
 
-    found = [e for e in givers if e.server.incarnation not in moving]
-    return min(found, key=cost, default=None)
+    candidates = [e for e in sources if e.server.incarnation not in changing]
+    return min(candidates, key=cost, default=None)
--- a/src/pimentolatch/decisions/stage_split.py
+++ b/src/pimentolatch/decisions/stage_split.py
@@ -14,30 +14,30 @@
 
 from pimentolatch.routes import servers
 
-__all__ = ["Engines", "Move", "best_move"]
+__all__ = ["EngineCounts", "Move", "best_move"]
 
 # Shares of what a stage can do at which its queue stays short. Prompts differ in length
 # by a factor of a hundred, so their queue grows early; slots are held for seconds and
 # bursts take half as many again.
-_AT_EASE = {servers.Stage.PREFILL: 0.75, servers.Stage.DECODE: 0.6}
+_TARGET_UTILIZATION = {servers.Stage.PREFILL: 0.75, servers.Stage.DECODE: 0.6}
 # Below this pressure no split is changed, and no more engines move than it takes to get
 # there: moved on until both stages are equally at ease, nearly all would go to one, and
 # the next burst would find the other empty.
-_LEAST_PRESSURE = 0.8
+_MIN_PRESSURE = 0.8
 # The best split must lessen the greatest pressure by this part; one engine more beside
 # five lessens it by a sixth.
-_LEAST_GAIN = 0.12
+_MIN_GAIN = 0.12
 # Writing gives an engine only if its share stays below this afterwards: streams hold
 # slots and memory and can't wait, and more of them come once more prompts are read.
-_MOST_WRITING = 0.7
+_MAX_DECODE_UTILIZATION = 0.7
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Engines:
+class EngineCounts:
     """Engines for each stage: those that there are, or those that are needed."""
 
-    reading: float
-    writing: float
+    prefill: float
+    decode: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -56,48 +56,60 @@
 
 
 def best_move(
-    need: Engines, readers: int, writers: int, spare: int, room: int
+    need: EngineCounts,
+    prefill_engines: int,
+    decode_engines: int,
+    min_per_stage: int,
+    max_moves: int,
 ) -> Move | None:
     """Return the move towards the best split; None if the present one will do.
 
     Args:
         need: Engines that the stages would keep busy all the time.
-        readers: Engines that read.
-        writers: Engines that write.
-        spare: Engines that each stage keeps.
-        room: Engines that may change at once.
+        prefill_engines: Engines that read.
+        decode_engines: Engines that write.
+        min_per_stage: Engines that each stage keeps.
+        max_moves: Engines that may change at once.
     """
-    pressure = _pressure(need, readers, writers)
-    if pressure <= _LEAST_PRESSURE:
+    pressure = _pressure(need, prefill_engines, decode_engines)
+    if pressure <= _MIN_PRESSURE:
         return None
-    found = [
-        (max(after, _LEAST_PRESSURE), abs(moved), moved)
-        for moved, after in _splits(need, readers, writers, spare)
-        if moved and after <= (1 - _LEAST_GAIN) * pressure
+    candidates = [
+        (max(after, _MIN_PRESSURE), abs(moved), moved)
+        for moved, after in _splits(
+            need, prefill_engines, decode_engines, min_per_stage
+        )
+        if moved and after <= (1 - _MIN_GAIN) * pressure
     ]
-    if not found:
+    if not candidates:
         return None
-    _, _, best = min(found)
-    step = max(-room, min(room, best))
+    _, _, best = min(candidates)
+    step = max(-max_moves, min(max_moves, best))
     stage = servers.Stage.PREFILL if step > 0 else servers.Stage.DECODE
-    after = _pressure(need, readers + step, writers - step)
+    after = _pressure(need, prefill_engines + step, decode_engines - step)
     return Move(stage, abs(step), pressure - after)
 
 
 def _splits(
-    need: Engines, readers: int, writers: int, spare: int
+    need: EngineCounts, prefill_engines: int, decode_engines: int, min_per_stage: int
 ) -> abc.Iterator[tuple[int, float]]:
     """Yield how many engines might move to reading, and the pressure afterwards."""
-    for moved in range(spare - readers, writers - spare + 1):
-        left = writers - moved
-        if moved > 0 and need.writing / left > _MOST_WRITING:
+    for moved in range(
+        min_per_stage - prefill_engines, decode_engines - min_per_stage + 1
+    ):
+        remaining = decode_engines - moved
+        if moved > 0 and need.decode / remaining > _MAX_DECODE_UTILIZATION:
             return
-        yield moved, _pressure(need, readers + moved, left)
+        yield moved, _pressure(need, prefill_engines + moved, remaining)
 
 
-def _pressure(need: Engines, readers: int, writers: int) -> float:
+def _pressure(need: EngineCounts, prefill_engines: int, decode_engines: int) -> float:
     """Return how far the stage that is worse off is beyond where it is at ease."""
     return max(
-        need.reading / max(readers, 0.5) / _AT_EASE[servers.Stage.PREFILL],
-        need.writing / max(writers, 0.5) / _AT_EASE[servers.Stage.DECODE],
+        need.prefill
+        / max(prefill_engines, 0.5)
+        / _TARGET_UTILIZATION[servers.Stage.PREFILL],
+        need.decode
+        / max(decode_engines, 0.5)
+        / _TARGET_UTILIZATION[servers.Stage.DECODE],
     )
--- a/src/pimentolatch/decisions/sightings.py
+++ b/src/pimentolatch/decisions/state_tracker.py
@@ -10,12 +10,12 @@
 import datetime
 from collections import abc
 
-from pimentolatch.decisions import states
+from pimentolatch.decisions import engine_states
 
-__all__ = ["Sightings"]
+__all__ = ["StateTracker"]
 
 
-class Sightings:
+class StateTracker:
     """What was last seen of each engine, and when that began.
 
     It starts empty, and so does every planner that takes over: to it, all engines have
@@ -23,23 +23,27 @@
     """
 
     def __init__(self) -> None:
-        self._seen: dict[str, states.EngineState] = {}
+        self._observed: dict[str, engine_states.EngineState] = {}
 
-    def note(
-        self, now: datetime.timedelta, states: abc.Iterable[states.EngineState]
-    ) -> tuple[states.EngineState, ...]:
+    def observe(
+        self, now: datetime.timedelta, states: abc.Iterable[engine_states.EngineState]
+    ) -> tuple[engine_states.EngineState, ...]:
         """Return the states with the time at which each last became different."""
-        self._seen = {state.engine.name: self._dated(now, state) for state in states}
-        return tuple(self._seen.values())
-
-    def _dated(
-        self, now: datetime.timedelta, state: states.EngineState
-    ) -> states.EngineState:
-        before = self._seen.get(state.engine.name)
+        self._observed = {
+            state.engine.name: self._with_since(now, state) for state in states
+        }
+        return tuple(self._observed.values())
+
+    def _with_since(
+        self, now: datetime.timedelta, state: engine_states.EngineState
+    ) -> engine_states.EngineState:
+        before = self._observed.get(state.engine.name)
         if before is None or _differs(before, state):
             return dataclasses.replace(state, since=now)
         return dataclasses.replace(state, since=before.since)
 
 
-def _differs(before: states.EngineState, after: states.EngineState) -> bool:
+def _differs(
+    before: engine_states.EngineState, after: engine_states.EngineState
+) -> bool:
     return (before.role, before.condition) != (after.role, after.condition)
--- a/src/pimentolatch/decisions/store_readers.py
+++ b/src/pimentolatch/decisions/store_readers.py
@@ -16,14 +16,14 @@
 import datetime
 from collections import abc
 
-__all__ = ["Reader", "fresh", "reads"]
+__all__ = ["Reader", "is_reader", "select"]
 
 # Two readers may be frozen or turned away at one moment; failure domains of today have
 # three instances at most, which all read.
-_READERS = 3
+_READER_COUNT = 3
 # Beacons come four times a second and take two steps through a domain; three lost ones
 # are borne. The shortest span in which a change must be in force is two seconds.
-_FRESH = datetime.timedelta(milliseconds=1500)
+_READER_LIFETIME = datetime.timedelta(milliseconds=1500)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -35,22 +35,24 @@
     """
 
     name: str
-    heard: datetime.timedelta
+    last_seen: datetime.timedelta
 
 
-def fresh(known: abc.Iterable[Reader], now: datetime.timedelta) -> tuple[Reader, ...]:
+def select(known: abc.Iterable[Reader], now: datetime.timedelta) -> tuple[Reader, ...]:
     """Return the first by name of those that would read now."""
     newest: dict[str, Reader] = {}
     for reader in known:
-        found = newest.get(reader.name)
-        if now - reader.heard <= _FRESH and (
-            found is None or reader.heard > found.heard
+        previous = newest.get(reader.name)
+        if now - reader.last_seen <= _READER_LIFETIME and (
+            previous is None or reader.last_seen > previous.last_seen
         ):
             newest[reader.name] = reader
-    return tuple(newest[name] for name in sorted(newest)[:_READERS])
+    return tuple(newest[name] for name in sorted(newest)[:_READER_COUNT])
 
 
-def reads(own_name: str, known: abc.Iterable[Reader], now: datetime.timedelta) -> bool:
+def is_reader(
+    own_name: str, known: abc.Iterable[Reader], now: datetime.timedelta
+) -> bool:
     """Tell whether an instance has to read the store itself."""
-    before = [reader for reader in fresh(known, now) if reader.name < own_name]
-    return len(before) < _READERS
+    before = [reader for reader in select(known, now) if reader.name < own_name]
+    return len(before) < _READER_COUNT
--- a/src/pimentolatch/decisions/shares.py
+++ b/src/pimentolatch/decisions/work_reports.py
@@ -11,12 +11,12 @@
 
 from pimentolatch.decisions import demand
 
-__all__ = ["CallerWork", "PeerShares", "ServerWork", "Shares"]
+__all__ = ["CallerWork", "PeerReports", "ServerWork", "WorkReport"]
 
 # Ten reports at the usual second between them. A link that is silent for longer is
 # cut or its instance frozen; its streams are then the engines' reports to find.
-_LIFETIME = datetime.timedelta(seconds=10)
-_NO_DEMAND = 1e-6
+_REPORT_LIFETIME = datetime.timedelta(seconds=10)
+_NEGLIGIBLE_RATE = 1e-6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shares:
+class WorkReport:
     """The work of one instance.
 
     Attributes:
@@ -58,13 +58,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Report:
-    shares: Shares
-    at: datetime.timedelta
+class _ReceivedReport:
+    work: WorkReport
+    received_at: datetime.timedelta
     instances: int
 
 
-class PeerShares:
+class PeerReports:
     """What peers last told of their work, with its sums kept up to date.
 
     A peer that is silent for ten seconds no longer counts: the work of a dead instance
@@ -72,14 +72,14 @@
     """
 
     def __init__(self) -> None:
-        self._reports: dict[str, _Report] = {}
+        self._reports: dict[str, _ReceivedReport] = {}
         self._servers: dict[str, ServerWork] = {}
         self._callers: dict[str, float] = {}
 
     def update(
         self,
         instance: str,
-        told: Shares,
+        work: WorkReport,
         now: datetime.timedelta,
         instances: int = 1,
     ) -> None:
@@ -87,24 +87,24 @@
 
         Args:
             instance: Who told it, or a failure domain that sums up its instances.
-            told: The work.
+            work: The work.
             now: When it arrived, on the clock of this instance.
             instances: How many instances the report sums up.
         """
         self.forget(instance)
-        self._reports[instance] = _Report(told, now, instances)
-        self._count(told, 1)
+        self._reports[instance] = _ReceivedReport(work, now, instances)
+        self._add(work, 1)
 
     def forget(self, instance: str) -> None:
         """Drop an instance that left."""
         report = self._reports.pop(instance, None)
         if report is not None:
-            self._count(report.shares, -1)
+            self._add(report.work, -1)
 
     def expire(self, now: datetime.timedelta) -> None:
         """Drop the instances that have been silent for too long."""
         for instance, report in list(self._reports.items()):
-            if now - report.at > _LIFETIME:
+            if now - report.received_at > _REPORT_LIFETIME:
                 self.forget(instance)
 
     def instances(self) -> int:
@@ -119,8 +119,8 @@
         """Return the peers' demand by a caller, in units a second."""
         return max(0.0, self._callers.get(name, 0.0))
 
-    def _count(self, told: Shares, sign: int) -> None:
-        for row in told.servers:
+    def _add(self, work: WorkReport, sign: int) -> None:
+        for row in work.servers:
             before = self.server(row.server)
             total = ServerWork(
                 row.server,
@@ -132,10 +132,10 @@
                 self._servers[row.server] = total
             else:
                 self._servers.pop(row.server, None)
-        for asked in told.callers:
-            before_rate = self._callers.get(asked.caller, 0.0)
-            rate = before_rate + sign * asked.tokens_per_second
-            if rate > _NO_DEMAND:
-                self._callers[asked.caller] = rate
+        for caller_work in work.callers:
+            before_rate = self._callers.get(caller_work.caller, 0.0)
+            rate = before_rate + sign * caller_work.tokens_per_second
+            if rate > _NEGLIGIBLE_RATE:
+                self._callers[caller_work.caller] = rate
             else:
-                self._callers.pop(asked.caller, None)
+                self._callers.pop(caller_work.caller, None)
--- a/src/pimentolatch/entry/control_plane.py
+++ b/src/pimentolatch/entry/control_plane.py
@@ -7,7 +7,7 @@
 
 from pimentolatch import call_budget, clock, fleet, metrics, settings, store, tasks
 from pimentolatch.control import collector, configuration, keeper, spread, watcher
-from pimentolatch.decisions import shares
+from pimentolatch.decisions import work_reports
 from pimentolatch.entry import peer_metrics
 from pimentolatch.membership import (
     incarnations,
@@ -31,7 +31,7 @@
 class NoShares:
     """Stands for a share table where nobody looks at peers' work."""
 
-    def update(self, peer: str, work: shares.Shares) -> None:
+    def update(self, peer: str, work: work_reports.WorkReport) -> None:
         """See `share_spread.ShareTable.update`."""
 
     def forget(self, peer: str) -> None:
@@ -55,7 +55,7 @@
         time: clock.Clock,
         measured: metrics.Metrics,
         crashes: suspect_completions.SuspectCompletions | None = None,
-        source: typing.Callable[[], shares.Shares] = shares.Shares,
+        source: typing.Callable[[], work_reports.WorkReport] = work_reports.WorkReport,
         table: share_spread.ShareTable | None = None,
     ) -> None:
         self._clock = time
--- a/src/pimentolatch/entry/peer_work.py
+++ b/src/pimentolatch/entry/peer_work.py
@@ -4,7 +4,7 @@
 import datetime
 
 from pimentolatch import clock
-from pimentolatch.decisions import demand, dispatcher, shares
+from pimentolatch.decisions import demand, dispatcher, work_reports
 from pimentolatch.entry import control_plane
 
 __all__ = ["PeerTable", "PeerWork"]
@@ -20,7 +20,7 @@
         self._clock = time
         self._demand: dict[str, demand.Totals] = {}
 
-    def update(self, peer: str, work: shares.Shares) -> None:
+    def update(self, peer: str, work: work_reports.WorkReport) -> None:
         """See `share_spread.ShareTable.update`."""
         self._decisions.peers.update(peer, work, self._clock.monotonic())
         for totals in work.totals:
@@ -37,7 +37,7 @@
         """Return the newest totals of this instance and of the peers that are heard."""
         return (*self.own().totals, *self._demand.values())
 
-    def own(self) -> shares.Shares:
+    def own(self) -> work_reports.WorkReport:
         """Return the work of this instance, for the peers."""
         return self._decisions.shares(self._clock.monotonic())
 
--- a/src/pimentolatch/entry/planner.py
+++ b/src/pimentolatch/entry/planner.py
@@ -6,7 +6,7 @@
 
 from pimentolatch import fleet
 from pimentolatch.control import slots, standings
-from pimentolatch.decisions import demand, roles, sightings, states
+from pimentolatch.decisions import demand, engine_states, roles, state_tracker
 
 __all__ = ["DemandPlanner"]
 
@@ -33,7 +33,7 @@
         self._fleet = own_fleet
         self._totals = totals
         self._history = demand.History()
-        self._sightings = sightings.Sightings()
+        self._state_tracker = state_tracker.StateTracker()
         self._next_sample = datetime.timedelta()
         self._last: tuple[roles.RoleChange, ...] = ()
 
@@ -48,20 +48,22 @@
             return self._last
         self._next_sample = now + _SAMPLE_INTERVAL
         self._history.observe(now, self._totals())
-        states = self._sightings.note(now, map(_state, engines))
+        states = self._state_tracker.observe(now, map(_state, engines))
         self._last = roles.plan(now, states, self._history.samples, document.roles)
         return self._last
 
 
-def _state(standing: standings.Standing) -> states.EngineState:
-    return states.EngineState(standing.engine, standing.role, _condition(standing))
+def _state(standing: standings.Standing) -> engine_states.EngineState:
+    return engine_states.EngineState(
+        standing.engine, standing.role, _condition(standing)
+    )
 
 
-def _condition(standing: standings.Standing) -> states.Condition:
+def _condition(standing: standings.Standing) -> engine_states.Condition:
     if standing.engine.serving == "withdrawn":
-        return states.Condition.WITHDRAWN
+        return engine_states.Condition.WITHDRAWN
     if standing.state is not slots.SlotState.SERVING:
-        return states.Condition.CHANGING
+        return engine_states.Condition.CHANGING
     if standing.unreachable:
-        return states.Condition.UNCERTAIN
-    return states.Condition.SERVING
+        return engine_states.Condition.UNCERTAIN
+    return engine_states.Condition.SERVING
--- a/src/pimentolatch/gateway/capacity.py
+++ b/src/pimentolatch/gateway/capacity.py
@@ -48,7 +48,7 @@
         self._receiver = receiver
         self._policy = policy
         self._clock = time
-        self._sizings: dict[str, server_plan.Sizing] = {}
+        self._sizings: dict[str, server_plan.InitialSize] = {}
         self._planners: dict[str, server_plan.ServerPlanner] = {}
 
     async def run(self) -> None:
@@ -115,9 +115,9 @@
         A later holder finds what was ordered, spare ones included, and would take that
         for the need.
         """
-        sizing = self._sizings.setdefault(service, server_plan.Sizing())
+        sizing = self._sizings.setdefault(service, server_plan.InitialSize())
         total = len(self._known.servers.of_service(service))
-        size = sizing.note(total, self._clock.monotonic())
+        size = sizing.observe(total, self._clock.monotonic())
         if size is None or not await self._tenure.acquire():
             return None
         found = await self._store.get(_KIND, service)
@@ -149,13 +149,13 @@
         )
         return outcome
 
-    def _standing(self, service: str) -> dict[str, server_plan.Standing]:
+    def _standing(self, service: str) -> dict[str, server_plan.ServerCounts]:
         counts: dict[str, list[int]] = {}
         for server in self._known.servers.of_service(service):
             counts.setdefault(server.failure_domain, [0, 0])[server.spot] += 1
         return {
-            domain: server_plan.Standing(firm, spot)
-            for domain, (firm, spot) in counts.items()
+            domain: server_plan.ServerCounts(on_demand, spot)
+            for domain, (on_demand, spot) in counts.items()
         }
 
     def _stages(self, service: str) -> dict[str, int]:
--- a/src/pimentolatch/gateway/peer_table.py
+++ b/src/pimentolatch/gateway/peer_table.py
@@ -109,11 +109,11 @@
             neighbours.Place(peer.host, peer.beacon.failure_domain)
             for peer in self.live()
         ]
-        return neighbours.weights(self.places(), heard)
+        return neighbours.domain_weights(self.places(), heard)
 
     def readers(self) -> tuple[store_readers.Reader, ...]:
         """Return who would read the store for this domain, but for this instance."""
-        return store_readers.fresh(self._readers.values(), self._clock.monotonic())
+        return store_readers.select(self._readers.values(), self._clock.monotonic())
 
     def demand(self, service: str) -> demand_rate.ServiceDemand:
         """Return what all others are asked of a service, by those that are heard."""
@@ -153,7 +153,9 @@
         for told in beacon.readers:
             heard = now - datetime.timedelta(milliseconds=told.age_ms)
             known = self._readers.get(told.instance)
-            if told.instance != self._own and (known is None or heard > known.heard):
+            if told.instance != self._own and (
+                known is None or heard > known.last_seen
+            ):
                 self._readers[told.instance] = store_readers.Reader(
                     told.instance, heard
                 )
--- a/src/pimentolatch/gateway/peers.py
+++ b/src/pimentolatch/gateway/peers.py
@@ -180,8 +180,8 @@
             demands=tuple(
                 beacons.Demand(
                     service,
-                    int(demand.reading),
-                    int(demand.writing),
+                    int(demand.prefill),
+                    int(demand.decode),
                     int(1000 * self._known.loads(service).reading_rate),
                 )
                 for service, demand in self._demands().items()
@@ -193,7 +193,7 @@
     def _readers(self) -> tuple[beacons.Reader, ...]:
         now = self._clock.monotonic()
         told = [
-            beacons.Reader(reader.name, _milliseconds(now - reader.heard))
+            beacons.Reader(reader.name, _milliseconds(now - reader.last_seen))
             for reader in self._table.readers()
         ]
         if not self._known.store_lost and not self.stopping:
--- a/src/pimentolatch/gateway/stages.py
+++ b/src/pimentolatch/gateway/stages.py
@@ -66,7 +66,7 @@
             loads,
             traits,
             _pause_target(self._known.configuration, service),
-            own.reading + others.reading,
+            own.prefill + others.prefill,
             max(loads.reading_rate, self._peers.reading_rate(service)),
             now,
         )
@@ -98,7 +98,7 @@
             return
         traits = self._known.engine_traits(engine.server.service)
         if traits is not None:
-            away = traits.stage_change + stage_plan.STREAMS_END
+            away = traits.stage_change + stage_plan.STREAM_DRAIN_TIME
             until = self._clock.monotonic() + away
             engine.begin_change(engine_loads.StageChange(change.stage, until))
 
@@ -148,9 +148,9 @@
             server=server.server_id,
             stage=change.stage.value,
             fence=self._tenure.fence,
-            reading_share=round(change.reading_share, 2),
-            writing_share=round(change.writing_share, 2),
-            reading_rate=round(change.reading_rate, 1),
+            reading_share=round(change.prefill_share, 2),
+            writing_share=round(change.decode_share, 2),
+            reading_rate=round(change.prefill_rate, 1),
             outcome=sending.text_of(answer),
         )
         if isinstance(answer, sending.NotSent):
--- a/src/pimentolatch/gateway/store_reading.py
+++ b/src/pimentolatch/gateway/store_reading.py
@@ -60,7 +60,7 @@
 
     def _look(self) -> None:
         now = self._clock.monotonic()
-        if store_readers.reads(self._name, self._table.readers(), now):
+        if store_readers.is_reader(self._name, self._table.readers(), now):
             self._needed_at = now
             self._begin()
         else:
--- a/src/pimentolatch/gateway/tenure.py
+++ b/src/pimentolatch/gateway/tenure.py
@@ -5,7 +5,7 @@
 import logbook
 
 from pimentolatch import clock
-from pimentolatch.decisions import succession
+from pimentolatch.decisions import leader_election
 from pimentolatch.gateway import lease, peer_table
 from pimentolatch.protocol import beacons
 
@@ -52,7 +52,7 @@
         self._peers = peers
         self._lease = held
         self._clock = time
-        self._news = succession.HolderNews(self._clock.monotonic())
+        self._leader = leader_election.LeaderTracker(self._clock.monotonic())
         self._held_at: datetime.timedelta | None = None
         self._abstains_until = datetime.timedelta()
         self.since = time.now()
@@ -72,7 +72,7 @@
         """Where the holder is reached; None if none is known."""
         if self.active:
             return self._host
-        return self._news.host(self._clock.monotonic())
+        return self._leader.host(self._clock.monotonic())
 
     def valid(self) -> bool:
         """Tell whether a call may go out now."""
@@ -85,21 +85,21 @@
         now = self._clock.monotonic()
         if now < self._abstains_until:
             return False
-        if self._news.host(now) == self._host:
+        if self._leader.host(now) == self._host:
             # A former life of this instance held the lease, and peers still say so.
             return True
         names = [peer.beacon.instance for peer in self._peers.live()]
         if self._kept:
-            return self._news.is_turn_of(self._name, names, now)
+            return self._leader.should_acquire(self._name, names, now)
         is_first = all(name > self._name for name in names)
-        return is_first and self._news.host(now) is None
+        return is_first and self._leader.host(now) is None
 
     async def acquire(self) -> bool:
         """Have the lease for the next calls; False if another may still act."""
         if not self.leads():
             return False
         now = self._clock.monotonic()
-        if await self._lease.acquire(self._news.released_fence):
+        if await self._lease.acquire(self._leader.released_fence):
             if self._held_at is None:
                 self.since = self._clock.now()
                 _log.info("tenure begun", fence=self._lease.fence)
@@ -126,8 +126,8 @@
         if told is None:
             return
         now = self._clock.monotonic()
-        self._news.hear(
-            succession.Claim(told.host, told.fence, told.released),
+        self._leader.receive(
+            leader_election.Claim(told.host, told.fence, told.released),
             now - datetime.timedelta(milliseconds=told.age_ms),
         )
         if self.active and told.fence > self._lease.fence:
@@ -138,11 +138,11 @@
         now = self._clock.monotonic()
         if self.active:
             return beacons.Holder(self._host, self._lease.fence, False, 0)
-        claim = self._news.fresh(now)
+        claim = self._leader.current(now)
         if claim is None:
             return None
         # Rounded up: an age that shrank on each way would never grow old.
-        age = (now - self._news.at) // datetime.timedelta(milliseconds=1) + 1
+        age = (now - self._leader.claimed_at) // datetime.timedelta(milliseconds=1) + 1
         return beacons.Holder(claim.host, claim.fence, claim.released, age)
 
     async def run(self) -> None:
@@ -162,8 +162,8 @@
             return
         now = self._clock.monotonic()
         self._abstains_until = now + _ABSTAINS * self._lease.between
-        claim = succession.Claim(self._host, self._lease.fence, released=True)
-        self._news.hear(claim, now)
+        claim = leader_election.Claim(self._host, self._lease.fence, released=True)
+        self._leader.receive(claim, now)
         self._end(reason)
 
     def _end(self, reason: str) -> None:
--- a/src/pimentolatch/membership/sender_counts.py
+++ b/src/pimentolatch/membership/sender_counts.py
@@ -3,7 +3,7 @@
 import typing
 from collections import abc
 
-from pimentolatch.decisions import shares
+from pimentolatch.decisions import work_reports
 from pimentolatch.membership import share_spread
 
 __all__ = ["SenderCounts"]
@@ -36,7 +36,7 @@
         self._routing = routing
         self._told: dict[str, dict[str, int]] = {}
 
-    def update(self, peer: str, work: shares.Shares) -> None:
+    def update(self, peer: str, work: work_reports.WorkReport) -> None:
         """See `share_spread.ShareTable.update`."""
         self._told[peer] = {row.server: row.streams for row in work.servers}
         self._routing.update(peer, work)
--- a/src/pimentolatch/membership/share_spread.py
+++ b/src/pimentolatch/membership/share_spread.py
@@ -9,7 +9,7 @@
 import typing
 
 from pimentolatch import clock
-from pimentolatch.decisions import demand, shares
+from pimentolatch.decisions import demand, work_reports
 from pimentolatch.protocol import messages
 
 __all__ = ["ShareSpread", "ShareTable"]
@@ -33,7 +33,7 @@
 class ShareTable(typing.Protocol):
     """Holds the shares of peers for decisions."""
 
-    def update(self, peer: str, work: shares.Shares) -> None:
+    def update(self, peer: str, work: work_reports.WorkReport) -> None:
         """Take a peer's whole work as it now stands."""
 
     def forget(self, peer: str) -> None:
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        source: typing.Callable[[], shares.Shares],
+        source: typing.Callable[[], work_reports.WorkReport],
         table: ShareTable,
         time: clock.Clock,
         interval: datetime.timedelta,
@@ -60,8 +60,8 @@
         self._table = table
         self._clock = time
         self._interval = interval
-        self._sent_servers: dict[str, shares.ServerWork] = {}
-        self._sent_callers: dict[str, shares.CallerWork] = {}
+        self._sent_servers: dict[str, work_reports.ServerWork] = {}
+        self._sent_callers: dict[str, work_reports.CallerWork] = {}
         self._sent_demand: tuple[demand.Totals, ...] = ()
         self._demand_due = datetime.timedelta()
         self._peers: dict[str, _PeerWork] = {}
@@ -122,12 +122,14 @@
         """Add a peer's delta to what is known of it."""
         work = self._peers.setdefault(peer, _PeerWork({}, {}))
         _apply(delta, work.servers, work.callers)
-        whole = shares.Shares(
+        whole = work_reports.WorkReport(
             tuple(work.servers.values()), tuple(work.callers.values()), delta.totals
         )
         self._table.update(peer, whole)
 
-    def _due_demand(self, current: shares.Shares) -> tuple[demand.Totals, ...]:
+    def _due_demand(
+        self, current: work_reports.WorkReport
+    ) -> tuple[demand.Totals, ...]:
         now = self._clock.monotonic()
         if now < self._demand_due or current.totals == self._sent_demand:
             return ()
@@ -142,14 +144,14 @@
 
 
 class _PeerWork(typing.NamedTuple):
-    servers: dict[str, shares.ServerWork]
-    callers: dict[str, shares.CallerWork]
+    servers: dict[str, work_reports.ServerWork]
+    callers: dict[str, work_reports.CallerWork]
 
 
 def _apply(
     delta: messages.SharesDelta,
-    servers: dict[str, shares.ServerWork],
-    callers: dict[str, shares.CallerWork],
+    servers: dict[str, work_reports.ServerWork],
+    callers: dict[str, work_reports.CallerWork],
 ) -> None:
     for server in delta.servers:
         servers[server.server] = server
@@ -162,32 +164,34 @@
 
 
 def _changed_servers(
-    current: tuple[shares.ServerWork, ...], sent: dict[str, shares.ServerWork]
-) -> list[shares.ServerWork]:
+    current: tuple[work_reports.ServerWork, ...],
+    sent: dict[str, work_reports.ServerWork],
+) -> list[work_reports.ServerWork]:
     now = {work.server: work for work in current if work.streams}
-    changes: list[tuple[float, shares.ServerWork]] = []
+    changes: list[tuple[float, work_reports.ServerWork]] = []
     for name, work in now.items():
         size = _change(_tokens(work), _tokens(sent.get(name)))
         streams = sent[name].streams if name in sent else 0
         if size > _CHANGE_SHARE or streams != work.streams:
             changes.append((size, work))
     for name in sent.keys() - now.keys():
-        changes.append((1.0, shares.ServerWork(name, 0, 0, 0)))
+        changes.append((1.0, work_reports.ServerWork(name, 0, 0, 0)))
     return [work for _, work in sorted(changes, key=_order)]
 
 
 def _changed_callers(
-    current: tuple[shares.CallerWork, ...], sent: dict[str, shares.CallerWork]
-) -> list[shares.CallerWork]:
+    current: tuple[work_reports.CallerWork, ...],
+    sent: dict[str, work_reports.CallerWork],
+) -> list[work_reports.CallerWork]:
     now = {work.caller: work for work in current if work.tokens_per_second}
-    changes: list[tuple[float, shares.CallerWork]] = []
+    changes: list[tuple[float, work_reports.CallerWork]] = []
     for name, work in now.items():
         before = sent[name].tokens_per_second if name in sent else 0.0
         size = _change(work.tokens_per_second, before)
         if size > _CHANGE_SHARE:
             changes.append((size, work))
     for name in sent.keys() - now.keys():
-        changes.append((1.0, shares.CallerWork(name, 0.0)))
+        changes.append((1.0, work_reports.CallerWork(name, 0.0)))
     return [work for _, work in sorted(changes, key=_order)]
 
 
@@ -195,7 +199,7 @@
     return (-change[0], str(change[1]))
 
 
-def _tokens(work: shares.ServerWork | None) -> float:
+def _tokens(work: work_reports.ServerWork | None) -> float:
     return 0.0 if work is None else float(work.prompt_tokens + work.output_tokens)
 
 
--- a/src/pimentolatch/protocol/messages.py
+++ b/src/pimentolatch/protocol/messages.py
@@ -7,7 +7,7 @@
 
 import dataclasses
 
-from pimentolatch.decisions import demand, shares
+from pimentolatch.decisions import demand, work_reports
 
 __all__ = [
     "Acknowledged",
@@ -202,8 +202,8 @@
 class SharesDelta:
     """Entries of the sender's work that changed; zero stands for none left."""
 
-    servers: tuple[shares.ServerWork, ...]
-    callers: tuple[shares.CallerWork, ...]
+    servers: tuple[work_reports.ServerWork, ...]
+    callers: tuple[work_reports.CallerWork, ...]
     totals: tuple[demand.Totals, ...] = ()
 
 
--- a/tests/features/steps/capacity_steps.py
+++ b/tests/features/steps/capacity_steps.py
@@ -27,12 +27,12 @@
 
 @behave.when("capacity: {count:d} servers register within {seconds:d} seconds")
 def register(context, count, seconds):
-    sizing = server_plan.Sizing()
+    sizing = server_plan.InitialSize()
     context.found = []
     for tenth in range(100):
         now = tenth * SECOND / 10
         total = min(count, round(count * now / (seconds * SECOND)))
-        context.found.append((now, sizing.note(total, now)))
+        context.found.append((now, sizing.observe(total, now)))
 
 
 @behave.then(
@@ -114,7 +114,7 @@
 
 @behave.then("capacity: no dear server stands at the end")
 def none_dear(context):
-    assert not any(found.firm for found in context.scaling.standing().values())
+    assert not any(found.on_demand for found in context.scaling.standing().values())
 
 
 @behave.when("capacity: {count:d} drawn days with lost orders and reclaims are played")
--- a/tests/features/steps/experiment_steps.py
+++ b/tests/features/steps/experiment_steps.py
@@ -8,7 +8,10 @@
 
 PLAYS = {day: plays.Play("site", day, 1) for day in ("bad", "fair", "good")}
 WORTH = {"bad": 0.2, "fair": 0.5, "good": 0.9}
-WORSE = "no delay=decisions.prefill._STREAM_DELAY=0.0;decisions.splits._OVERLOAD=9.0"
+WORSE = (
+    "no delay=decisions.prefill._STREAM_DELAY=0.0;"
+    "decisions.overload_model._OVERLOAD_LOSS_FACTOR=9.0"
+)
 
 
 @behave.then('the variant "{text}" is refused')
--- a/tests/features/steps/load_steps.py
+++ b/tests/features/steps/load_steps.py
@@ -23,8 +23,8 @@
     limits,
     outstanding,
     retries,
-    shares,
     subset,
+    work_reports,
 )
 from pimentolatch.document import schema
 from pimentolatch.requests import schedule, stream
@@ -312,7 +312,7 @@
     caller = schema.Caller(
         name="hot", key_sha256="0" * 64, tokens_per_second=10_000, burst_tokens=10_000
     )
-    tables = [shares.PeerShares() for _ in range(count)]
+    tables = [work_reports.PeerReports() for _ in range(count)]
     buckets = [limits.CallerLimits(table) for table in tables]
     for bucket in buckets:
         bucket.set_instances(count)
@@ -326,7 +326,7 @@
                     admitted += 2000
         if see_each_other and step % 10 == 0:
             for number, bucket in enumerate(buckets):
-                told = shares.Shares((), bucket.shares(now))
+                told = work_reports.WorkReport((), bucket.shares(now))
                 for other, table in enumerate(tables):
                     if other != number:
                         table.update(f"entry-{number}", told, now)
--- a/tests/features/steps/membership_steps.py
+++ b/tests/features/steps/membership_steps.py
@@ -8,7 +8,7 @@
 import hypothesis.strategies as st
 
 from pimentolatch import backoff, call_budget, clock, store
-from pimentolatch.decisions import shares
+from pimentolatch.decisions import work_reports
 from pimentolatch.membership import (
     acknowledgements,
     incarnations,
@@ -65,7 +65,7 @@
     def __init__(self, instance="a", domain=DOMAIN):
         self.time = clock.ManualClock()
         self.wire = Wire()
-        self.work = shares.Shares()
+        self.work = work_reports.WorkReport()
         documents = types.SimpleNamespace(
             number=0, offered=lambda *a: None, handle=None, closed=lambda link: None
         )
@@ -394,7 +394,7 @@
 
 
 WITHDRAWAL = views.DomainView(DOMAIN, 2, frozenset({"engine-1"}))
-WORK = shares.Shares((shares.ServerWork("engine-1", 1, 10, 10),))
+WORK = work_reports.WorkReport((work_reports.ServerWork("engine-1", 1, 10, 10),))
 
 
 @behave.when(
@@ -431,7 +431,7 @@
 
     context.world.node.tick()
     assert acknowledged() == [], context.world.wire.sent
-    context.world.work = shares.Shares()
+    context.world.work = work_reports.WorkReport()
     context.world.node.tick()
     assert acknowledged() == [messages.ViewNumber(DOMAIN, 2)]
 
@@ -480,9 +480,9 @@
     table = types.SimpleNamespace(update=lambda *a: None, forget=lambda peer: None)
 
     def busy():
-        return shares.Shares(
+        return work_reports.WorkReport(
             tuple(
-                shares.ServerWork(
+                work_reports.ServerWork(
                     f"engine-{n:04}",
                     chance.randint(1, 32),
                     chance.randint(0, 90_000),
--- a/tests/features/steps/orders_duty_steps.py
+++ b/tests/features/steps/orders_duty_steps.py
@@ -10,7 +10,7 @@
 from pimentolatch.audit import trail
 from pimentolatch.backend import orders
 from pimentolatch.control import drain, duty, reconciler, slots
-from pimentolatch.decisions import capacity, roles
+from pimentolatch.decisions import roles, serving_floor
 from pimentolatch.document import schema
 from standins import memory_store, objects
 
@@ -213,7 +213,7 @@
         assert len(begun | changing) <= policy.concurrent_changes
     for model in ("model", "other"):
         of_model = [e for e in active if model in e.models]
-        least = capacity.least_serving(len(of_model), policy.least_serving_share)
+        least = serving_floor.min_serving(len(of_model), policy.least_serving_share)
         before = {e.name for e in of_model} - away - changing
         after = (before - begun) | (returned & {e.name for e in of_model})
         assert len(after) >= min(least, len(before)), (model, begun, before)
--- a/tests/features/steps/roles_demand_steps.py
+++ b/tests/features/steps/roles_demand_steps.py
@@ -3,7 +3,7 @@
 import behave
 
 from pimentolatch.control import slots, standings
-from pimentolatch.decisions import demand, states
+from pimentolatch.decisions import demand, engine_states
 from pimentolatch.entry import planner
 from tests.support import role_worlds
 
@@ -107,8 +107,8 @@
         seen = [standing(s, gone and s.engine.name == "e-2") for s in known]
         context.orders["real"] += real.plan(seen, seconds(at))
         if gone:
-            known[1] = states.EngineState(
-                known[1].engine, "mixed", states.Condition.UNCERTAIN
+            known[1] = engine_states.EngineState(
+                known[1].engine, "mixed", engine_states.Condition.UNCERTAIN
             )
         context.orders["roles"] += told_of_roles.plan(known, seconds(at))
 
--- a/tests/features/steps/routes_fleet_steps.py
+++ b/tests/features/steps/routes_fleet_steps.py
@@ -343,7 +343,9 @@
 def heard(context, near, far):
     own = [place for place in context.fleet if place.failure_domain == "d0"]
     other = [place for place in context.fleet if place.failure_domain == "d1"]
-    context.weights = neighbours.weights(context.fleet, [*own[:near], *other[:far]])
+    context.weights = neighbours.domain_weights(
+        context.fleet, [*own[:near], *other[:far]]
+    )
 
 
 @behave.then("each of the own domain counts twice")
@@ -385,7 +387,7 @@
             for name, at in context.heard.items()
             if name != own
         ]
-        if store_readers.reads(own, known, NOW):
+        if store_readers.is_reader(own, known, NOW):
             found.add(own)
     # One that is silent may read on; what counts is who else does.
     silent = {name for name, at in context.heard.items() if at < NOW}
--- a/tests/features/steps/usage_steps.py
+++ b/tests/features/steps/usage_steps.py
@@ -6,7 +6,7 @@
 import cbor2
 import logbook
 
-from pimentolatch.decisions import succession, usage
+from pimentolatch.decisions import leader_election, usage
 from pimentolatch.protocol import usage_rows
 from standins import control_api
 from tests.features.steps import customers_steps, routes_serving_steps
@@ -250,14 +250,14 @@
 
 
 def news(released=False):
-    heard = succession.HolderNews(0 * SECOND)
-    heard.hear(succession.Claim("h", 4, released), 100 * SECOND)
+    heard = leader_election.LeaderTracker(0 * SECOND)
+    heard.receive(leader_election.Claim("h", 4, released), 100 * SECOND)
     return heard
 
 
 @behave.then("usage: while a holder is heard nobody tries")
 def nobody_tries(context):
-    assert not news().is_turn_of("a", [], 102 * SECOND)
+    assert not news().should_acquire("a", [], 102 * SECOND)
 
 
 @behave.then("usage: when it is silent the first tries and a second later the next one")
@@ -265,7 +265,7 @@
     silent = news()
     moments = [103.2, 104.2, 105.2]
     turns = [
-        [silent.is_turn_of(own, others, moment * SECOND) for moment in moments]
+        [silent.should_acquire(own, others, moment * SECOND) for moment in moments]
         for own, others in (("a", "bc"), ("b", "ac"), ("c", "ab"))
     ]
     assert turns == [[True] * 3, [False, True, True], [False, False, True]], turns
@@ -275,25 +275,25 @@
 def through(context):
     released = news(released=True)
     assert released.released_fence == 4
-    assert released.is_turn_of("a", "bc", 100.1 * SECOND)
-    assert not released.is_turn_of("b", "ac", 100.1 * SECOND)
+    assert released.should_acquire("a", "bc", 100.1 * SECOND)
+    assert not released.should_acquire("b", "ac", 100.1 * SECOND)
 
 
 @behave.then("usage: an older claim does not undo that")
 def not_undone(context):
     released = news(released=True)
-    released.hear(succession.Claim("h", 4, released=False), 101 * SECOND)
+    released.receive(leader_election.Claim("h", 4, released=False), 101 * SECOND)
     assert released.host(101 * SECOND) is None
-    released.hear(succession.Claim("g", 5, released=False), 101 * SECOND)
+    released.receive(leader_election.Claim("g", 5, released=False), 101 * SECOND)
     assert released.host(101 * SECOND) == "g"
 
 
 @behave.then("usage: after a start nobody tries before the others can have been heard")
 def nobody_at_once(context):
-    started = succession.HolderNews(100 * SECOND)
-    assert not started.is_turn_of("a", [], 102 * SECOND)
-    assert started.is_turn_of("a", "b", 103.2 * SECOND)
-    assert not started.is_turn_of("b", "a", 103.2 * SECOND)
+    started = leader_election.LeaderTracker(100 * SECOND)
+    assert not started.should_acquire("a", [], 102 * SECOND)
+    assert started.should_acquire("a", "b", 103.2 * SECOND)
+    assert not started.should_acquire("b", "a", 103.2 * SECOND)
 
 
 @behave.given('usage: a receiver, customers "north" and "south" and an instance')
--- a/tests/support/completion_crashes.py
+++ b/tests/support/completion_crashes.py
@@ -7,7 +7,7 @@
 
 from pimentolatch import clock
 from pimentolatch.backend import outcomes
-from pimentolatch.decisions import shares
+from pimentolatch.decisions import work_reports
 from pimentolatch.membership import (
     incarnations,
     leaving,
@@ -132,7 +132,10 @@
             crashes=self.suspects,
             table=view_table.ViewTable(),
             spread=share_spread.ShareSpread(
-                shares.Shares, NoWork(), self.time, datetime.timedelta(seconds=1)
+                work_reports.WorkReport,
+                NoWork(),
+                self.time,
+                datetime.timedelta(seconds=1),
             ),
             leaving_servers=leaving.LeavingServers(
                 self.time, datetime.timedelta(seconds=1), lambda servers: None
--- a/tests/support/config_world.py
+++ b/tests/support/config_world.py
@@ -13,7 +13,7 @@
 
 from pimentolatch import fleet, store
 from pimentolatch.control import configuration, heads, keeper, spread, watcher
-from pimentolatch.decisions import shares
+from pimentolatch.decisions import work_reports
 from pimentolatch.document import schema
 from pimentolatch.membership import (
     incarnations,
@@ -152,7 +152,7 @@
 
 
 class _NoTable:
-    def update(self, peer: str, work: shares.Shares) -> None:
+    def update(self, peer: str, work: work_reports.WorkReport) -> None:
         pass
 
     def forget(self, peer: str) -> None:
@@ -211,7 +211,7 @@
             crashes=suspect_completions.SuspectCompletions(self.time),
             table=self.table,
             spread=share_spread.ShareSpread(
-                shares.Shares, _NoTable(), self.time, _BEAT
+                work_reports.WorkReport, _NoTable(), self.time, _BEAT
             ),
             leaving_servers=leaving.LeavingServers(
                 self.time, _BEAT, own_fleet.set_leaving
--- a/tests/support/fleet_world.py
+++ b/tests/support/fleet_world.py
@@ -112,7 +112,7 @@
             instance.loads.partly_heard = instance.work.partly_heard
             heard = [neighbours.Place(h, "d") for h in instance.told.near]
             known = [neighbours.Place(str(n), "d") for n in range(instances - 1)]
-            self._weight = neighbours.weights(known, heard).get("d", 1.0)
+            self._weight = neighbours.domain_weights(known, heard).get("d", 1.0)
 
     def at(self, when: float, call: abc.Callable[[], None]) -> None:
         """Have something called at a moment, in milliseconds."""
@@ -295,7 +295,7 @@
     def _plan(self, until: float) -> None:
         """Have the first instance plan, and the engines do what it says."""
         first = next(iter(self.instances.values()))
-        demand = sum(i.demand.rate(self.time).reading for i in self.instances.values())
+        demand = sum(i.demand.rate(self.time).prefill for i in self.instances.values())
         rate = max(i.loads.reading_rate for i in self.instances.values())
         planned = self._planner.plan(
             first.loads, fleet_parts.TRAITS, PAUSE_TARGET_MS, demand, rate, self.time
@@ -305,7 +305,7 @@
             self.orders.append((self.now, change))
             engine = self.engines[change.engine.server_id]
             engine.changing = True
-            away = fleet_parts.TRAITS.stage_change + stage_plan.STREAMS_END
+            away = fleet_parts.TRAITS.stage_change + stage_plan.STREAM_DRAIN_TIME
             first.known.engine(change.engine).begin_change(
                 engine_loads.StageChange(change.stage, self.time + away)
             )
--- a/tests/support/role_worlds.py
+++ b/tests/support/role_worlds.py
@@ -9,7 +9,7 @@
 from collections import abc
 
 from pimentolatch import checks
-from pimentolatch.decisions import capacity, demand, roles, states
+from pimentolatch.decisions import demand, engine_states, roles, serving_floor
 from pimentolatch.document import schema
 
 __all__ = [
@@ -33,7 +33,7 @@
 
 _EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
 _TICK_S = 5
-_CONDITIONS = tuple(states.Condition)
+_CONDITIONS = tuple(engine_states.Condition)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -77,10 +77,10 @@
     )
 
 
-def in_service(names: abc.Sequence[str]) -> list[states.EngineState]:
+def in_service(names: abc.Sequence[str]) -> list[engine_states.EngineState]:
     """Return serving engines with roles."""
     return [
-        states.EngineState(engine(n, role), role)
+        engine_states.EngineState(engine(n, role), role)
         for n, role in enumerate(typing.cast(abc.Sequence[schema.Role], names), 1)
     ]
 
@@ -109,33 +109,36 @@
 
 
 def ordered(
-    known: abc.Sequence[states.EngineState], change: roles.RoleChange
-) -> list[states.EngineState]:
+    known: abc.Sequence[engine_states.EngineState], change: roles.RoleChange
+) -> list[engine_states.EngineState]:
     """Return the states once the change's slot is taken."""
     return _with(
-        known, change.engine, role=change.role, condition=states.Condition.CHANGING
+        known,
+        change.engine,
+        role=change.role,
+        condition=engine_states.Condition.CHANGING,
     )
 
 
 def settled(
-    known: abc.Sequence[states.EngineState],
+    known: abc.Sequence[engine_states.EngineState],
     change: roles.RoleChange,
     at: datetime.timedelta | None,
-) -> list[states.EngineState]:
+) -> list[engine_states.EngineState]:
     """Return the states once the change has ended."""
     return _with(known, change.engine, role=change.role, since=at)
 
 
 def withdrawn(
-    known: abc.Sequence[states.EngineState], name: str
-) -> list[states.EngineState]:
+    known: abc.Sequence[engine_states.EngineState], name: str
+) -> list[engine_states.EngineState]:
     """Return the states with one engine withdrawn."""
-    return _with(known, name, condition=states.Condition.WITHDRAWN)
+    return _with(known, name, condition=engine_states.Condition.WITHDRAWN)
 
 
 def _with(
-    known: abc.Sequence[states.EngineState], name: str, **changes: typing.Any
-) -> list[states.EngineState]:
+    known: abc.Sequence[engine_states.EngineState], name: str, **changes: typing.Any
+) -> list[engine_states.EngineState]:
     return [
         dataclasses.replace(state, **changes) if state.engine.name == name else state
         for state in known
@@ -195,7 +198,7 @@
             self._states = _with(
                 settled(self._states, change, now),
                 change.engine,
-                condition=states.Condition.SERVING,
+                condition=engine_states.Condition.SERVING,
             )
 
     def _come_and_go(self, at: float) -> None:
@@ -203,8 +206,8 @@
             return
         name, gone, back = self._absent
         for moment, condition in (
-            (gone, states.Condition.WITHDRAWN),
-            (back, states.Condition.SERVING),
+            (gone, engine_states.Condition.WITHDRAWN),
+            (back, engine_states.Condition.SERVING),
         ):
             if at == moment:
                 now = datetime.timedelta(seconds=at)
@@ -257,7 +260,7 @@
 
 
 class RolesOnly:
-    """The planner without `sightings`: it never hears when an engine came or went."""
+    """The planner without `state_tracker`: engine states carry no time of change."""
 
     def __init__(
         self,
@@ -269,7 +272,7 @@
         self._history = demand.History()
 
     def plan(
-        self, known: abc.Sequence[states.EngineState], now: datetime.timedelta
+        self, known: abc.Sequence[engine_states.EngineState], now: datetime.timedelta
     ) -> tuple[roles.RoleChange, ...]:
         """Return the changes wanted now."""
         self._history.observe(now, self._totals())
@@ -294,7 +297,9 @@
         elif not look or roles.confirm(change, known, chosen):
             made += 1
         else:
-            known = _with(known, change.engine, condition=states.Condition.SERVING)
+            known = _with(
+                known, change.engine, condition=engine_states.Condition.SERVING
+            )
     return made
 
 
@@ -325,7 +330,7 @@
         for change in changes:
             found += _wrong(known, change, chosen)
             known = ordered(known, change)
-        under_way = sum(s.condition is states.Condition.CHANGING for s in known)
+        under_way = sum(s.condition is engine_states.Condition.CHANGING for s in known)
         if changes and under_way > chosen.concurrent_changes:
             found.append("too many changes at once")
     return Found(plans, tuple(found))
@@ -337,9 +342,9 @@
 
 def _drawn(
     chance: random.Random,
-) -> tuple[list[states.EngineState], schema.RolePolicy]:
+) -> tuple[list[engine_states.EngineState], schema.RolePolicy]:
     known = [
-        states.EngineState(
+        engine_states.EngineState(
             engine(n, "mixed", pinned=chance.random() < 0.2),
             chance.choice(("prefill", "decode", "mixed")),
             chance.choices(_CONDITIONS, weights=(8, 1, 1, 1))[0],
@@ -355,22 +360,25 @@
 
 
 def _wrong(
-    known: abc.Sequence[states.EngineState],
+    known: abc.Sequence[engine_states.EngineState],
     change: roles.RoleChange,
     chosen: schema.RolePolicy,
 ) -> list[str]:
     (changed,) = [s for s in known if s.engine.name == change.engine]
     found = []
-    if changed.engine.pinned or changed.condition is not states.Condition.SERVING:
+    if (
+        changed.engine.pinned
+        or changed.condition is not engine_states.Condition.SERVING
+    ):
         found.append(f"{change} moves an engine that must stay")
-    serving = [s.role for s in known if s.condition is states.Condition.SERVING]
+    serving = [s.role for s in known if s.condition is engine_states.Condition.SERVING]
     staying = serving.copy()
-    if changed.condition is states.Condition.SERVING:
+    if changed.condition is engine_states.Condition.SERVING:
         staying.remove(changed.role)
     if not _answers(known):
         return found
-    present = [s for s in known if s.condition is not states.Condition.WITHDRAWN]
-    least = capacity.least_serving(len(present), chosen.least_serving_share)
+    present = [s for s in known if s.condition is not engine_states.Condition.WITHDRAWN]
+    least = serving_floor.min_serving(len(present), chosen.least_serving_share)
     if len(staying) < least:
         found.append(f"{change} leaves {len(staying)} of {len(present)} in service")
     if _covered(serving) and not _covered(staying):
@@ -378,8 +386,8 @@
     return found
 
 
-def _answers(known: abc.Sequence[states.EngineState]) -> bool:
-    able = (states.Condition.SERVING, states.Condition.CHANGING)
+def _answers(known: abc.Sequence[engine_states.EngineState]) -> bool:
+    able = (engine_states.Condition.SERVING, engine_states.Condition.CHANGING)
     return any(s.role != "prefill" for s in known if s.condition in able)
 
 
--- a/tests/support/scaling_world.py
+++ b/tests/support/scaling_world.py
@@ -96,14 +96,14 @@
         """Return the servers that take requests, by domain."""
         found = {}
         for domain in self.scaling.prices:
-            firm, spot = (
+            on_demand, spot = (
                 sum(
                     s.domain == domain and s.spot == kind and self._serves(s)
                     for s in self.servers
                 )
                 for kind in (False, True)
             )
-            found[domain] = server_plan.Standing(firm, spot)
+            found[domain] = server_plan.ServerCounts(on_demand, spot)
         return found
 
     def _carry_out(self, order):
