--- a/src/pimentolatch/decisions/cost_benefit.py
+++ b/src/pimentolatch/decisions/cost_benefit.py
@@ -1,11 +1,11 @@
 """Weighs what staying in the present roles loses against what a change costs.
 
-Load pattern: a wave of long prompts that may be over in half a minute or stay for
-hours; nobody knows which when it begins. Whoever reacts at once pays for changes that
-come too late, whoever waits for certainty loses the answers meanwhile. Waiting until
-the loss equals the price is never much worse than twice the best in hindsight.
+Load pattern: a wave of long prompts that may end in half a minute or last for hours,
+which is unknown when it begins. Reacting at once pays for changes that come too late;
+waiting for certainty loses answers meanwhile. Waiting until the loss equals the cost is
+never much worse than twice the best decision in hindsight.
 
-Everything is counted in answers: that is what callers miss.
+Gains and costs are counted in answers, since that is what callers lose.
 """
 
 import itertools
@@ -16,16 +16,17 @@
 
 __all__ = ["CostBenefit"]
 
-# Samples that stand for the demand while an engine is away.
+# Latest samples, which stand for the demand while an engine is unavailable.
 _RECENT_SAMPLES = 6
 
 
 class CostBenefit:
-    """Gains and prices of changes, by the demand that the present engines answered.
+    """Gains and costs of role changes, from the demand served by the present engines.
 
-    Samples from before an engine last came, went or changed were answered by others.
-    Were they counted, an engine that is drained for half a minute would look as if it
-    had been missing for all of them, and its absence would earn a change at once.
+    Samples from before an engine last joined, left or changed were served by a
+    different set of engines. If they were counted, an engine that is drained for half a
+    minute would look as if it had been missing during all of them, and its absence
+    would justify a change at once.
     """
 
     def __init__(
@@ -42,7 +43,10 @@
         self._staying_losses = _losses(engines, self._newest_first)
 
     def may_pay_off(self) -> bool:
-        """Tell whether any change could earn its price; spares looking at each one."""
+        """Return whether any change could pay off.
+
+        If not, the caller need not evaluate each change.
+        """
         lost = sum(
             loss * sample.length_s
             for loss, sample in zip(
@@ -54,11 +58,11 @@
     def gain(self, after: abc.Sequence[engine_states.EngineState]) -> float:
         """Return the answers lost by staying since a shift began.
 
-        The sum over the samples up to now, from the start that makes it largest: a
-        cumulative-sum test for a shift whose start is not known.
+        This is the sum over the samples up to now, from the start that makes it
+        largest: a cumulative-sum (CUSUM) test for a shift whose start is unknown.
 
         Args:
-            after: The engines as they would be.
+            after: The engines as they would be after the change.
         """
         changed = _losses(after, self._newest_first)
         gains = (
@@ -70,11 +74,11 @@
         return max(itertools.accumulate(gains), default=0.0)
 
     def cost(self, engine: str) -> float:
-        """Return what a change of an engine costs, in answers.
+        """Return the cost of changing an engine, in answers.
 
-        While it drains and changes, the others carry its work as well as they can;
-        that is counted with the demand of the last samples. The document's weight
-        adds seconds of one engine's answers.
+        While it drains and changes, the other engines take over its work as far as they
+        can; this loss is computed from the demand of the latest samples. The document's
+        change weight adds seconds of one engine's answers.
         """
         if not self._recent:
             return 0.0
--- a/src/pimentolatch/decisions/demand.py
+++ b/src/pimentolatch/decisions/demand.py
@@ -1,11 +1,11 @@
-"""Estimates the work that callers bring, from what instances counted.
+"""Estimates the work that callers request, from the counters of instances.
 
-Load pattern: the share of prompt to output swings within minutes, and what instances
-tell each other is seconds old. Without a history, the planner of roles acts on the
-last burst; with only an average, it misses a shift that lasts.
+Load pattern: the ratio of prompt to output tokens swings within minutes, and reports
+from peers are seconds old. Without a history, the role planner reacts to the last
+burst; with only an average, it misses a shift that lasts.
 
-Each instance publishes totals that only grow. Their differences are rates, whatever
-was lost in between, and a total that falls marks an instance that began anew.
+Each instance publishes monotonic counters. Their differences give rates even if reports
+were lost in between, and a new incarnation starts its counters anew.
 """
 
 import collections
@@ -15,22 +15,29 @@
 
 __all__ = ["History", "Sample", "Totals"]
 
-# Prompts of this many tokens and more are counted as long. Shorter ones are read
-# between the streams without a visible pause; see docs/ROLE-PLANNING.md.
+# Prompts of at least this many tokens count as long. Shorter ones are prefilled between
+# decode steps without a visible pause; see docs/ROLE-PLANNING.md.
 LONG_PROMPT_TOKENS = 2048
-# Heartbeats come every second. An instance that is silent for this long is not
-# counted any more; until then it is taken to go on as before.
+# Heartbeats come every second. An instance without a report for this long is no longer
+# counted; until then its last rate is assumed to continue.
 _MAX_SILENCE = datetime.timedelta(seconds=15)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Totals:
-    """Tokens that callers asked one instance for since it started.
+    """Tokens requested from one instance by callers since it started.
 
-    Refused requests count: what was turned away is demand too.
+    Refused requests count, since they are demand too.
 
     Attributes:
+        instance: Name of the instance.
+        incarnation: Run of its process that the totals belong to.
         uptime_s: When the totals were taken, on the instance's own clock.
+        short_prompt_tokens: Tokens of prompts below `LONG_PROMPT_TOKENS`.
+        long_prompt_tokens: Tokens of all other prompts.
+        output_tokens: Tokens requested as output.
+        short_requests: Requests with a short prompt.
+        long_requests: Requests with a long prompt.
     """
 
     instance: str
@@ -59,14 +66,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """Demand of a failure domain over one interval, by the second.
+    """Demand of a failure domain over one interval, per second.
 
     Attributes:
-        at: End of the interval on the monotonic clock of the instance that plans.
+        at: End of the interval on the monotonic clock of the planning instance.
         length_s: Length of the interval, in seconds.
         short_prompts: Tokens of short prompts.
         long_prompts: Tokens of long prompts.
-        output: Tokens of answers.
+        output: Output tokens.
+        short_requests: Requests with a short prompt.
+        long_requests: Requests with a long prompt.
     """
 
     at: datetime.timedelta
@@ -79,7 +88,7 @@
 
     @property
     def requests(self) -> float:
-        """Requests a second."""
+        """Requests per second."""
         return self.short_requests + self.long_requests
 
 
@@ -103,8 +112,8 @@
 class History:
     """Samples of the last minutes.
 
-    A planner that starts has none and changes nothing until it has seen a shift for
-    itself: a crash of the planner costs time, never a doubled change.
+    A planner starts without samples and changes nothing until it has observed a shift
+    itself. So a crash of the planner costs time but never doubles a change.
     """
 
     def __init__(
@@ -117,15 +126,15 @@
 
     @property
     def samples(self) -> tuple[Sample, ...]:
-        """All samples kept, oldest first."""
+        """All retained samples, oldest first."""
         return tuple(self._samples)
 
     def observe(self, now: datetime.timedelta, totals: abc.Iterable[Totals]) -> None:
-        """Add a sample from the newest totals of each instance.
+        """Add a sample from the latest totals of each instance.
 
-        After a pause, all samples are dropped. An instance that plans again after an
-        hour without the duty would otherwise take that hour for one long sample, and
-        whatever it lost would earn a change at once.
+        After a gap all samples are dropped. Otherwise an instance that plans again
+        after an hour would take that hour for one long sample, and the answers lost in
+        it would justify a change at once.
         """
         if self._last is not None and now - self._last > _MAX_SILENCE:
             self._samples.clear()
@@ -148,8 +157,8 @@
         known = self._rates.get(new.instance)
         if known is None or known.totals.incarnation != new.incarnation:
             return _Rate(new, now)
-        # By the sender's own clock, so that a message that was late on its way does
-        # not show as a lull followed by a spike. No newer message: the rate is held.
+        # By the sender's clock, so that a delayed message does not show as a lull
+        # followed by a spike. Without a newer message the last rate is kept.
         elapsed = new.uptime_s - known.totals.uptime_s
         if elapsed <= 0.0:
             return known
--- a/src/pimentolatch/decisions/overload_model.py
+++ b/src/pimentolatch/decisions/overload_model.py
@@ -1,8 +1,9 @@
-"""How much of the demand a set of engine roles can't carry.
+"""Estimates how much of the demand a set of engine roles can't serve.
 
-A rough model on purpose: it has to rank a handful of role sets against each other, not
-predict waits. What it says is checked by `make bench`, where the engines follow finer
-rules, and its figures stand in docs/ROLE-PLANNING.md.
+Load pattern: demand exceeds what the engines can do in their present roles, so answers
+are late or refused. Planning needs to rank a handful of role sets by what they lose,
+not to predict waits, so the model is deliberately coarse. `make bench` checks it
+against engines that follow a finer model; see docs/ROLE-PLANNING.md for its figures.
 """
 
 import dataclasses
@@ -13,15 +14,15 @@
 
 __all__ = ["EngineSpeed", "lost_answers"]
 
-# Share of its time that an engine can be busy before queues outgrow the deadlines.
+# Utilization of an engine above which queueing delay exceeds the deadlines.
 _MAX_UTILIZATION = 0.95
-# Answers lost for each answer's worth of work that an overloaded engine can't do: what
-# is taken on and then late has cost time as well.
+# Answers lost per answer's worth of work beyond an overloaded engine's capacity:
+# requests that are admitted and then late have used time as well.
 _OVERLOAD_LOSS_FACTOR = 1.7
-# Share of long prompts that are late when they are read between streams.
+# Share of long prompts that are late when they are prefilled between decode steps.
 _LATE_SHARE: dict[schema.Role, float] = {"decode": 0.5, "mixed": 0.2}
-# Answers made late by long prompts read between them, by the square of the share of
-# the engine's time that these take.
+# Answers made late by long prompts prefilled between decode steps, per square of the
+# share of engine time that these prompts take.
 _INTERFERENCE_FACTOR = 0.9
 
 
@@ -35,11 +36,12 @@
 
 
 def lost_answers(engines: abc.Sequence[EngineSpeed], sample: demand.Sample) -> float:
-    """Return the answers a second that would be late or refused.
+    """Return the answers per second that would be late or refused.
 
-    Prefill engines take long prompts first, short ones with what is left. All other
-    reading falls to the engines that answer, at a higher price. What these can't do
-    is lost in equal shares, and long prompts read there come too late in part.
+    Prefill engines take long prompts first and short ones with the remaining capacity.
+    All other prompts are prefilled on the decode engines, at a higher cost. What these
+    can't do is lost in equal shares, and part of the long prompts prefilled there is
+    late.
     """
     prefill_engines = [engine for engine in engines if engine.role == "prefill"]
     decode_engines = [engine for engine in engines if engine.role != "prefill"]
@@ -72,7 +74,7 @@
 def _lost_share(
     decode_engines: list[EngineSpeed], sample: demand.Sample, colocated_tokens: float
 ) -> float:
-    """Return the share of answers lost to overload of the engines that answer."""
+    """Return the share of answers lost because the decode engines are overloaded."""
     count = len(decode_engines)
     prefill_rate = sum(engine.prefill_tokens_per_s for engine in decode_engines) / count
     decode_rate = sum(engine.decode_tokens_per_s for engine in decode_engines) / count
--- a/src/pimentolatch/decisions/roles.py
+++ b/src/pimentolatch/decisions/roles.py
@@ -1,17 +1,18 @@
 """Plans which engines of one failure domain change role, and when.
 
-Load pattern: the share of prompt to output swings within minutes and drifts over
-hours. A planner that follows each swing keeps engines away for seconds at a time, just
-when they are needed; one that never moves wastes them when a shift lasts.
-
-Staying in the wrong roles loses work, second by second; a change costs a fixed amount.
-So a change is due once the work lost by staying, summed since it began, exceeds the
-cost of the change: a shift that ends sooner never earns one, and one that lasts earns
-it after losing about as much as the change costs. Weights come from the document.
-
-Nothing here is remembered between two plans. Changes under way are read from the order
-slots, so that a planner that crashed, or a second one at the same time, counts the
-same changes and adds none beyond the limit.
+Load pattern: the ratio of prompt to output tokens swings within minutes and drifts over
+hours. A planner that follows each swing takes engines out of service for seconds just
+when they are needed; one that never changes roles wastes them when a shift lasts.
+
+Staying in the wrong roles loses work every second, while a change has a fixed cost. So
+a change is due once the work lost by staying, summed since the shift began, exceeds the
+cost of the change. A shift that ends sooner never causes a change, and one that lasts
+causes it after losing about as much as the change costs. The weights come from the
+document.
+
+The planner keeps no state between two plans. Changes in progress are read from the
+order slots, so a restarted planner, or a second one running at the same time, counts
+the same changes and adds none beyond the limit.
 """
 
 import dataclasses
@@ -24,10 +25,11 @@
 
 __all__ = ["RoleChange", "Safeguards", "confirm", "plan"]
 
-# Crashed engines come back and drained ones are replaced within about this time.
+# Time within which crashed engines usually restart and drained ones are replaced.
 _RECOVERY_S = 30.0
-# A change never leaves one engine alone: were it to crash, the domain would serve
-# nothing, and alone it falls behind for longer than the change takes.
+# Engines that stay in service during a change. If only one stayed and crashed, the
+# domain would serve nothing; and one alone builds up a backlog that outlasts the
+# change.
 _MIN_STAYING = 2
 _ROLES: tuple[schema.Role, ...] = typing.get_args(schema.Role)
 
@@ -43,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Safeguards:
-    """Parts of the planner that can be off, only to measure what each is worth."""
+    """Parts of the planner that benchmarks can disable to measure their effect."""
 
     cost_test: bool = True
     rescue_wait: bool = True
@@ -60,7 +62,8 @@
 ) -> tuple[RoleChange, ...]:
     """Return the changes to order now; often none.
 
-    The same observation gives the same changes, whoever plans.
+    The result depends only on the arguments, so every instance plans the same changes
+    from the same observation.
     """
     under_way = sum(e.condition is engine_states.Condition.CHANGING for e in engines)
     changes: list[RoleChange] = []
@@ -79,16 +82,16 @@
     engines: abc.Sequence[engine_states.EngineState],
     policy: schema.RolePolicy,
 ) -> bool:
-    """Tell whether a change may go on, now that its engine's order slot is taken.
+    """Return whether a change may proceed once its engine's order slot is taken.
 
-    Two planners that saw different things can take the slots of two engines at the
-    same time. Each then reads all slots; at least the later one sees both, and
-    whoever sees more changes than the limit gives its slot back. If both do, neither
+    Two planners with different observations can take the slots of two engines at the
+    same time. Each then reads all slots, and at least the later one sees both. A
+    planner that sees more changes than the limit releases its slot. If both do, neither
     change is made and the next plan decides again.
 
     Args:
         change: The change whose slot was taken.
-        engines: States read after that, with this change among those under way.
+        engines: States read after that, with this change among those in progress.
         policy: The document's limits.
     """
     under_way = sum(e.condition is engine_states.Condition.CHANGING for e in engines)
@@ -140,12 +143,12 @@
     known: list[engine_states.EngineState],
     safeguards: Safeguards,
 ) -> RoleChange | None:
-    """Return the change that lets a model be answered again, if one does.
+    """Return the change that lets a model be served again, if one does.
 
-    When the only engine that answers is withdrawn or crashes, prefill engines stand
-    there with nothing to do and every caller is refused. Such a change takes nothing
-    away, so neither its price nor the dwell time holds it up. It waits only until
-    most crashes and drains are over, since the way back costs a change as well.
+    If the only engine that decodes for a model is withdrawn or crashes, prefill engines
+    stand idle and every request is refused. This change takes no capacity away, so
+    neither its cost nor the dwell time delays it. It only waits until most crashes and
+    drains are over, since changing back has a cost as well.
     """
     unchanged_s = (now - engine_states.last_change(known)).total_seconds()
     if safeguards.rescue_wait and unchanged_s < _RECOVERY_S:
@@ -183,11 +186,11 @@
     change: RoleChange,
     policy: schema.RolePolicy,
 ) -> bool:
-    """Tell whether enough engines serve during the change and after it.
+    """Return whether enough engines serve during the change and after it.
 
-    Engines in an uncertain state may never come back. Were they counted, a change
-    that begins while one is down would leave callers with neither; so both the share
-    that stays in service and the roles left for each model count serving ones only.
+    Engines in an uncertain state may never come back. If they were counted, a change
+    that begins while one is down could leave callers with neither. So the share that
+    stays in service and the roles left for each model count only serving engines.
     """
     present = [
         s for s in before if s.condition is not engine_states.Condition.WITHDRAWN
--- a/src/pimentolatch/decisions/server_plan.py
+++ b/src/pimentolatch/decisions/server_plan.py
@@ -1,21 +1,21 @@
-"""Plans how many servers of a service stand in each failure domain, and of which kind.
-
-Load pattern: a service is paid by the second, while its load swings within seconds and
-the mix of prompts and answers turns over, faster than a server boots. Servers that the
-platform may take back cost a fraction of the others, and all of them in a failure
-domain go at once, seconds after a notice.
-
-Ordering by the load of the moment comes too late for a swing and costs prefix caches
-each time. So the plan is about what a failure takes: as many servers that may be taken
-back as suffice when some failure domains have lost all of their own, spread evenly. One
-domain is reclaimed at a time, but prefix caches go with it, others crash meanwhile, and
-the load swings on: a second one to spare is kept where cheap servers still cost less
-than half of the dear ones that they replace. What is missing
-nevertheless, since they are not to be had, is ordered of the dear kind and given back
-once the cheap ones stand.
-
-The dear ones that stand at first are given back only as far as cheap ones serve in
-their place.
+"""Plans how many servers of each kind a service has in each failure domain.
+
+Load pattern: a service is billed by the second, while its load swings within seconds
+and the mix of prompts and answers shifts faster than a server boots. Spot servers cost
+a fraction of on-demand ones, but the platform may reclaim all of them in a failure
+domain at once, seconds after a notice.
+
+Ordering by current load is too late for a swing and discards prefix caches each time.
+So the plan covers a failure instead: it keeps enough spot servers to suffice after some
+failure domains have lost all of theirs, spread evenly. One domain is reclaimed at a
+time, but its prefix caches are lost with it, other servers crash meanwhile, and the
+load keeps swinging. A second spare domain is therefore kept where spot servers still
+cost less than half of the on-demand servers that they replace. If spot servers are
+unavailable, on-demand servers are ordered for what is missing and are released once the
+spot servers are in service.
+
+The on-demand servers present at the start are released only as far as spot servers
+replace them.
 """
 
 import dataclasses
@@ -25,26 +25,26 @@
 
 from pimentolatch.routes import table
 
-__all__ = ["Order", "Policy", "ServerPlanner", "InitialSize", "ServerCounts"]
+__all__ = ["InitialSize", "Order", "Policy", "ServerCounts", "ServerPlanner"]
 
-# How long nothing more is ordered where nothing was to be had. It is longer than a
-# lease holds without being renewed: the refusal of a holder that has been followed by
-# another one looks the same, and such a holder must not repeat itself.
+# Backoff after an order was refused for lack of servers. It exceeds the time for which
+# a lease is valid without renewal: a refusal looks the same to a former leader, which
+# must not repeat its order.
 _REFUSAL_BACKOFF = datetime.timedelta(seconds=3)
-# Failure domains to spare at most, and the cost up to which there is more than one, as
-# a share of what the dear servers would cost.
+# Most spare failure domains, and the cost up to which there is more than one, as a
+# share of the cost of on-demand servers.
 _MAX_SPARE_DOMAINS = 2
 _MAX_SPOT_COST = 0.5
-# Servers that stand at a start have all registered when no more come for so long.
+# Time without a new registration after which all initial servers have registered.
 _SETTLING_TIME = datetime.timedelta(seconds=2)
-# An order is sent again so long after its servers should stand, if they do not: it may
-# have got lost, or what was taken back can be had again.
+# Time after the expected boot at which an order is repeated if its servers are not in
+# service: the order may have been lost, or reclaimed servers may be available again.
 _REORDER_DELAY = datetime.timedelta(seconds=2)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerCounts:
-    """Servers that serve in a failure domain, by kind."""
+    """Servers in service in a failure domain, by kind."""
 
     on_demand: int
     spot: int
@@ -52,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """The number of servers of one kind that a failure domain is to have."""
+    """The number of servers of one kind that a failure domain should have."""
 
     failure_domain: str
     spot: bool
@@ -61,13 +61,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """How an operator wants servers to be ordered.
+    """The operator's policy for ordering servers.
 
     Attributes:
-        servers: Servers that suffice; None takes those that stood at first for enough.
-        spot: Whether servers may be ordered that can be taken back.
-        spare_domains: Failure domains whose loss the cheap ones must cover; None lets
-            their price decide.
+        servers: Servers that suffice; None uses the number present at the start.
+        spot: Whether spot servers may be ordered.
+        spare_domains: Failure domains whose loss the spot servers must cover; None
+            decides by their price.
     """
 
     servers: int | None = None
@@ -82,10 +82,10 @@
 
 
 class InitialSize:
-    """Learns how many servers stood before any were ordered.
+    """Learns how many servers were present before any were ordered.
 
-    Servers register one by one, so the most that stood while the number still grew is
-    taken.
+    Servers register one by one, so the highest number seen while the count still grew
+    is used.
     """
 
     def __init__(self) -> None:
@@ -93,7 +93,7 @@
         self._grown_at = datetime.timedelta()
 
     def observe(self, total: int, now: datetime.timedelta) -> int | None:
-        """Take how many stand; returns the size once it has settled."""
+        """Record the number of servers; return the size once it has settled."""
         if total > self._highest:
             self._highest = total
             self._grown_at = now
@@ -106,7 +106,7 @@
     """Plans the servers of one service.
 
     Args:
-        policy: How servers are to be ordered.
+        policy: The operator's policy.
         need: Servers that suffice.
     """
 
@@ -117,11 +117,11 @@
         self._refused: dict[tuple[str, bool], datetime.timedelta] = {}
 
     def sent(self, order: Order, now: datetime.timedelta) -> None:
-        """Note an order that was or may have been accepted."""
+        """Record an order that was or may have been accepted."""
         self._sent[order.failure_domain, order.spot] = _Sent(order.count, now)
 
     def refused(self, order: Order, now: datetime.timedelta) -> None:
-        """Note that what was ordered is not to be had now."""
+        """Record that the servers of an order are not available now."""
         self._refused[order.failure_domain, order.spot] = now
 
     def plan(
@@ -130,12 +130,12 @@
         current: abc.Mapping[str, ServerCounts],
         now: datetime.timedelta,
     ) -> tuple[Order, ...]:
-        """Return the orders that are to go out now.
+        """Return the orders to send now.
 
         Args:
-            scaling: What the operator says.
-            current: Servers that serve, by failure domain.
-            now: The time.
+            scaling: Limits and prices, from the configuration.
+            current: Servers in service, by failure domain.
+            now: The current time.
         """
         wanted = self._wanted(scaling, current)
         return tuple(
@@ -168,7 +168,7 @@
         return wanted
 
     def _spare(self, scaling: table.Scaling) -> int:
-        """Return the failure domains whose loss the cheap servers cover."""
+        """Return the number of failure domains whose loss spot servers cover."""
         if self._policy.spare_domains is not None:
             return self._policy.spare_domains
         domains = len(scaling.prices)
@@ -186,9 +186,9 @@
         missing: int,
         spot_counts: abc.Mapping[str, int],
     ) -> dict[str, int]:
-        """Return how many dear servers each domain keeps or gets.
+        """Return how many on-demand servers each domain keeps or gets.
 
-        Those that stand are kept first, in the cheapest domains; a change of place
+        Servers already in service are kept first, in the cheapest domains: moving them
         would cost a boot and their prefix caches.
         """
         least = {d: max(0, scaling.least - spot_counts[d]) for d in found}
@@ -227,6 +227,6 @@
 
 
 def _spot_is_cheaper(scaling: table.Scaling) -> bool:
-    """Tell whether cheap servers with a failure domain to spare cost less."""
+    """Return whether spot servers with one spare failure domain cost less."""
     domains = len(scaling.prices)
     return scaling.spot_price * domains < domains - 1
--- a/src/pimentolatch/decisions/stage_plan.py
+++ b/src/pimentolatch/decisions/stage_plan.py
@@ -1,19 +1,19 @@
-"""Plans how many engines read prompts and how many write answers.
-
-Load pattern: for a quarter of a minute most requests bring long prompts, then most ask
-for long answers. Engines that read are two thirds idle in one half and a queue of
-seconds in the other. Routing bends first: short prompts are read where they are
-answered. What it can't bend, because reading in place stops the streams there, is worth
-a change of stage, which takes an engine away for seconds.
-
-A change is due when the pressure that it would have taken off by now, summed over time,
-has come to its price. A split that is far off is left within two seconds, one that is
-little off is left alone unless that lasts; a rule that waits for a fixed time does one
-of the two wrong.
-
-Each stage keeps an engine to spare: with one alone, its crash leaves the stage empty
-and every request waits until it is back. If a stage is emptied all the same, an engine
-is told to write at once, whatever the price.
+"""Plans how many engines run prefill and how many run decode.
+
+Load pattern: for about 15 seconds most requests bring long prompts, then most ask for
+long answers. Prefill engines are two thirds idle in one half and have a queue of
+seconds in the other. Routing reacts first by prefilling short prompts on the decode
+engines. Long prompts would stall the streams there, so the rest of the imbalance is
+worth a change of stage, which takes an engine out of service for seconds.
+
+A change is due when the pressure that it would have relieved so far, integrated over
+time, reaches the cost of the change. A split that is far off is corrected within two
+seconds, and one that is slightly off only if that lasts. A rule with a fixed delay gets
+one of the two wrong.
+
+Each stage keeps a spare engine: if its only engine crashed, the stage would be empty
+and every request would wait until the engine is back. If the decode stage becomes empty
+all the same, an engine is moved to decode at once, whatever the cost.
 """
 
 import dataclasses
@@ -26,29 +26,40 @@
 
 __all__ = ["STREAM_DRAIN_TIME", "Change", "StagePlanner"]
 
-# Streams of an engine that is told to change end about this much later.
+# Time after which the streams of an engine that is to change have ended.
 STREAM_DRAIN_TIME = datetime.timedelta(seconds=4)
-# A stage that was given an engine lately keeps it for this long, several times the
-# length of a change.
+# A stage keeps an engine that it was given for at least this long, several times the
+# duration of a change.
 _DWELL = datetime.timedelta(seconds=6)
-# Price of a change, in seconds of pressure that it takes off. A pressure of three that
-# falls to two is answered within two seconds.
+# Cost of a change, as pressure relieved times seconds. A pressure of three that a
+# change lowers to two is answered within two seconds.
 _CHANGE_COST_S = 2.0
-# Prompts wait less than this where reading is not short, as a mean over some seconds.
+# Shortest mean wait of prompts, over some seconds, at which prefill is short of
+# engines.
 _MIN_WAIT_MS = 50.0
-# Prompts that must have been timed before the learned rate is worth a change.
+# Prompts to time before the learned prefill rate is good enough for a change.
 _MIN_TIMED_PROMPTS = 4
-# Engines that may be changing at once, as a share of all: they serve nobody meanwhile.
+# Share of the engines that may change at once, since they serve no requests meanwhile.
 _MAX_CHANGING_SHARE = 0.2
-# From this many engines on each stage keeps two that work, or a crash would empty it.
+# From this many engines on, each stage keeps two healthy ones, so that one crash does
+# not empty it.
 _MIN_ENGINES_FOR_SPARE = 4
-# No engine writes for this long: the stage is empty, not one connection reset.
+# Time without any decode engine after which the stage counts as empty; shorter gaps can
+# be one connection reset.
 _EMPTY_STAGE_TIMEOUT = datetime.timedelta(milliseconds=400)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """An engine that should change its stage, and the figures that say so."""
+    """An engine that should change its stage, with the figures behind it.
+
+    Attributes:
+        engine: The incarnation that should change.
+        stage: Its new stage.
+        prefill_share: Prefill engines needed, as a share of those present.
+        decode_share: Decode engines needed, as a share of those present.
+        prefill_rate: Prompt tokens that an engine prefills per millisecond.
+    """
 
     engine: servers.Incarnation
     stage: servers.Stage
@@ -58,7 +69,7 @@
 
 
 class StagePlanner:
-    """Plans the stages of one service's engines."""
+    """Plans the stages of the engines of one service."""
 
     def __init__(self) -> None:
         self._relief = dict.fromkeys(servers.Stage, 0.0)
@@ -70,7 +81,7 @@
         self._demand = smoothed_demand.SmoothedDemand()
 
     def changed(self, change: Change, now: datetime.timedelta) -> None:
-        """Note that an engine was told to change."""
+        """Record that an engine was ordered to change."""
         self._ordered_at[change.engine] = now
         self._target_stages[change.engine] = change.stage
         self._last_change_to[change.stage] = now
@@ -85,15 +96,15 @@
         prefill_rate: float,
         now: datetime.timedelta,
     ) -> tuple[Change, ...]:
-        """Return the changes that are worth their price now.
+        """Return the changes that are worth their cost now.
 
         Args:
-            loads: Work of the engines, from all instances that are heard.
-            traits: What the operator says of the engines.
-            pause_target_ms: Longest pause between events that is on time.
-            prefill_demand: Prompt tokens a second that all instances are asked to read.
-            prefill_rate: Prompt tokens that an engine reads in a millisecond.
-            now: The time.
+            loads: Load of the engines, with the reports of all reachable instances.
+            traits: Properties of the engines, from the configuration.
+            pause_target_ms: Longest pause between events of a stream that is on time.
+            prefill_demand: Prompt tokens per second requested from all instances.
+            prefill_rate: Prompt tokens that an engine prefills per millisecond.
+            now: The current time.
         """
         engines = [e for e in loads.all() if not e.server.leaving]
         prefill_engines = [
@@ -115,7 +126,7 @@
             changing,
             prefill_rate,
         )
-        # Before the first request nothing is missing: engines only register one by one.
+        # Before the first request no stage is empty: engines are still registering.
         rescue = self._rescue(split, now) if prefill_demand > 0 else ()
         if rescue:
             return rescue
@@ -138,7 +149,7 @@
         max_changing: int,
         now: datetime.timedelta,
     ) -> stage_split.Move | None:
-        """Return the move whose relief has come to the price of a change."""
+        """Return the move whose accumulated relief has reached the cost of a change."""
         before, self._planned_at = self._planned_at, now
         need = stage_split.EngineCounts(self._demand.prefill, self._demand.decode)
         move = stage_split.best_move(
@@ -163,10 +174,10 @@
         return move if due else None
 
     def _rescue(self, split: "_Split", now: datetime.timedelta) -> tuple[Change, ...]:
-        """Return the change that brings a writer back if none is left.
+        """Return the change that restores the decode stage if it is empty.
 
-        Where all that write crash at one moment, every request would be refused beside
-        engines that read.
+        If all decode engines crash at once, every request would be refused while
+        prefill engines stand idle.
         """
         empty = all(
             _is_down(engine, now) and engine.server.incarnation not in split.changing
@@ -215,10 +226,10 @@
         prefill_engines: list[engine_loads.EngineLoad],
         decode_engines: list[engine_loads.EngineLoad],
     ) -> tuple[list[engine_loads.EngineLoad], list[engine_loads.EngineLoad]]:
-        """Return the engines by the stage that they were told to take.
+        """Return the engines by the stage that they were ordered to take.
 
-        The list shows a change when it is over. Counted as before until then, the same
-        need would be met a second time.
+        The server list shows a change only when it is complete. If engines counted for
+        their old stage until then, the same need would be met twice.
         """
         by_stage: dict[servers.Stage, list[engine_loads.EngineLoad]] = {
             stage: [] for stage in servers.Stage
@@ -235,9 +246,9 @@
     def _adopt_changes(
         self, engines: abc.Iterable[engine_loads.EngineLoad], now: datetime.timedelta
     ) -> None:
-        """Take changes that another instance ordered for those of one's own.
+        """Adopt changes that another instance ordered.
 
-        Whoever takes over planning would order them a second time.
+        A new leader would otherwise order them a second time.
         """
         for engine in engines:
             name = engine.server.incarnation
@@ -269,11 +280,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Split:
-    """The engines by the stage that they have or were told to take.
+    """The engines by the stage that they have or were ordered to take.
 
     Attributes:
-        changing: Engines that are changing.
-        prefill_rate: Prompt tokens that an engine reads in a millisecond.
+        prefill_engines: Engines of the prefill stage.
+        decode_engines: Engines of the decode stage.
+        changing: Engines that are changing their stage.
+        prefill_rate: Prompt tokens that an engine prefills per millisecond.
     """
 
     prefill_engines: list[engine_loads.EngineLoad]
@@ -282,7 +295,7 @@
     prefill_rate: float
 
     def sources(self, target: servers.Stage) -> list[engine_loads.EngineLoad]:
-        """Return the engines that may be given to a stage."""
+        """Return the engines that may be moved to a stage."""
         return (
             self.decode_engines
             if target is servers.Stage.PREFILL
@@ -291,7 +304,7 @@
 
 
 def _is_down(engine: engine_loads.EngineLoad, now: datetime.timedelta) -> bool:
-    """Tell whether an engine fails: one exchange that broke off says little."""
+    """Return whether an engine is failing; a single broken exchange is no proof."""
     return now < engine.avoid_until and engine.failures > 1
 
 
@@ -304,7 +317,10 @@
     prefill_rate: float,
     now: datetime.timedelta,
 ) -> float:
-    """Return how long a prompt waits now; a rate learned too low only says so."""
+    """Return how long a prompt waits for prefill now, in milliseconds.
+
+    If the learned rate is too low, this only overstates the wait.
+    """
     waiting = sum(engine.all_reading(now) for engine in prefill_engines)
     return waiting / prefill_rate / max(1, len(prefill_engines))
 
@@ -315,7 +331,7 @@
     pause_target_ms: float,
     now: datetime.timedelta,
 ) -> float:
-    """Return how many engines the running streams fill."""
+    """Return how many engines the running streams occupy."""
     by_occupancy = sum(
         placement.fullness(engine, traits, now) for engine in decode_engines
     )
@@ -332,11 +348,11 @@
     changing: abc.Container[servers.Incarnation],
     now: datetime.timedelta,
 ) -> engine_loads.EngineLoad | None:
-    """Return the engine that a stage can best spare.
+    """Return the engine that can be moved to another stage at the least cost.
 
-    A domain that keeps both stages moves its prompts within it, so the engine comes
-    from where the giving stage is strongest against the other; among these the one
-    with the least work ends it soonest.
+    A failure domain with both stages transfers its KV cache within the domain. So the
+    engine comes from the domain where its stage has the largest majority over the
+    other. Among these, the one with the least work drains first.
     """
 
     def cost(engine: engine_loads.EngineLoad) -> tuple[float, float, str]:
--- a/src/pimentolatch/decisions/stage_split.py
+++ b/src/pimentolatch/decisions/stage_split.py
@@ -1,12 +1,12 @@
-"""Finds the split of engines between reading and writing with the least pressure.
+"""Finds the split of engines between prefill and decode with the least pressure.
 
-Load pattern: the mix of prompts and answers is another one than the split was made for.
-Engines of one stage have queues of seconds while those of the other are idle.
+Load pattern: the mix of prompts and answers differs from the one that the split was
+made for. Engines of one stage have queues of seconds while those of the other are idle.
 
-Work is compared as a share of what each stage can do, held against the share at which
-its queue stays short. That gives the pressure on a stage; the best split has the least
-pressure on the stage that is worse off. Writing is held shorter than reading, since
-streams hold slots and memory and can't wait.
+The utilization of each stage is divided by the utilization at which its queue stays
+short; that is the pressure on the stage. The best split has the least pressure on the
+stage under the higher pressure. Decode has the lower target, since streams hold slots
+and memory and can't wait.
 """
 
 import dataclasses
@@ -16,25 +16,26 @@
 
 __all__ = ["EngineCounts", "Move", "best_move"]
 
-# Shares of what a stage can do at which its queue stays short. Prompts differ in length
-# by a factor of a hundred, so their queue grows early; slots are held for seconds and
-# bursts take half as many again.
+# Utilization at which the queue of a stage stays short. Prompt lengths differ by a
+# factor of a hundred, so the prefill queue grows early. Decode slots are held for
+# seconds, and bursts need half as many again.
 _TARGET_UTILIZATION = {servers.Stage.PREFILL: 0.75, servers.Stage.DECODE: 0.6}
-# Below this pressure no split is changed, and no more engines move than it takes to get
-# there: moved on until both stages are equally at ease, nearly all would go to one, and
-# the next burst would find the other empty.
+# Below this pressure the split stays as it is, and no more engines move than are needed
+# to reach it. Moving on until both pressures are equal would give nearly all engines to
+# one stage, and the next burst would find the other empty.
 _MIN_PRESSURE = 0.8
-# The best split must lessen the greatest pressure by this part; one engine more beside
-# five lessens it by a sixth.
+# The best split must lower the greatest pressure by this share; one more engine beside
+# five lowers it by a sixth.
 _MIN_GAIN = 0.12
-# Writing gives an engine only if its share stays below this afterwards: streams hold
-# slots and memory and can't wait, and more of them come once more prompts are read.
+# Decode gives up an engine only if its utilization stays below this afterwards: streams
+# hold slots and memory and can't wait, and more of them start once more prompts are
+# prefilled.
 _MAX_DECODE_UTILIZATION = 0.7
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineCounts:
-    """Engines for each stage: those that there are, or those that are needed."""
+    """Number of engines per stage, either present or needed."""
 
     prefill: float
     decode: float
@@ -45,9 +46,9 @@
     """Engines that should change their stage.
 
     Attributes:
-        stage: The stage that gets them.
-        count: How many may go at once.
-        relief: What this takes off the greatest pressure.
+        stage: The stage that they move to.
+        count: How many may move at once.
+        relief: Reduction of the greatest pressure by this move.
     """
 
     stage: servers.Stage
@@ -62,12 +63,12 @@
     min_per_stage: int,
     max_moves: int,
 ) -> Move | None:
-    """Return the move towards the best split; None if the present one will do.
+    """Return the move towards the best split, or None if no move is worth it.
 
     Args:
-        need: Engines that the stages would keep busy all the time.
-        prefill_engines: Engines that read.
-        decode_engines: Engines that write.
+        need: Engines that the stages would keep fully busy.
+        prefill_engines: Number of prefill engines.
+        decode_engines: Number of decode engines.
         min_per_stage: Engines that each stage keeps.
         max_moves: Engines that may change at once.
     """
@@ -93,7 +94,7 @@
 def _splits(
     need: EngineCounts, prefill_engines: int, decode_engines: int, min_per_stage: int
 ) -> abc.Iterator[tuple[int, float]]:
-    """Yield how many engines might move to reading, and the pressure afterwards."""
+    """Yield the possible moves towards prefill, each with the pressure after it."""
     for moved in range(
         min_per_stage - prefill_engines, decode_engines - min_per_stage + 1
     ):
@@ -104,7 +105,7 @@
 
 
 def _pressure(need: EngineCounts, prefill_engines: int, decode_engines: int) -> float:
-    """Return how far the stage that is worse off is beyond where it is at ease."""
+    """Return the higher pressure of the two stages; 1 is the target utilization."""
     return max(
         need.prefill
         / max(prefill_engines, 0.5)
