--- a/src/pimentolatch/decisions/__init__.py
+++ b/src/pimentolatch/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load: no network, no waiting, the clock passed in."""
+"""Decision logic under load: no network, no waiting, and the time is an argument."""
--- a/src/pimentolatch/decisions/demand.py
+++ b/src/pimentolatch/decisions/demand.py
@@ -35,7 +35,7 @@
         uptime_s: When the totals were taken, on the instance's own clock.
         short_prompt_tokens: Tokens of prompts below `LONG_PROMPT_TOKENS`.
         long_prompt_tokens: Tokens of all other prompts.
-        output_tokens: Tokens requested as output.
+        output_tokens: Output tokens requested.
         short_requests: Requests with a short prompt.
         long_requests: Requests with a long prompt.
     """
--- a/src/pimentolatch/decisions/demand_rate.py
+++ b/src/pimentolatch/decisions/demand_rate.py
@@ -1,9 +1,9 @@
-"""Measures what clients ask of each model service.
+"""Measures the demand of clients for each model service.
 
-Load pattern: the mix of long prompts and long answers turns over within seconds. A mean
-over a minute shows the turn when it is over; the work of the last half second jumps
-with every long prompt. A rate that forgets with a time constant of two seconds follows
-a turn and evens out single prompts.
+Load pattern: the mix of long prompts and long answers shifts within seconds. A mean
+over a minute shows a shift when it is over; the work of the last half second jumps with
+every long prompt. An exponentially weighted rate with a time constant of two seconds
+follows a shift and evens out single prompts.
 """
 
 import dataclasses
@@ -12,14 +12,14 @@
 
 __all__ = ["DemandRate", "ServiceDemand"]
 
-# After one time constant, two thirds of a step in the load are seen. A change of stage
-# takes about as long, so a faster rate would only follow noise.
+# After one time constant, two thirds of a step in the load are visible. A change of
+# stage takes about as long, so a faster rate would only follow noise.
 _TIME_CONSTANT_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceDemand:
-    """Tokens a second that are to be read, and written."""
+    """Tokens per second that are requested, by stage."""
 
     prefill: float
     decode: float
@@ -37,16 +37,16 @@
         """Count a request.
 
         Args:
-            prefill: Tokens that could be read in the time that its prompt takes.
-            decode: Tokens that it is expected to write.
-            now: The time.
+            prefill: Tokens that could be prefilled in the time that its prompt takes.
+            decode: Tokens that it is expected to generate.
+            now: The current time.
         """
         self._decay(now)
         self._prefill += prefill / _TIME_CONSTANT_S
         self._decode += decode / _TIME_CONSTANT_S
 
     def rate(self, now: datetime.timedelta) -> ServiceDemand:
-        """Return the rates of this moment."""
+        """Return the current rates."""
         self._decay(now)
         return ServiceDemand(self._prefill, self._decode)
 
--- a/src/pimentolatch/decisions/engine_states.py
+++ b/src/pimentolatch/decisions/engine_states.py
@@ -1,4 +1,4 @@
-"""What is known of the engines of a failure domain when their roles are planned."""
+"""Known states of a failure domain's engines, the input for planning their roles."""
 
 import dataclasses
 import datetime
@@ -25,11 +25,11 @@
 
     Attributes:
         engine: The engine in the document.
-        role: The role it has, or is changing to.
+        role: Its present role, or the role it is changing to.
         condition: `CHANGING` while its order slot is taken. `UNCERTAIN` if it crashed
-            or has not been heard of.
+            or has not reported.
         since: When its role or condition last changed, on the monotonic clock of the
-            instance that plans; None if that was before it started.
+            planning instance; None if that was before the instance started.
     """
 
     engine: schema.Engine
@@ -39,18 +39,18 @@
 
 
 def serving(states: abc.Iterable[EngineState]) -> list[EngineState]:
-    """Return the engines that take work now."""
+    """Return the engines that accept work now."""
     return [state for state in states if state.condition is Condition.SERVING]
 
 
 def settled(states: abc.Iterable[EngineState]) -> list[EngineState]:
-    """Return the engines that take work now or will after their change."""
+    """Return the engines that accept work now or will after their change."""
     counted = (Condition.SERVING, Condition.CHANGING)
     return [state for state in states if state.condition in counted]
 
 
 def last_change(states: abc.Iterable[EngineState]) -> datetime.timedelta:
-    """Return when an engine last came, went or changed; long ago if none did."""
+    """Return when an engine last joined, left or changed; long ago if none did."""
     return max(
         (state.since for state in states if state.since is not None),
         default=-datetime.timedelta(days=1),
--- a/src/pimentolatch/decisions/leader_election.py
+++ b/src/pimentolatch/decisions/leader_election.py
@@ -1,15 +1,15 @@
-"""Decides which instance tries for the lease of the duties that only one may do.
-
-Load pattern: hundreds of instances of which each could hold it, a store that prices
-every call, and failures that take the holder, its failure domain or its way to the
-store. If all tried at once whenever the holder is silent, each loss would cost hundreds
-of calls; if only the first one by name tried, its own trouble would leave the duties
-undone.
-
-What is heard of the holder is passed on by everybody. While it is fresh nobody tries.
-When it has grown old, or the holder has said that it is through, the instances that are
-heard try one after the other by name, a second apart, until one says that it holds the
-lease. The lease itself keeps two of them from acting at once.
+"""Decides which instance tries to acquire the leader lease.
+
+Load pattern: hundreds of instances that could each hold the lease, a store that bills
+every call, and failures that affect the leader, its failure domain or its connection to
+the store. If all instances tried at once whenever the leader is unresponsive, each loss
+would cost hundreds of calls. If only the first one by name tried, a fault of its own
+would leave the leader tasks undone.
+
+All instances gossip the leader's latest claim. While it is current, nobody tries. Once
+it has expired, or the leader has released the lease, the reachable instances try one
+after the other by name, a second apart, until one claims the lease. The lease itself
+keeps two of them from acting at the same time.
 """
 
 import dataclasses
@@ -18,19 +18,20 @@
 
 __all__ = ["Claim", "LeaderTracker"]
 
-# News that are renewed take less than two seconds through a fleet of hundreds.
+# A renewed claim reaches a fleet of hundreds of instances in less than two seconds.
 _CLAIM_LIFETIME = datetime.timedelta(seconds=3)
-# Time that each instance leaves to those before it.
+# Delay between the attempts of two instances that are next to each other by name.
 _ACQUIRE_STAGGER = datetime.timedelta(seconds=1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """What an instance says of its tenure.
+    """An instance's statement that it holds, or has released, the leader lease.
 
     Attributes:
-        fence: Fencing token of the tenure; a higher one is a later tenure.
-        released: It sends nothing more in that tenure.
+        host: Host of the instance.
+        fence: Fencing token of the leadership; a higher one is a later leadership.
+        released: Whether it sends nothing more under that token.
     """
 
     host: str
@@ -39,14 +40,14 @@
 
 
 class LeaderTracker:
-    """What one instance has heard of the holder.
+    """The latest claim that one instance has received.
 
     Args:
-        now: When this instance began to listen. An instance that has just started has
-            heard of nobody yet, and so has every other one after a start of all.
+        now: When this instance began to listen. One that has just started has received
+            no claim yet, and after a restart of the whole fleet nobody has.
 
     Attributes:
-        at: When the newest claim was made.
+        claimed_at: When the latest claim was made.
     """
 
     def __init__(self, now: datetime.timedelta) -> None:
@@ -55,14 +56,14 @@
 
     @property
     def released_fence(self) -> int | None:
-        """Fence of a tenure in which nothing more is sent; None if there is none."""
+        """Fencing token that was released; None if the latest was not."""
         claim = self._claim
         return claim.fence if claim is not None and claim.released else None
 
     def receive(self, claim: Claim, at: datetime.timedelta) -> None:
-        """Take a claim that was made at a moment, by this instance's clock.
+        """Store a claim that was made at a time, by this instance's clock.
 
-        A released tenure stays released: claims of before arrive late.
+        A released leadership stays released, since older claims may arrive later.
         """
         known = self._claim
         if known is not None:
@@ -73,23 +74,23 @@
         self.claimed_at = at
 
     def current(self, now: datetime.timedelta) -> Claim | None:
-        """Return the newest claim unless it has grown old."""
+        """Return the latest claim unless it has expired."""
         return self._claim if now - self.claimed_at <= _CLAIM_LIFETIME else None
 
     def host(self, now: datetime.timedelta) -> str | None:
-        """Return where the holder is; None if nobody seems to hold the lease."""
+        """Return the leader's host; None if nobody seems to hold the lease."""
         claim = self.current(now)
         return None if claim is None or claim.released else claim.host
 
     def should_acquire(
         self, own: str, others: abc.Iterable[str], now: datetime.timedelta
     ) -> bool:
-        """Tell whether an instance tries for the lease.
+        """Return whether an instance should try to acquire the lease.
 
         Args:
             own: Its name.
-            others: Names of the other instances that it hears.
-            now: The time.
+            others: Names of the other instances that it can reach.
+            now: The current time.
         """
         if self.host(now) is not None:
             return False
--- a/src/pimentolatch/decisions/log_budget.py
+++ b/src/pimentolatch/decisions/log_budget.py
@@ -1,13 +1,13 @@
-"""Bounds how many log lines of one kind are written in a second.
+"""Limits how many log lines of one kind are written per second.
 
-Load pattern: in overload each request is refused within a millisecond, and a line for
-each decision of each would take more processor time than the refusals. Cut off at
-random, the log would hold least of what on-call engineers look for.
+Load pattern: under overload each request is refused within a millisecond, and logging
+every decision would take more processor time than the refusals. If lines were dropped
+at random, the log would have the least of what on-call engineers look for.
 
-Each kind of event has its own budget. Lines of requests that went wrong draw on a
-larger one than those of requests that went well, so an overload of one kind leaves the
-others their lines. What is dropped is counted, and the count is written with the next
-line of that kind.
+Each kind of event has its own token bucket. Lines of failed requests have a larger one
+than those of successful requests, so an overload of one kind does not suppress the
+others. Dropped lines are counted, and the count is written with the next line of that
+kind.
 """
 
 import dataclasses
@@ -15,9 +15,9 @@
 
 __all__ = ["LogBudget"]
 
-# An instance of today has some 25 requests a second with three lines each; the figures
-# leave room for a burst of twice that. At 300 bytes a line all kinds together stay
-# under 100 KB a second.
+# An instance has some 25 requests per second with three lines each; the rates leave
+# room for bursts of twice that. At 300 bytes per line all kinds together stay below 100
+# KB/s.
 LINES_A_SECOND = 50.0
 LINES_A_SECOND_WRONG = 100.0
 _BURST_S = 2.0
@@ -37,15 +37,16 @@
         self._kinds: dict[tuple[str, bool], _Kind] = {}
 
     def take(self, event: str, now: datetime.timedelta, *, wrong: bool) -> int | None:
-        """Take one line.
+        """Take one line from the budget.
 
         Args:
             event: Kind of the line.
-            now: The time.
-            wrong: The request went wrong.
+            now: The current time.
+            wrong: Whether the request failed.
 
         Returns:
-            The number of lines dropped before this one, or None if it is dropped too.
+            The number of lines dropped before this one, or None if this one is dropped
+            too.
         """
         rate = LINES_A_SECOND_WRONG if wrong else LINES_A_SECOND
         kind = self._kinds.setdefault((event, wrong), _Kind(rate * _BURST_S, now))
--- a/src/pimentolatch/decisions/neighbours.py
+++ b/src/pimentolatch/decisions/neighbours.py
@@ -1,19 +1,19 @@
-"""Chooses the instances that one instance tells about its work.
-
-Load pattern: a fleet grows from eight instances to hundreds. Told to everybody, the
-messages of each instance grow with the fleet and those of all with its square. Told to
-a few at random, nobody knows the queue of any engine.
-
-Instances of one failure domain send mostly to its own engines, so they hear of each
-other first. Ranking pairs by a hash gives both ends the same view, so that most
-neighbours hear each other. What a neighbour says stands for those of its domain that
-are not heard: its work counts as many times as there are instances there for each that
-is heard. Without that factor an instance that hears half of its domain takes a queue
-for half as long as it is.
-
-Into each other domain goes one message at a time, to another instance each time, with
-the sums of the sender's domain: so each instance hears of all engines, of the far ones
-half a second later.
+"""Chooses the peers to which an instance reports its work.
+
+Load pattern: a fleet grows from eight instances to hundreds. If each reports to all,
+the messages of each instance grow with the fleet and the total with its square. If each
+reports to a few at random, nobody knows the queue of any engine.
+
+Instances of one failure domain send mostly to its own engines, so they report to each
+other first. Ranking pairs by a hash gives both ends the same order, so most neighbours
+report to each other. A neighbour's report stands for the instances of its domain that
+do not report: its work is multiplied by the number of instances there per reporting
+one. Without that factor an instance that receives reports from half of its domain would
+see half of the real queue.
+
+Each other domain gets one message at a time, to a different instance each time, with
+the sums of the sender's domain. So each instance learns the load of all engines, of
+remote ones half a second later.
 """
 
 import collections
@@ -24,19 +24,21 @@
 
 __all__ = ["Neighbours", "Place", "choose", "domain_weights"]
 
-# Fleets of today have eight instances; up to this many everybody hears everybody.
+# Up to this many peers, all instances report to each other. Small fleets have eight
+# instances.
 _MAX_FULL_MESH = 16
-# Neighbours in the own domain. Ten of twenty make a queue known to about a third of
-# its length; four beacons a second of some 400 bytes to ten are 16 KB/s.
+# Neighbours in the same domain. With ten of twenty, the length of a queue is known to
+# within about a third; four beacons a second of some 400 bytes to ten peers are 16
+# KB/s.
 _MAX_NEAR = 10
-# A single prompt of a neighbour that stands for more instances than this would look
-# like a queue of its own.
+# With a higher weight a single prompt of a neighbour would look like a queue of its
+# own.
 _MAX_WEIGHT = 3.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Place:
-    """Where an instance stands."""
+    """Host and failure domain of an instance."""
 
     host: str
     failure_domain: str
@@ -44,11 +46,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Neighbours:
-    """Whom an instance tells.
+    """The peers to which an instance reports.
 
     Attributes:
-        near: Hosts that are told everything, always.
-        far: Hosts of each other domain, of which one at a time is told.
+        near: Hosts that receive every report in full.
+        far: Hosts of each other domain, of which one at a time receives a summary.
     """
 
     near: tuple[str, ...]
@@ -56,11 +58,11 @@
 
 
 def choose(own: Place, known: abc.Collection[Place]) -> Neighbours:
-    """Return the instances to tell, out of those that are known.
+    """Return the peers to report to, out of those that are known.
 
     Args:
         own: This instance.
-        known: All other instances; the domain of one that was never heard may be empty.
+        known: All other instances; the domain of one that never reported may be empty.
     """
     ranked = sorted(
         known,
@@ -79,7 +81,7 @@
 def domain_weights(
     known: abc.Iterable[Place], heard: abc.Iterable[Place]
 ) -> dict[str, float]:
-    """Return for how many instances of its domain each heard one stands."""
+    """Return how many instances of its domain each reporting instance stands for."""
     sizes = collections.Counter(place.failure_domain for place in known)
     found = collections.Counter(place.failure_domain for place in heard)
     return {
--- a/src/pimentolatch/decisions/plain_routing.py
+++ b/src/pimentolatch/decisions/plain_routing.py
@@ -1,14 +1,14 @@
 """Chooses the plain server for a call.
 
-Load pattern: many short calls among a few equal servers, of which one breaks every
-call at once. It never has anything outstanding, so by outstanding work alone it looks
-idlest and gets most of the calls; of those that may not be repeated, each ends as
-"outcome unknown". Found by its answers, it costs three calls and then only probes.
+Load pattern: many short calls to a few equal servers, of which one breaks every call at
+once. It never has outstanding work, so by outstanding work alone it looks least loaded
+and gets most of the calls; each of those that must not be repeated ends as "outcome
+unknown". If its answers are evaluated, it costs three calls and then only probes.
 
-Probes are calls that may be repeated: if the probe breaks, the call is sent elsewhere
-and its caller notices nothing.
+Probes are calls that may be repeated: if a probe breaks, the call is sent to another
+server and its caller notices nothing.
 
-Grounds: `health` gives those of its figures. Answers of plain servers are compared by
+Grounds: see `health` for those of its figures. Answers of plain servers are compared by
 their duration alone, since all servers of a service get the same mix of calls.
 """
 
@@ -26,9 +26,9 @@
     """Chooses plain servers for one instance and learns from their answers.
 
     Args:
-        own_domain: Failure domain of the instance; its servers come first, since a
-            link to another one may be cut.
-        counted: Counts the calls outstanding.
+        own_domain: Failure domain of the instance; its servers are preferred, since the
+            connection to another one may be cut.
+        counted: Counts the outstanding calls.
     """
 
     def __init__(self, own_domain: str, counted: outstanding.Outstanding) -> None:
@@ -45,14 +45,14 @@
         repeatable: bool,
         avoid: abc.Set[str] = frozenset(),
     ) -> schema.PlainServer | None:
-        """Return the server for a call, or None if none takes it.
+        """Return the server for a call, or None if none is available.
 
         Args:
             view: The fleet as this instance knows it.
             servers: The document's servers of the call's service.
-            now: The time.
+            now: The current time.
             repeatable: Whether the call may run twice, and so may be a probe.
-            avoid: Servers that failed this call.
+            avoid: Servers that have already failed this call.
         """
         candidates = [
             server
@@ -72,15 +72,15 @@
     def answered(
         self, server: str, duration: datetime.timedelta, now: datetime.timedelta
     ) -> None:
-        """Learn from a whole answer."""
+        """Record a complete answer."""
         self._health.observe(server, duration.total_seconds(), now)
 
     def failed(self, server: str, now: datetime.timedelta) -> None:
-        """Learn from a call that broke off or was not taken."""
+        """Record a call that broke or was not accepted."""
         self._health.failed(server, now)
 
     def forget(self, servers: abc.Set[str]) -> None:
-        """Drop all servers but these, which are the document's."""
+        """Remove all servers except these, which are the document's."""
         self._health.forget(servers)
 
     def _due_probe(
--- a/src/pimentolatch/decisions/prompt_sizes.py
+++ b/src/pimentolatch/decisions/prompt_sizes.py
@@ -1,13 +1,13 @@
-"""Tells which prompts are large among those of their route.
+"""Classifies prompts by their size relative to others of their route.
 
-Load pattern: prompts of one route spread over two orders of magnitude, from 3,000 to
-100,000 tokens. In overload the largest are the first that can't be on time, since their
-own prefill takes most of the time that they have; whoever wants to see or to prevent
-that they are served least has to know which they are. A fixed bound on the time of
-their prefill does not tell: it takes all prompts of one route for large while engines
-keep nothing, and none when they keep the prefixes.
+Load pattern: prompt sizes of one route spread over two orders of magnitude, from 3,000
+to 100,000 tokens. Under overload the largest ones are the first to miss their deadline,
+since their own prefill takes most of the available time. To see or prevent that they
+are served worst, it must be known which they are. A fixed limit on prefill time does
+not show it: it classifies all prompts of a route as large while the prefix caches are
+empty, and none once the prefixes are cached.
 
-So each instance keeps the sizes of the latest prompts of each route and compares.
+So each instance compares a prompt with the sizes of the latest prompts of its route.
 """
 
 import bisect
@@ -16,19 +16,19 @@
 
 __all__ = ["PromptSizes", "SizeClass"]
 
-# Prompts of a route that are compared with. At a prompt a second they span minutes, in
+# Prompts of a route to compare with. At one prompt per second they span minutes, in
 # which the mix of one route hardly shifts.
 _WINDOW = 200
-# Before this many were seen a prompt is taken for one of the many.
+# With fewer samples a prompt counts as `REST`.
 _MIN_SAMPLES = 3
-# Routes that are remembered, the latest to appear; configurations may go through many.
+# Routes to remember, the latest to appear; successive configurations may name many.
 _MAX_ROUTES = 256
 _LARGEST_SHARE = 0.1
 _LARGE_SHARE = 0.3
 
 
 class SizeClass(enum.Enum):
-    """How large a prompt is among those of its route, in words for log and metrics."""
+    """Size of a prompt among those of its route, as text for logs and metrics."""
 
     LARGEST = "largest tenth"
     LARGE = "next fifth"
@@ -48,7 +48,7 @@
         return (len(self._ordered) - at) / len(self._ordered)
 
     def add(self, tokens: int) -> None:
-        """Take one more size in place of the oldest."""
+        """Add a size, in place of the oldest if the window is full."""
         if len(self._latest) >= _WINDOW:
             oldest = self._latest.popleft()
             del self._ordered[bisect.bisect_left(self._ordered, oldest)]
@@ -66,11 +66,11 @@
         self._windows: dict[str, _Window] = {}
 
     def classify(self, route: str, tokens: int) -> SizeClass:
-        """Return how large a prompt is among the latest of its route, and count it.
+        """Return the size class of a prompt on its route, and record its size.
 
         Args:
             route: Name of the route.
-            tokens: Tokens of the whole prompt, kept ones included.
+            tokens: Tokens of the whole prompt, including cached ones.
         """
         window = self._windows.get(route)
         if window is None:
--- a/src/pimentolatch/decisions/server_choice.py
+++ b/src/pimentolatch/decisions/server_choice.py
@@ -1,10 +1,10 @@
-"""Chooses a server for a short call and passes over servers that fail.
+"""Chooses a server for a short call and avoids servers that fail.
 
-Load pattern: one of four servers fails every second call while its health check is
-good, or takes calls and never answers. Spread evenly, a quarter of all calls meet it,
-and a call that may not be repeated is lost there. Counting what is outstanding keeps
-calls away from a server that is slow; a pause after each failure keeps them away from
-one that fails fast, which by its count alone looks the least busy.
+Load pattern: one of four servers fails every second call while its health check passes,
+or accepts calls and never answers. With an even distribution it receives a quarter of
+all calls, and a call that must not be repeated is lost there. Counting outstanding
+calls keeps calls away from a slow server; a backoff after each failure keeps them away
+from one that fails fast, which by that count looks least loaded.
 """
 
 import collections
@@ -16,10 +16,10 @@
 
 __all__ = ["ServerChoice"]
 
-# A call to another failure domain costs about this part of a server's slots.
+# Cost of a call to another failure domain, as a share of a server's slots.
 _REMOTE_COST = 0.35
-# Pause after a failure; it doubles with each further one. A server that fails two calls
-# in five is passed over most of the time, one that failed once by chance hardly.
+# Backoff after a failure; it doubles with each further one. A server that fails two
+# calls in five is avoided most of the time, one that failed once by chance hardly.
 _INITIAL_BACKOFF = datetime.timedelta(milliseconds=300)
 _MAX_BACKOFF = datetime.timedelta(seconds=5)
 _MAX_DOUBLINGS = 5
@@ -59,7 +59,7 @@
         now: datetime.timedelta,
         excluded: abc.Container[servers.Incarnation] = (),
     ) -> list[servers.Server]:
-        """Return the servers that have not failed lately; all of them if all have."""
+        """Return the servers that are not in backoff, or all of them if all are."""
         found = [server for server in listed if server.incarnation not in excluded]
         healthy = [s for s in found if now >= self._records[s.incarnation].avoid_until]
         return healthy or found
@@ -82,7 +82,7 @@
         record.avoid_until = now + min(backoff, _MAX_BACKOFF)
 
     def retain(self, listed: abc.Container[servers.Incarnation]) -> None:
-        """Forget servers that are no longer listed and have no call."""
+        """Remove servers that are no longer listed and have no outstanding call."""
         for name in list(self._records):
             if name not in listed and self._records[name].outstanding <= 0:
                 del self._records[name]
--- a/src/pimentolatch/decisions/smoothed_demand.py
+++ b/src/pimentolatch/decisions/smoothed_demand.py
@@ -1,13 +1,13 @@
-"""Follows the mix of prompts and answers over some tens of seconds.
+"""Smooths the demand for prefill and decode over some tens of seconds.
 
-Load pattern: for a quarter of a minute most requests ask for long answers, then most
-bring long prompts, and so on. A plan for the mix of this moment is always one turn
-late: engines that were given to reading are missing when the answers come, and slots
-are full within seconds.
+Load pattern: for about 15 seconds most requests ask for long answers, then most bring
+long prompts, and so on. A plan for the current mix is always one shift late: engines
+that were moved to prefill are missing when the long answers come, and decode slots are
+full within seconds.
 
-So the need of writing is remembered by its peak, since streams can't wait, and the need
-of reading by its mean, since prompts can. A split that is right for both is left alone
-when the mix turns.
+So the decode demand is kept as a decaying peak, since streams can't wait, and the
+prefill demand as a mean, since prompts can. A split that suits both is left alone when
+the mix shifts.
 """
 
 import datetime
@@ -15,19 +15,19 @@
 
 __all__ = ["SmoothedDemand"]
 
-# A peak of writing fades with this time constant, longer than a turn of the mix.
+# Time constant of the decaying decode peak, longer than a period of the mix.
 _DECODE_PEAK_TIME_CONSTANT_S = 20.0
 _PREFILL_TIME_CONSTANT_S = 3.0
 _WAIT_TIME_CONSTANT_S = 3.0
 
 
 class SmoothedDemand:
-    """What reading and writing needed lately.
+    """Recent demand for both stages.
 
     Attributes:
-        reading: Mean of the engines that reading needed.
-        writing: Peak of the engines that writing needed.
-        wait_ms: Mean time that a prompt waited.
+        prefill: Mean number of engines needed for prefill.
+        decode: Decaying peak of the number of engines needed for decode.
+        wait_ms: Mean wait of a prompt, in milliseconds.
     """
 
     def __init__(self) -> None:
@@ -39,9 +39,9 @@
     def observe(
         self, prefill: float, decode: float, wait_ms: float, now: datetime.timedelta
     ) -> None:
-        """Take what is needed now; to be called several times a second."""
+        """Record the current demand; to be called several times a second."""
         if self._observed_at is None or not self.prefill:
-            # What was before the first request says nothing of the load.
+            # Values before the first request say nothing about the load.
             self.prefill = prefill
             self.wait_ms = wait_ms
             self._observed_at = now
--- a/src/pimentolatch/decisions/state_tracker.py
+++ b/src/pimentolatch/decisions/state_tracker.py
@@ -1,9 +1,9 @@
-"""Remembers since when each engine has been as it is.
+"""Tracks since when each engine has had its role and condition.
 
-Load pattern: an engine is unreachable for half a minute, or drained. The planner of
-roles sums what was lost over the time since its engines last changed. Told only of
-roles, it would count the minutes before the absence as well, find that everything was
-lost for minutes, and move a second engine at once.
+Load pattern: an engine is unreachable for half a minute, or drained. The role planner
+sums the loss since its engines last changed. If it knew only the roles, it would
+include the minutes before the absence, conclude that everything had been lost for
+minutes, and change a second engine at once.
 """
 
 import dataclasses
@@ -16,10 +16,10 @@
 
 
 class StateTracker:
-    """What was last seen of each engine, and when that began.
+    """The last observed state of each engine, and when it began.
 
-    It starts empty, and so does every planner that takes over: to it, all engines have
-    just become what they are, which delays a change and never hastens one.
+    It starts empty, as on every new planner: all engines then count as just changed,
+    which delays a role change but never causes one.
     """
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
     def observe(
         self, now: datetime.timedelta, states: abc.Iterable[engine_states.EngineState]
     ) -> tuple[engine_states.EngineState, ...]:
-        """Return the states with the time at which each last became different."""
+        """Return the states with the time at which each last changed."""
         self._observed = {
             state.engine.name: self._with_since(now, state) for state in states
         }
--- a/src/pimentolatch/decisions/store_readers.py
+++ b/src/pimentolatch/decisions/store_readers.py
@@ -1,15 +1,16 @@
-"""Decides which instances of a failure domain ask the platform's store themselves.
-
-Load pattern: the store counts and prices each call, a waiting watch as one, and its
-rates grow more slowly than the fleet. With a watch in each of 85 instances one entry
-that changes costs 85 calls.
-
-Three instances of each domain read the store and the others learn from them. Everybody
-passes on the three first names by which instances say that they would read, and how
-long ago each was heard; who is not among the three leaves it to them. A reader that
-loses the store takes its name back at once; one that is silent grows old. So a domain
-that is cut off, or whose readers are turned away while others are served, finds readers
-again without anybody's decision, and whoever hears nobody reads by itself.
+"""Decides which instances of a failure domain read from the platform's store.
+
+Load pattern: the store counts and bills each call, including a watch that waits, and
+its rate limits grow more slowly than the fleet. With a watch in each of 85 instances,
+one changed entry costs 85 calls.
+
+Three instances of each domain read the store, and the others learn the entries from
+them. Each instance gossips the three first names of instances that offer to read, with
+the age of each offer; an instance that is not among the three does not read. A reader
+that loses the store withdraws its offer at once, and the offer of an unresponsive one
+expires. So a domain that is partitioned, or whose readers are rejected while others are
+served, finds new readers without coordination, and an instance without peers reads for
+itself.
 """
 
 import dataclasses
@@ -18,20 +19,21 @@
 
 __all__ = ["Reader", "is_reader", "select"]
 
-# Two readers may be frozen or turned away at one moment; failure domains of today have
-# three instances at most, which all read.
+# Two readers may be frozen or rejected at the same time. In domains of up to three
+# instances all of them read.
 _READER_COUNT = 3
-# Beacons come four times a second and take two steps through a domain; three lost ones
-# are borne. The shortest span in which a change must be in force is two seconds.
+# Beacons are sent four times a second and take two hops through a domain; three lost
+# ones are tolerated. The shortest limit for applying a change is two seconds.
 _READER_LIFETIME = datetime.timedelta(milliseconds=1500)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reader:
-    """An instance that would read the store.
+    """An instance that offers to read the store.
 
     Attributes:
-        heard: When it last said so, by this instance's clock.
+        name: Name of the instance.
+        last_seen: Time of its latest offer, by this instance's clock.
     """
 
     name: str
@@ -39,7 +41,7 @@
 
 
 def select(known: abc.Iterable[Reader], now: datetime.timedelta) -> tuple[Reader, ...]:
-    """Return the first by name of those that would read now."""
+    """Return the first readers by name whose offers are current."""
     newest: dict[str, Reader] = {}
     for reader in known:
         previous = newest.get(reader.name)
@@ -53,6 +55,6 @@
 def is_reader(
     own_name: str, known: abc.Iterable[Reader], now: datetime.timedelta
 ) -> bool:
-    """Tell whether an instance has to read the store itself."""
+    """Return whether an instance has to read the store itself."""
     before = [reader for reader in select(known, now) if reader.name < own_name]
     return len(before) < _READER_COUNT
--- a/src/pimentolatch/decisions/work_reports.py
+++ b/src/pimentolatch/decisions/work_reports.py
@@ -1,9 +1,9 @@
-"""What instances of a failure domain tell each other of the work they carry.
+"""Work that the instances of a failure domain report to each other.
 
 Load pattern: several instances send to the same engines and serve the same callers.
-Without shared counts each would take the whole of an engine, or of a caller's limit,
-for its own. What one instance sent is known exactly there, so the sum over instances
-is nearly exact and only as old as the last message.
+Without shared counts each would use the whole of an engine, or of a caller's limit, for
+itself. Each instance knows exactly what it sent, so the sum over all instances is
+nearly exact and only as old as the last message.
 """
 
 import dataclasses
@@ -13,8 +13,8 @@
 
 __all__ = ["CallerWork", "PeerReports", "ServerWork", "WorkReport"]
 
-# Ten reports at the usual second between them. A link that is silent for longer is
-# cut or its instance frozen; its streams are then the engines' reports to find.
+# Ten reports at the usual interval of a second. A peer that sends none for longer is
+# partitioned or frozen; the engines' own reports then show its streams.
 _REPORT_LIFETIME = datetime.timedelta(seconds=10)
 _NEGLIGIBLE_RATE = 1e-6
 
@@ -24,9 +24,10 @@
     """Work that one instance has at one backend server.
 
     Attributes:
+        server: Name of the backend server.
         streams: Requests sent and not yet ended.
-        prompt_tokens: Prompt tokens not yet read, as far as is known.
-        output_tokens: Tokens still expected.
+        prompt_tokens: Prompt tokens not yet prefilled, as far as is known.
+        output_tokens: Output tokens still expected.
     """
 
     server: str
@@ -37,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerWork:
-    """Work that one caller lately asked of one instance, in units a second."""
+    """Recent demand of one caller at one instance, in units per second."""
 
     caller: str
     tokens_per_second: float
@@ -48,8 +49,10 @@
     """The work of one instance.
 
     Attributes:
-        totals: Totals of what callers asked of it, for the planner of roles; one
-            entry, or none where nothing is known.
+        servers: Work at each backend server.
+        callers: Recent demand of each caller.
+        totals: Counters of requested tokens, for the role planner; one entry, or none
+            if unknown.
     """
 
     servers: tuple[ServerWork, ...] = ()
@@ -65,10 +68,10 @@
 
 
 class PeerReports:
-    """What peers last told of their work, with its sums kept up to date.
+    """Latest work reports of peers, with their sums kept up to date.
 
-    A peer that is silent for ten seconds no longer counts: the work of a dead instance
-    would otherwise keep its engines looking busy for ever.
+    A peer without a report for ten seconds no longer counts. Otherwise the work of a
+    crashed instance would keep its engines looking busy forever.
     """
 
     def __init__(self) -> None:
@@ -83,32 +86,33 @@
         now: datetime.timedelta,
         instances: int = 1,
     ) -> None:
-        """Take in a report; it replaces the instance's earlier one.
+        """Store a report in place of the instance's previous one.
 
         Args:
-            instance: Who told it, or a failure domain that sums up its instances.
-            work: The work.
-            now: When it arrived, on the clock of this instance.
-            instances: How many instances the report sums up.
+            instance: The sender, or a failure domain whose instances the report sums
+                up.
+            work: The reported work.
+            now: When the report arrived, on the clock of this instance.
+            instances: Number of instances that the report sums up.
         """
         self.forget(instance)
         self._reports[instance] = _ReceivedReport(work, now, instances)
         self._add(work, 1)
 
     def forget(self, instance: str) -> None:
-        """Drop an instance that left."""
+        """Remove an instance that left."""
         report = self._reports.pop(instance, None)
         if report is not None:
             self._add(report.work, -1)
 
     def expire(self, now: datetime.timedelta) -> None:
-        """Drop the instances that have been silent for too long."""
+        """Remove instances whose last report is too old."""
         for instance, report in list(self._reports.items()):
             if now - report.received_at > _REPORT_LIFETIME:
                 self.forget(instance)
 
     def instances(self) -> int:
-        """Return how many peers are heard."""
+        """Return the number of peers with a current report."""
         return sum(report.instances for report in self._reports.values())
 
     def server(self, name: str) -> ServerWork:
@@ -116,7 +120,7 @@
         return self._servers.get(name) or ServerWork(name, 0, 0, 0)
 
     def caller(self, name: str) -> float:
-        """Return the peers' demand by a caller, in units a second."""
+        """Return the demand of a caller at the peers, in units per second."""
         return max(0.0, self._callers.get(name, 0.0))
 
     def _add(self, work: WorkReport, sign: int) -> None:
