--- a/src/pimentolatch/decisions/dispatcher.py
+++ b/src/pimentolatch/decisions/dispatcher.py
@@ -14,7 +14,10 @@
 import dataclasses
 import datetime
 
-from pimentolatch import fleet, results
+from pimentolatch import (
+    fleet,
+    results,
+)
 from pimentolatch.backend import outcomes
 from pimentolatch.decisions import (
     accounts,
@@ -30,7 +33,7 @@
     request_work,
     retries,
     routing,
-    shares,
+    work_reports,
 )
 from pimentolatch.document import schema
 
@@ -83,7 +86,7 @@
         own_domain: str,
         outstanding: outstanding_work.OutstandingWork | None = None,
     ) -> None:
-        self.peers = shares.PeerShares()
+        self.peers = work_reports.PeerReports()
         self.outstanding = outstanding or outstanding_work.OutstandingWork()
         self.health = health.ServerHealth()
         self.retries = retries.RetryBudget()
@@ -123,11 +126,11 @@
         self.router.set_instances(own_domain)
         self._accounts.set_instances(everywhere)
 
-    def shares(self, now: datetime.timedelta) -> shares.Shares:
+    def shares(self, now: datetime.timedelta) -> work_reports.WorkReport:
         """Return the work of this instance that is reported to its peers."""
         self.peers.expire(now)
         totals = dataclasses.replace(self._demand, uptime_s=now.total_seconds())
-        return shares.Shares(
+        return work_reports.WorkReport(
             self.outstanding.shares(), self._accounts.shares(now), (totals,)
         )
 
--- a/src/pimentolatch/decisions/dispatches.py
+++ b/src/pimentolatch/decisions/dispatches.py
@@ -15,7 +15,12 @@
 import dataclasses
 import datetime
 
-from pimentolatch.decisions import health, outstanding_work, request_work, shares
+from pimentolatch.decisions import (
+    health,
+    outstanding_work,
+    request_work,
+    work_reports,
+)
 from pimentolatch.document import schema
 
 __all__ = ["Dispatches", "Ended"]
@@ -62,7 +67,7 @@
     def __init__(
         self,
         outstanding: outstanding_work.OutstandingWork,
-        peers: shares.PeerShares,
+        peers: work_reports.PeerReports,
         server_health: health.ServerHealth,
     ) -> None:
         self._outstanding = outstanding
--- a/src/pimentolatch/decisions/outstanding_work.py
+++ b/src/pimentolatch/decisions/outstanding_work.py
@@ -13,7 +13,10 @@
 import dataclasses
 import datetime
 
-from pimentolatch.decisions import request_work, shares
+from pimentolatch.decisions import (
+    request_work,
+    work_reports,
+)
 
 __all__ = ["Load", "OutstandingWork", "uncounted_streams"]
 
@@ -67,10 +70,10 @@
         """Return the number of outstanding requests at a server."""
         return self.load(server).streams
 
-    def shares(self) -> tuple[shares.ServerWork, ...]:
+    def shares(self) -> tuple[work_reports.ServerWork, ...]:
         """Return the outstanding work as it is reported to peers."""
         return tuple(
-            shares.ServerWork(
+            work_reports.ServerWork(
                 server, load.streams, load.prompt_tokens, load.output_tokens
             )
             for server, load in sorted(self._loads.items())
--- a/src/pimentolatch/decisions/routing.py
+++ b/src/pimentolatch/decisions/routing.py
@@ -16,7 +16,7 @@
     outstanding_work,
     recent_prefixes,
     rendezvous,
-    shares,
+    work_reports,
 )
 from pimentolatch.document import schema
 
@@ -62,7 +62,7 @@
         own_domain: str,
         *,
         outstanding: outstanding_work.OutstandingWork,
-        peers: shares.PeerShares,
+        peers: work_reports.PeerReports,
         server_health: health.ServerHealth,
         prefixes: recent_prefixes.RecentPrefixes,
     ) -> None:
--- a/src/pimentolatch/decisions/stage_plan.py
+++ b/src/pimentolatch/decisions/stage_plan.py
@@ -1,19 +1,19 @@
-"""Plans how many engines read prompts and how many write answers.
-
-Load pattern: for a quarter of a minute most requests bring long prompts, then most ask
-for long answers. Engines that read are two thirds idle in one half and a queue of
-seconds in the other. Routing bends first: short prompts are read where they are
-answered. What it can't bend, because reading in place stops the streams there, is worth
-a change of stage, which takes an engine away for seconds.
-
-A change is due when the pressure that it would have taken off by now, summed over time,
-has come to its price. A split that is far off is left within two seconds, one that is
-little off is left alone unless that lasts; a rule that waits for a fixed time does one
-of the two wrong.
-
-Each stage keeps an engine to spare: with one alone, its crash leaves the stage empty
-and every request waits until it is back. If a stage is emptied all the same, an engine
-is told to write at once, whatever the price.
+"""Plans how many engines run prefill and how many run decode.
+
+Load pattern: for about 15 seconds most requests bring long prompts, then most ask for
+long answers. Prefill engines are two thirds idle in one half and have a queue of
+seconds in the other. Routing reacts first by prefilling short prompts on the decode
+engines. Long prompts would stall the streams there, so the rest of the imbalance is
+worth a change of stage, which takes an engine out of service for seconds.
+
+A change is due when the pressure that it would have relieved so far, integrated over
+time, reaches the cost of the change. A split that is far off is corrected within two
+seconds, and one that is slightly off only if that lasts. A rule with a fixed delay gets
+one of the two wrong.
+
+Each stage keeps a spare engine: if its only engine crashed, the stage would be empty
+and every request would wait until the engine is back. If the decode stage becomes empty
+all the same, an engine is moved to decode at once, whatever the cost.
 """
 
 import dataclasses
@@ -21,59 +21,78 @@
 import statistics
 from collections import abc
 
-from pimentolatch.decisions import engine_loads, mix, placement, stage_split
-from pimentolatch.routes import servers, table
-
-__all__ = ["STREAMS_END", "Change", "StagePlanner"]
-
-# Streams of an engine that is told to change end about this much later.
-STREAMS_END = datetime.timedelta(seconds=4)
-# A stage that was given an engine lately keeps it for this long, several times the
-# length of a change.
+from pimentolatch.decisions import (
+    engine_loads,
+    placement,
+    smoothed_demand,
+    stage_split,
+)
+from pimentolatch.routes import (
+    servers,
+    table,
+)
+
+__all__ = ["STREAM_DRAIN_TIME", "Change", "StagePlanner"]
+
+# Time after which the streams of an engine that is to change have ended.
+STREAM_DRAIN_TIME = datetime.timedelta(seconds=4)
+# A stage keeps an engine that it was given for at least this long, several times the
+# duration of a change.
 _DWELL = datetime.timedelta(seconds=6)
-# Price of a change, in seconds of pressure that it takes off. A pressure of three that
-# falls to two is answered within two seconds.
-_PRICE = 2.0
-# Prompts wait less than this where reading is not short, as a mean over some seconds.
-_LEAST_WAIT_MS = 50.0
-# Prompts that must have been timed before the learned rate is worth a change.
-_LEAST_TIMED = 4
-# Engines that may be changing at once, as a share of all: they serve nobody meanwhile.
-_AT_ONCE = 0.2
-# From this many engines on each stage keeps two that work, or a crash would empty it.
-_SMALLEST_SPARED = 4
-# No engine writes for this long: the stage is empty, not one connection reset.
-_EMPTY = datetime.timedelta(milliseconds=400)
+# Cost of a change, as pressure relieved times seconds. A pressure of three that a
+# change lowers to two is answered within two seconds.
+_CHANGE_COST_S = 2.0
+# Shortest mean wait of prompts, over some seconds, at which prefill is short of
+# engines.
+_MIN_WAIT_MS = 50.0
+# Prompts to time before the learned prefill rate is good enough for a change.
+_MIN_TIMED_PROMPTS = 4
+# Share of the engines that may change at once, since they serve no requests meanwhile.
+_MAX_CHANGING_SHARE = 0.2
+# From this many engines on, each stage keeps two healthy ones, so that one crash does
+# not empty it.
+_MIN_ENGINES_FOR_SPARE = 4
+# Time without any decode engine after which the stage counts as empty; shorter gaps can
+# be one connection reset.
+_EMPTY_STAGE_TIMEOUT = datetime.timedelta(milliseconds=400)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """An engine that should change its stage, and the figures that say so."""
+    """An engine that should change its stage, with the figures behind it.
+
+    Attributes:
+        engine: The incarnation that should change.
+        stage: Its new stage.
+        prefill_share: Prefill engines needed, as a share of those present.
+        decode_share: Decode engines needed, as a share of those present.
+        prefill_rate: Prompt tokens that an engine prefills per millisecond.
+    """
 
     engine: servers.Incarnation
     stage: servers.Stage
-    reading_share: float
-    writing_share: float
-    reading_rate: float
+    prefill_share: float
+    decode_share: float
+    prefill_rate: float
 
 
 class StagePlanner:
-    """Plans the stages of one service's engines."""
+    """Plans the stages of the engines of one service."""
 
     def __init__(self) -> None:
         self._relief = dict.fromkeys(servers.Stage, 0.0)
-        self._looked: datetime.timedelta | None = None
+        self._planned_at: datetime.timedelta | None = None
         self._empty_since: datetime.timedelta | None = None
-        self._changed: dict[servers.Incarnation, datetime.timedelta] = {}
-        self._told: dict[servers.Incarnation, servers.Stage] = {}
-        self._last_to: dict[servers.Stage, datetime.timedelta] = {}
-        self._mix = mix.MixMemory()
+        self._ordered_at: dict[servers.Incarnation, datetime.timedelta] = {}
+        self._target_stages: dict[servers.Incarnation, servers.Stage] = {}
+        self._last_change_to: dict[servers.Stage, datetime.timedelta] = {}
+        self._demand = smoothed_demand.SmoothedDemand()
 
     def changed(self, change: Change, now: datetime.timedelta) -> None:
-        """Note that an engine was told to change."""
-        self._changed[change.engine] = now
-        self._told[change.engine] = change.stage
-        self._last_to[change.stage] = now
+        """Record that an engine was ordered to change."""
+        self._ordered_at[change.engine] = now
+        self._target_stages[change.engine] = change.stage
+        self._last_change_to[change.stage] = now
         self._relief[change.stage] = 0.0
 
     def plan(
@@ -81,179 +100,219 @@
         loads: engine_loads.EngineLoads,
         traits: table.EngineTraits,
         pause_target_ms: float,
-        reading_demand: float,
-        reading_rate: float,
+        prefill_demand: float,
+        prefill_rate: float,
         now: datetime.timedelta,
     ) -> tuple[Change, ...]:
-        """Return the changes that are worth their price now.
+        """Return the changes that are worth their cost now.
 
         Args:
-            loads: Work of the engines, from all instances that are heard.
-            traits: What the operator says of the engines.
-            pause_target_ms: Longest pause between events that is on time.
-            reading_demand: Prompt tokens a second that all instances are asked to read.
-            reading_rate: Prompt tokens that an engine reads in a millisecond.
-            now: The time.
+            loads: Load of the engines, with the reports of all reachable instances.
+            traits: Properties of the engines, from the configuration.
+            pause_target_ms: Longest pause between events of a stream that is on time.
+            prefill_demand: Prompt tokens per second requested from all instances.
+            prefill_rate: Prompt tokens that an engine prefills per millisecond.
+            now: The current time.
         """
         engines = [e for e in loads.all() if not e.server.leaving]
-        readers = [e for e in engines if e.server.stage is servers.Stage.PREFILL]
-        writers = [e for e in engines if e.server.stage is servers.Stage.DECODE]
-        self._hear_of_changes(engines, now)
-        moving = self._moving(traits, now)
-        reading = reading_demand / 1000 / reading_rate
-        writing = _writing_need(writers, traits, pause_target_ms, now)
-        self._mix.note(reading, writing, _waiting_ms(readers, reading_rate, now), now)
-        split = _Split(*self._as_ordered(readers, writers), moving, reading_rate)
-        # Before the first request nothing is missing: engines only register one by one.
-        rescue = self._rescue(split, now) if reading_demand > 0 else ()
+        prefill_engines = [
+            e for e in engines if e.server.stage is servers.Stage.PREFILL
+        ]
+        decode_engines = [e for e in engines if e.server.stage is servers.Stage.DECODE]
+        self._adopt_changes(engines, now)
+        changing = self._changing(traits, now)
+        prefill_need = prefill_demand / 1000 / prefill_rate
+        decode_need = _decode_need(decode_engines, traits, pause_target_ms, now)
+        self._demand.observe(
+            prefill_need,
+            decode_need,
+            _prefill_wait_ms(prefill_engines, prefill_rate, now),
+            now,
+        )
+        split = _Split(
+            *self._by_target_stage(prefill_engines, decode_engines),
+            changing,
+            prefill_rate,
+        )
+        # Before the first request no stage is empty: engines are still registering.
+        rescue = self._rescue(split, now) if prefill_demand > 0 else ()
         if rescue:
             return rescue
-        spare = 2 if len(engines) >= _SMALLEST_SPARED else 1
-        at_once = max(1, int(_AT_ONCE * len(engines)))
-        move = self._due_move(split, spare, at_once, now)
-        if move is None or loads.prompts_observed < _LEAST_TIMED:
+        min_per_stage = 2 if len(engines) >= _MIN_ENGINES_FOR_SPARE else 1
+        max_changing = max(1, int(_MAX_CHANGING_SHARE * len(engines)))
+        move = self._due_move(split, min_per_stage, max_changing, now)
+        if move is None or loads.prompts_observed < _MIN_TIMED_PROMPTS:
             return ()
-        givers = split.givers(move.stage)
-        sound = [engine for engine in givers if now >= engine.avoid_until]
-        count = min(move.count, at_once - len(moving), len(sound) - spare)
-        return self._changes(split, move.stage, sound, count, now)
+        sources = split.sources(move.stage)
+        healthy = [engine for engine in sources if now >= engine.avoid_until]
+        count = min(
+            move.count, max_changing - len(changing), len(healthy) - min_per_stage
+        )
+        return self._changes(split, move.stage, healthy, count, now)
 
     def _due_move(
-        self, split: "_Split", spare: int, at_once: int, now: datetime.timedelta
+        self,
+        split: "_Split",
+        min_per_stage: int,
+        max_changing: int,
+        now: datetime.timedelta,
     ) -> stage_split.Move | None:
-        """Return the move whose relief has come to the price of a change."""
-        before, self._looked = self._looked, now
-        need = stage_split.Engines(self._mix.reading, self._mix.writing)
+        """Return the move whose accumulated relief has reached the cost of a change."""
+        before, self._planned_at = self._planned_at, now
+        need = stage_split.EngineCounts(self._demand.prefill, self._demand.decode)
         move = stage_split.best_move(
-            need, len(split.readers), len(split.writers), spare, at_once
+            need,
+            len(split.prefill_engines),
+            len(split.decode_engines),
+            min_per_stage,
+            max_changing,
         )
-        reading_waits = self._mix.wait_ms >= _LEAST_WAIT_MS
+        prefill_waits = self._demand.wait_ms >= _MIN_WAIT_MS
         if move is not None and move.stage is servers.Stage.PREFILL:
-            move = move if reading_waits else None
+            move = move if prefill_waits else None
         for stage in servers.Stage:
             if move is None or stage is not move.stage:
                 self._relief[stage] = 0.0
         if move is None or before is None:
             return None
         self._relief[move.stage] += move.relief * (now - before).total_seconds()
-        due = self._relief[move.stage] >= _PRICE and not self._dwells(move.stage, now)
+        due = self._relief[move.stage] >= _CHANGE_COST_S and not self._dwells(
+            move.stage, now
+        )
         return move if due else None
 
     def _rescue(self, split: "_Split", now: datetime.timedelta) -> tuple[Change, ...]:
-        """Return the change that brings a writer back if none is left.
+        """Return the change that restores the decode stage if it is empty.
 
-        Where all that write crash at one moment, every request would be refused beside
-        engines that read.
+        If all decode engines crash at once, every request would be refused while
+        prefill engines stand idle.
         """
         empty = all(
-            _is_down(writer, now) and writer.server.incarnation not in split.moving
-            for writer in split.writers
+            _is_down(engine, now) and engine.server.incarnation not in split.changing
+            for engine in split.decode_engines
         )
         if not empty:
             self._empty_since = None
             return ()
         if self._empty_since is None:
             self._empty_since = now
-        if now - self._empty_since < _EMPTY:
+        if now - self._empty_since < _EMPTY_STAGE_TIMEOUT:
             return ()
-        sound = [r for r in split.readers if now >= r.avoid_until]
-        return self._changes(split, servers.Stage.DECODE, sound, 1, now)
+        healthy = [r for r in split.prefill_engines if now >= r.avoid_until]
+        return self._changes(split, servers.Stage.DECODE, healthy, 1, now)
 
     def _changes(
         self,
         split: "_Split",
         stage: servers.Stage,
-        givers: abc.Collection[engine_loads.EngineLoad],
+        sources: abc.Collection[engine_loads.EngineLoad],
         count: int,
         now: datetime.timedelta,
     ) -> tuple[Change, ...]:
-        left = list(givers)
+        remaining = list(sources)
         changes: list[Change] = []
         while len(changes) < count:
-            engine = _cheapest(left, split.givers(_other(stage)), split.moving, now)
+            engine = _cheapest(
+                remaining, split.sources(_other(stage)), split.changing, now
+            )
             if engine is None:
                 break
-            left.remove(engine)
+            remaining.remove(engine)
             changes.append(
                 Change(
                     engine.server.incarnation,
                     stage,
-                    self._mix.reading / max(len(split.readers), 0.5),
-                    self._mix.writing / max(len(split.writers), 0.5),
-                    split.reading_rate,
+                    self._demand.prefill / max(len(split.prefill_engines), 0.5),
+                    self._demand.decode / max(len(split.decode_engines), 0.5),
+                    split.prefill_rate,
                 )
             )
         return tuple(changes)
 
-    def _as_ordered(
+    def _by_target_stage(
         self,
-        readers: list[engine_loads.EngineLoad],
-        writers: list[engine_loads.EngineLoad],
+        prefill_engines: list[engine_loads.EngineLoad],
+        decode_engines: list[engine_loads.EngineLoad],
     ) -> tuple[list[engine_loads.EngineLoad], list[engine_loads.EngineLoad]]:
-        """Return the engines by the stage that they were told to take.
+        """Return the engines by the stage that they were ordered to take.
 
-        The list shows a change when it is over. Counted as before until then, the same
-        need would be met a second time.
+        The server list shows a change only when it is complete. If engines counted for
+        their old stage until then, the same need would be met twice.
         """
-        ordered: dict[servers.Stage, list[engine_loads.EngineLoad]] = {
+        by_stage: dict[servers.Stage, list[engine_loads.EngineLoad]] = {
             stage: [] for stage in servers.Stage
         }
-        for engine in (*readers, *writers):
-            stage = self._told.get(engine.server.incarnation) or engine.server.stage
+        for engine in (*prefill_engines, *decode_engines):
+            stage = (
+                self._target_stages.get(engine.server.incarnation)
+                or engine.server.stage
+            )
             if stage is not None:
-                ordered[stage].append(engine)
-        return ordered[servers.Stage.PREFILL], ordered[servers.Stage.DECODE]
+                by_stage[stage].append(engine)
+        return by_stage[servers.Stage.PREFILL], by_stage[servers.Stage.DECODE]
 
-    def _hear_of_changes(
+    def _adopt_changes(
         self, engines: abc.Iterable[engine_loads.EngineLoad], now: datetime.timedelta
     ) -> None:
-        """Take changes that another instance ordered for those of one's own.
+        """Adopt changes that another instance ordered.
 
-        Whoever takes over planning would order them a second time.
+        A new leader would otherwise order them a second time.
         """
         for engine in engines:
             name = engine.server.incarnation
             if engine.change is not None and engine.is_changing(now):
-                self._changed.setdefault(name, now)
-                self._told.setdefault(name, engine.change.stage)
+                self._ordered_at.setdefault(name, now)
+                self._target_stages.setdefault(name, engine.change.stage)
 
-    def _moving(
+    def _changing(
         self, traits: table.EngineTraits, now: datetime.timedelta
     ) -> set[servers.Incarnation]:
-        away = traits.stage_change + STREAMS_END
-        self._changed = {
-            name: at for name, at in self._changed.items() if now - at < 4 * away
+        change_time = traits.stage_change + STREAM_DRAIN_TIME
+        self._ordered_at = {
+            name: at
+            for name, at in self._ordered_at.items()
+            if now - at < 4 * change_time
+        }
+        changing = {
+            name for name, at in self._ordered_at.items() if now - at < change_time
         }
-        moving = {name for name, at in self._changed.items() if now - at < away}
-        self._told = {name: to for name, to in self._told.items() if name in moving}
-        return moving
+        self._target_stages = {
+            name: to for name, to in self._target_stages.items() if name in changing
+        }
+        return changing
 
-    def _dwells(self, taker: servers.Stage, now: datetime.timedelta) -> bool:
-        last = self._last_to.get(_other(taker))
+    def _dwells(self, target: servers.Stage, now: datetime.timedelta) -> bool:
+        last = self._last_change_to.get(_other(target))
         return last is not None and now - last < _DWELL
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Split:
-    """The engines by the stage that they have or were told to take.
+    """The engines by the stage that they have or were ordered to take.
 
     Attributes:
-        moving: Engines that are changing.
-        reading_rate: Prompt tokens that an engine reads in a millisecond.
+        prefill_engines: Engines of the prefill stage.
+        decode_engines: Engines of the decode stage.
+        changing: Engines that are changing their stage.
+        prefill_rate: Prompt tokens that an engine prefills per millisecond.
     """
 
-    readers: list[engine_loads.EngineLoad]
-    writers: list[engine_loads.EngineLoad]
-    moving: abc.Container[servers.Incarnation]
-    reading_rate: float
-
-    def givers(self, taker: servers.Stage) -> list[engine_loads.EngineLoad]:
-        """Return the engines that may be given to a stage."""
-        return self.writers if taker is servers.Stage.PREFILL else self.readers
+    prefill_engines: list[engine_loads.EngineLoad]
+    decode_engines: list[engine_loads.EngineLoad]
+    changing: abc.Container[servers.Incarnation]
+    prefill_rate: float
+
+    def sources(self, target: servers.Stage) -> list[engine_loads.EngineLoad]:
+        """Return the engines that may be moved to a stage."""
+        return (
+            self.decode_engines
+            if target is servers.Stage.PREFILL
+            else self.prefill_engines
+        )
 
 
 def _is_down(engine: engine_loads.EngineLoad, now: datetime.timedelta) -> bool:
-    """Tell whether an engine fails: one exchange that broke off says little."""
+    """Return whether an engine is failing; a single broken exchange is no proof."""
     return now < engine.avoid_until and engine.failures > 1
 
 
@@ -261,50 +320,57 @@
     return next(other for other in servers.Stage if other is not stage)
 
 
-def _waiting_ms(
-    readers: abc.Sequence[engine_loads.EngineLoad],
-    reading_rate: float,
+def _prefill_wait_ms(
+    prefill_engines: abc.Sequence[engine_loads.EngineLoad],
+    prefill_rate: float,
     now: datetime.timedelta,
 ) -> float:
-    """Return how long a prompt waits now; a rate learned too low only says so."""
-    waiting = sum(reader.total_prefill_tokens(now) for reader in readers)
-    return waiting / reading_rate / max(1, len(readers))
+    """Return how long a prompt waits for prefill now, in milliseconds.
+
+    If the learned rate is too low, this only overstates the wait.
+    """
+    waiting = sum(engine.total_prefill_tokens(now) for engine in prefill_engines)
+    return waiting / prefill_rate / max(1, len(prefill_engines))
 
 
-def _writing_need(
-    writers: abc.Sequence[engine_loads.EngineLoad],
+def _decode_need(
+    decode_engines: abc.Sequence[engine_loads.EngineLoad],
     traits: table.EngineTraits,
     pause_target_ms: float,
     now: datetime.timedelta,
 ) -> float:
-    """Return how many engines the running streams fill."""
-    by_room = sum(placement.utilization(engine, traits, now) for engine in writers)
-    pauses = [engine.event_gap_ms for engine in writers if engine.event_gap_ms > 0]
+    """Return how many engines the running streams occupy."""
+    by_occupancy = sum(
+        placement.utilization(engine, traits, now) for engine in decode_engines
+    )
+    pauses = [
+        engine.event_gap_ms for engine in decode_engines if engine.event_gap_ms > 0
+    ]
     if not pauses or pause_target_ms <= 0:
-        return by_room
-    by_pause = statistics.fmean(pauses) / pause_target_ms * len(writers)
-    return max(by_room, by_pause)
+        return by_occupancy
+    by_pause = statistics.fmean(pauses) / pause_target_ms * len(decode_engines)
+    return max(by_occupancy, by_pause)
 
 
 def _cheapest(
-    givers: abc.Collection[engine_loads.EngineLoad],
-    takers: abc.Collection[engine_loads.EngineLoad],
-    moving: abc.Container[servers.Incarnation],
+    sources: abc.Collection[engine_loads.EngineLoad],
+    target_engines: abc.Collection[engine_loads.EngineLoad],
+    changing: abc.Container[servers.Incarnation],
     now: datetime.timedelta,
 ) -> engine_loads.EngineLoad | None:
-    """Return the engine that a stage can best spare.
+    """Return the engine that can be moved to another stage at the least cost.
 
-    A domain that keeps both stages moves its prompts within it, so the engine comes
-    from where the giving stage is strongest against the other; among these the one
-    with the least work ends it soonest.
+    A failure domain with both stages transfers its KV cache within the domain. So the
+    engine comes from the domain where its stage has the largest majority over the
+    other. Among these, the one with the least work drains first.
     """
 
     def cost(engine: engine_loads.EngineLoad) -> tuple[float, float, str]:
         domain = engine.server.failure_domain
-        own = sum(g.server.failure_domain == domain for g in givers)
-        others = sum(t.server.failure_domain == domain for t in takers)
+        own = sum(g.server.failure_domain == domain for g in sources)
+        others = sum(t.server.failure_domain == domain for t in target_engines)
         work = engine.total_streams(now) + engine.total_prefill_tokens(now) / 1000
         return (others - own, work, engine.server.server_id)
 
-    found = [e for e in givers if e.server.incarnation not in moving]
-    return min(found, key=cost, default=None)
+    candidates = [e for e in sources if e.server.incarnation not in changing]
+    return min(candidates, key=cost, default=None)
--- a/src/pimentolatch/gateway/peers.py
+++ b/src/pimentolatch/gateway/peers.py
@@ -8,7 +8,10 @@
 import logbook
 
 from pimentolatch import clock
-from pimentolatch.decisions import demand_rate, neighbours
+from pimentolatch.decisions import (
+    demand_rate,
+    neighbours,
+)
 from pimentolatch.gateway import (
     cache_updates,
     datagrams,
@@ -18,7 +21,9 @@
     quarantine,
     tenure,
 )
-from pimentolatch.gateway import settings as gateway_settings
+from pimentolatch.gateway import (
+    settings as gateway_settings,
+)
 from pimentolatch.protocol import beacons
 
 __all__ = ["Peers"]
@@ -180,8 +185,8 @@
             demands=tuple(
                 beacons.Demand(
                     service,
-                    int(demand.reading),
-                    int(demand.writing),
+                    int(demand.prefill),
+                    int(demand.decode),
                     int(1000 * self._known.loads(service).prefill_rate),
                 )
                 for service, demand in self._demands().items()
@@ -193,7 +198,7 @@
     def _readers(self) -> tuple[beacons.Reader, ...]:
         now = self._clock.monotonic()
         told = [
-            beacons.Reader(reader.name, _milliseconds(now - reader.heard))
+            beacons.Reader(reader.name, _milliseconds(now - reader.last_seen))
             for reader in self._table.readers()
         ]
         if not self._known.store_lost and not self.stopping:
--- a/src/pimentolatch/gateway/stages.py
+++ b/src/pimentolatch/gateway/stages.py
@@ -6,10 +6,22 @@
 import logbook
 
 from pimentolatch import clock
-from pimentolatch.decisions import demand_rate, engine_loads, stage_plan
-from pimentolatch.gateway import knowledge, peer_table, sending, tenure
+from pimentolatch.decisions import (
+    demand_rate,
+    engine_loads,
+    stage_plan,
+)
+from pimentolatch.gateway import (
+    knowledge,
+    peer_table,
+    sending,
+    tenure,
+)
 from pimentolatch.platform import engines
-from pimentolatch.routes import servers, table
+from pimentolatch.routes import (
+    servers,
+    table,
+)
 
 __all__ = ["StageKeeper"]
 
@@ -66,7 +78,7 @@
             loads,
             traits,
             _pause_target(self._known.configuration, service),
-            own.reading + others.reading,
+            own.prefill + others.prefill,
             max(loads.prefill_rate, self._peers.reading_rate(service)),
             now,
         )
@@ -98,7 +110,7 @@
             return
         traits = self._known.engine_traits(engine.server.service)
         if traits is not None:
-            away = traits.stage_change + stage_plan.STREAMS_END
+            away = traits.stage_change + stage_plan.STREAM_DRAIN_TIME
             until = self._clock.monotonic() + away
             engine.begin_change(engine_loads.StageChange(change.stage, until))
 
@@ -148,9 +160,9 @@
             server=server.server_id,
             stage=change.stage.value,
             fence=self._tenure.fence,
-            reading_share=round(change.reading_share, 2),
-            writing_share=round(change.writing_share, 2),
-            reading_rate=round(change.reading_rate, 1),
+            reading_share=round(change.prefill_share, 2),
+            writing_share=round(change.decode_share, 2),
+            reading_rate=round(change.prefill_rate, 1),
             outcome=sending.text_of(answer),
         )
         if isinstance(answer, sending.NotSent):
--- a/tests/features/steps/load_steps.py
+++ b/tests/features/steps/load_steps.py
@@ -12,8 +12,15 @@
 import hypothesis
 from hypothesis import strategies
 
-from benchmarks import load_cases, load_fakes
-from pimentolatch import clock, fleet, results
+from benchmarks import (
+    load_cases,
+    load_fakes,
+)
+from pimentolatch import (
+    clock,
+    fleet,
+    results,
+)
 from pimentolatch.backend import outcomes
 from pimentolatch.decisions import (
     admission,
@@ -24,12 +31,22 @@
     outstanding_work,
     rendezvous,
     retries,
-    shares,
+    work_reports,
 )
 from pimentolatch.document import schema
-from pimentolatch.requests import schedule, stream
-from standins import callers, deployments, processes
-from tests.support import completions, virtual_time
+from pimentolatch.requests import (
+    schedule,
+    stream,
+)
+from standins import (
+    callers,
+    deployments,
+    processes,
+)
+from tests.support import (
+    completions,
+    virtual_time,
+)
 
 POLICIES = {"baseline": load_fakes.Baseline, "decisions": load_fakes.Ours}
 REPEATABLE = hypothesis.settings(
@@ -312,7 +329,7 @@
     caller = schema.Caller(
         name="hot", key_sha256="0" * 64, tokens_per_second=10_000, burst_tokens=10_000
     )
-    tables = [shares.PeerShares() for _ in range(count)]
+    tables = [work_reports.PeerReports() for _ in range(count)]
     buckets = [limits.CallerLimits(table) for table in tables]
     for bucket in buckets:
         bucket.set_instances(count)
@@ -326,7 +343,7 @@
                     admitted += 2000
         if see_each_other and step % 10 == 0:
             for number, bucket in enumerate(buckets):
-                told = shares.Shares((), bucket.shares(now))
+                told = work_reports.WorkReport((), bucket.shares(now))
                 for other, table in enumerate(tables):
                     if other != number:
                         table.update(f"entry-{number}", told, now)
