--- a/src/pimentolatch/gateway/decode_client.py
+++ b/src/pimentolatch/gateway/decode_client.py
@@ -1,4 +1,4 @@
-"""Has an engine write an answer and passes its events on to the client."""
+"""Has an engine generate a response and relays its events to the client."""
 
 import asyncio
 import datetime
@@ -10,17 +10,17 @@
 
 __all__ = ["DecodeClient"]
 
-# An engine that is silent for this many of the route's longest pauses is asked whether
-# it goes on: a batch that is full and reads prompts besides stays under two.
+# An engine that sends nothing for this many times the route's target for gaps between
+# events is checked for a stall. A full batch that also prefills stays under two.
 _STALL_GAPS = 4.0
 _MIN_STALL_TIMEOUT = datetime.timedelta(milliseconds=900)
 
 
 class DecodeClient:
-    """Sends requests to engines that write.
+    """Dispatches requests to engines that decode.
 
     Args:
-        context: What serves every request.
+        context: Components that all requests share.
     """
 
     def __init__(self, context: request_progress.Context) -> None:
@@ -34,7 +34,15 @@
         place: places.InPlace | places.Apart,
         prefilled: request_progress.PrefilledPrompt | None,
     ) -> bool:
-        """Have an engine answer; True if the answer is finished."""
+        """Have an engine generate; True if the response is finished.
+
+        Args:
+            request: The request.
+            response: Response to the client.
+            progress: Progress of the request.
+            place: Engine that decodes, and prefills unless `prefilled` is given.
+            prefilled: KV cache of the prompt at another engine, to be fetched first.
+        """
         engine = place.engine
         prefill_tokens = place.tokens if prefilled is None else 0
         assert request.head.prompt is not None
@@ -49,8 +57,8 @@
         )
         try:
             sent_at = self._context.clock.monotonic()
-            # Set until an answer tells: if the time is up meanwhile, the engine may
-            # be writing, and the client must not hear that nothing ran.
+            # If the deadline passes before the outcome is known, the engine may be
+            # decoding, so the client must not be told that the request did not run.
             progress.outcome_pending = True
             opened = await self._open(generation, prefilled)
             progress.outcome_pending = False
@@ -114,7 +122,7 @@
         outcome: dispatch.NotSent | dispatch.Declined | dispatch.OutcomeUnknown,
         sent_at: datetime.timedelta,
     ) -> bool:
-        """Note why an engine gave no answer; returns False: the request goes on."""
+        """Record why an engine did not respond; False: the request is retried."""
         request, progress = generation.request, generation.progress
         engine = generation.place.engine
         progress.reason = dispatch.describe(outcome)
@@ -136,7 +144,7 @@
     def _count_run(self, generation: request_progress.Generation) -> None:
         generation.progress.possible_runs += 1
         if not generation.request.route.repeatable:
-            # Nothing may run a second time, so no further engine is tried.
+            # The request must not run twice, so no other engine is tried.
             generation.progress.possible_runs = max(
                 generation.progress.possible_runs, generation.request.route.most_servers
             )
@@ -147,7 +155,7 @@
         opened: dispatch.OpenResponse,
         sent_at: datetime.timedelta,
     ) -> bool:
-        """Pass an engine's events on; True if the answer is finished."""
+        """Relay an engine's response; True if the client's response is finished."""
         request, progress = generation.request, generation.progress
         engine = generation.place.engine
         loads = self._context.loads(request)
@@ -201,7 +209,11 @@
     async def _relay_events(
         self, generation: request_progress.Generation, opened: dispatch.OpenResponse
     ) -> None:
-        """Pass whole events on until the stream's end; raises `BrokenError`."""
+        """Relay complete events until the end of the stream.
+
+        Raises:
+            BrokenError: The stream broke off before its end.
+        """
         splitter = sse.EventSplitter()
         response, progress = generation.response, generation.progress
         last = self._context.clock.monotonic()
@@ -229,7 +241,12 @@
     async def _read(
         self, generation: request_progress.Generation, opened: dispatch.OpenResponse
     ) -> bytes:
-        """Return the next bytes, for as long as the engine has the request."""
+        """Return the next bytes of the stream; empty at its end.
+
+        Raises:
+            BrokenError: The stream broke off, or a stall check showed that the engine
+                no longer has the request.
+        """
         request = generation.request
         if not request.route.repeatable:
             return await opened.link.read()
@@ -251,19 +268,19 @@
     def _record_event(
         self, generation: request_progress.Generation, since: datetime.timedelta
     ) -> None:
-        """Note the first event, and the pauses after it."""
+        """Record the end of prefill at the first event, and later the gap."""
         engine = generation.place.engine
         if not generation.first_event_seen:
             generation.first_event_seen = True
             engine.reading[generation.place.level] -= generation.unprefilled
             generation.unprefilled = 0
             self._context.record_cached_prompt(generation.request, engine)
-            self._count_begun(generation)
+            self._count_usage(generation)
             return
         self._context.loads(generation.request).paused(engine, since)
 
-    def _count_begun(self, generation: request_progress.Generation) -> None:
-        """Count a request for its customer, however many engines go on with it."""
+    def _count_usage(self, generation: request_progress.Generation) -> None:
+        """Count a request once for its customer, however many engines serve it."""
         if not generation.progress.usage_counted:
             generation.progress.usage_counted = True
             name = generation.request.customer_name
@@ -272,7 +289,7 @@
     def _measure_event(
         self, generation: request_progress.Generation, now: datetime.timedelta
     ) -> None:
-        """Count what the client sees, whichever engines its events come from."""
+        """Measure latencies as the client sees them, across all engines."""
         progress, measured = generation.progress, self._context.measured
         if progress.last_event_at is None:
             measured.first_event((now - generation.request.arrived_at).total_seconds())
--- a/src/pimentolatch/gateway/dispatch.py
+++ b/src/pimentolatch/gateway/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends a request to one server and tells apart what may have become of it."""
+"""Dispatches a request to one backend server and classifies the outcome."""
 
 import asyncio
 import contextlib
@@ -29,26 +29,27 @@
 ]
 
 _CONNECT_LIMIT = datetime.timedelta(milliseconds=700)
-# A kept connection that may not repeat its request is used only while it is this
-# fresh: a server that closes idle ones early would leave the outcome unknown.
+# Longest idle time of a pooled connection that is used for a request that must not be
+# repeated: if the server closed it meanwhile, the outcome would be unknown.
 _MAX_IDLE_FOR_UNREPEATABLE = datetime.timedelta(seconds=2)
-# Answers of earlier requests that are skipped in front of the right one.
+# Responses to earlier requests that are skipped on a connection before giving up.
 _MAX_STALE_RESPONSES = 3
-# A body that is read whole before it is passed on may be this large.
+# Largest response body that is buffered before it is forwarded.
 MAX_BODY_BYTES = 8_000_000
 _MISDIRECTED = 421
-# The answer needs this long back to the client.
+# Time reserved for returning the response to the client.
 RETURN_TIME = datetime.timedelta(milliseconds=10)
-# These promise that a request has not run, which is ours to say only if it is true.
+# Statuses that tell a client that its request did not run. A server's response with one
+# of these is not forwarded, since the request may have run.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotSent:
-    """The server was not reached, so nothing ran.
+    """The server was not reached, so the request did not run.
 
     Attributes:
-        silent: It did not even turn the connection away.
+        unresponsive: The server did not even refuse the connection.
     """
 
     reason: str
@@ -64,11 +65,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """No usable answer came; the request may have run.
+    """No usable response was received; the request may have run.
 
     Attributes:
-        server_ended: The connection ended, or the server answers nobody any more, as
-            after a crash.
+        server_crashed: The connection was closed or the server stopped responding, so
+            it is presumed to have crashed.
     """
 
     reason: str
@@ -77,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FullResponse:
-    """A whole answer of the server, whatever its status."""
+    """A complete response of the server, whatever its status."""
 
     status: int
     head: heads.AnswerHead
@@ -86,7 +87,7 @@
 
 @dataclasses.dataclass(slots=True)
 class OpenResponse:
-    """An answer whose header has arrived; its body is read from `link`."""
+    """A response whose header has arrived; its body is read from `link`."""
 
     status: int
     head: heads.AnswerHead
@@ -95,7 +96,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """A prompt that was only to be prefilled was withdrawn; nothing ran."""
+    """A prefill-only request was cancelled before it ran."""
 
 
 Outcome = OpenResponse | FullResponse | NotSent | Declined | OutcomeUnknown | Withdrawn
@@ -103,7 +104,7 @@
 
 @functools.singledispatch
 def describe(outcome: Outcome) -> str:
-    """Return an outcome in words, for the log."""
+    """Return a description of an outcome for the log."""
     raise TypeError(f"not an outcome: {outcome!r}")
 
 
@@ -134,18 +135,18 @@
 
 
 class ServerClient:
-    """Sends requests to servers over kept connections."""
+    """Sends requests to servers over pooled connections."""
 
     def __init__(self, time: clock.Clock) -> None:
         self._clock = time
         self._pool = channel.ChannelPool(_CONNECT_LIMIT)
 
     def retain(self, listed: abc.Container[abc.Hashable]) -> None:
-        """Close the kept connections of incarnations that are no longer listed."""
+        """Close pooled connections to incarnations that are no longer listed."""
         self._pool.retain(listed)
 
     def close(self) -> None:
-        """Close all kept connections."""
+        """Close all pooled connections."""
         self._pool.close()
 
     async def open(
@@ -154,10 +155,10 @@
         request: client_request.ClientRequest,
         delivery: heads.Delivery,
     ) -> OpenResponse | NotSent | Declined | OutcomeUnknown:
-        """Send a request and wait for the header of its answer.
+        """Send a request and wait for the header of its response.
 
-        The connection of an `Opened` answer belongs to whoever called; in all other
-        cases, cancellation included, it is closed or kept.
+        The caller owns the connection of an `OpenResponse`. In all other cases,
+        cancellation included, it is closed or returned to the pool.
         """
         longest_idle = (
             None
@@ -191,7 +192,7 @@
         request: client_request.ClientRequest,
         delivery: heads.Delivery,
     ) -> FullResponse | NotSent | Declined | OutcomeUnknown:
-        """Send a request and read its answer to the end."""
+        """Send a request and read its response to the end."""
         opened = await self.open(server, request, delivery)
         if not isinstance(opened, OpenResponse):
             return opened
@@ -206,7 +207,7 @@
     def returned_to_pool(
         self, server: servers.Server, opened: OpenResponse
     ) -> abc.Generator[None, None, None]:
-        """Keep the connection afterwards if its answer was read to the end."""
+        """Return the connection to the pool on exit; close it on an exception."""
         try:
             yield
         except BaseException:
@@ -224,7 +225,7 @@
         *,
         limit: datetime.timedelta,
     ) -> FullResponse | NotSent | OutcomeUnknown:
-        """Make a call of the server's own interface."""
+        """Call the server's own interface over a connection of the pool."""
         async with self.conversation(server) as calls:
             return await calls.call(method, target, fields, body, limit=limit)
 
@@ -232,7 +233,7 @@
     async def conversation(
         self, server: servers.Server
     ) -> abc.AsyncGenerator["Conversation", None]:
-        """Make calls of a server's own interface over one connection."""
+        """Make several calls to a server's own interface over one connection."""
         calls = Conversation(server, self._pool, self._clock)
         try:
             yield calls
@@ -274,11 +275,11 @@
 
 
 class Conversation:
-    """Calls that all reach one incarnation of a server, or none.
+    """Calls that all reach the same incarnation of a server, or fail.
 
-    A connection ends with the process that it leads to. So a call that rests on the
-    answer to one before it can't reach the server's next life, which would read the
-    same request as meant for itself.
+    A connection does not outlive the process at its other end. So a call that depends
+    on the response to an earlier one can't reach a restarted server, which would take
+    the call as meant for itself.
     """
 
     def __init__(
@@ -298,7 +299,7 @@
         *,
         limit: datetime.timedelta,
     ) -> FullResponse | NotSent | OutcomeUnknown:
-        """Make the next call; not sent if the connection of the last one has ended."""
+        """Make the next call; `NotSent` if the connection was closed since the last."""
         try:
             link = await self._connection()
         except channel.ConnectError as error:
@@ -319,7 +320,7 @@
         return FullResponse(start.status, heads.read_answer(start.fields), content)
 
     def end(self) -> None:
-        """Keep the connection for others, or close it."""
+        """Return the connection to the pool, or close it if it can't be reused."""
         if self._link is not None:
             now = self._clock.monotonic()
             self._pool.give_back(self._server.incarnation, self._link, now)
@@ -330,5 +331,5 @@
                 self._server.incarnation, self._server.address, self._clock.monotonic()
             )
         elif not self._link.reusable:
-            raise channel.ConnectError("the connection of the last call has ended")
+            raise channel.ConnectError("connection was closed after the previous call")
         return self._link
--- a/src/pimentolatch/gateway/prefill_client.py
+++ b/src/pimentolatch/gateway/prefill_client.py
@@ -1,4 +1,4 @@
-"""Has prompts read by one engine for another one."""
+"""Has prompts prefilled by one engine for decoding on another one."""
 
 import asyncio
 import datetime
@@ -22,7 +22,7 @@
 
 
 class PrefillClient:
-    """Sends prompts to engines that read, and frees what nobody takes."""
+    """Dispatches prompts to prefill engines and releases KV cache that is not used."""
 
     def __init__(self, context: request_progress.Context) -> None:
         self._context = context
@@ -34,9 +34,10 @@
         place: places.Apart,
         progress: request_progress.Progress,
     ) -> request_progress.PrefilledPrompt | dispatch.Withdrawn | None:
-        """Have a prompt read; None if the engine did not.
+        """Have a prompt prefilled; None if the engine failed to.
 
-        A prompt that still waits when its client is about to leave is taken back.
+        A prompt that is still queued when its client is about to disconnect is
+        withdrawn.
         """
         engine = place.reader
         loads = self._context.loads(request)
@@ -59,7 +60,7 @@
         if isinstance(outcome, dispatch.Withdrawn):
             progress.reason = dispatch.describe(outcome)
             return outcome
-        prefilled = self._source(engine, outcome)
+        prefilled = self._prefilled_prompt(engine, outcome)
         now = self._context.clock.monotonic()
         if prefilled is None:
             progress.failed.add(engine.server.incarnation)
@@ -89,11 +90,11 @@
         progress: request_progress.Progress,
         delivery: heads.Delivery,
     ) -> _Outcome | dispatch.Withdrawn:
-        """Send a prompt and wait for as long as its client does, but for a moment.
+        """Dispatch a prompt and wait until shortly before its client disconnects.
 
-        The queue of an overloaded engine outlasts its clients. Left there, a request
-        would end in silence and its client not know that nothing ran; refused just
-        before, the client has that promise and a time to come back.
+        A request in the queue of an overloaded engine may wait for longer than its
+        client does. The client would then disconnect without knowing that the request
+        did not run. Refused just before, it knows that, and when to retry.
         """
         client_gives_up_at = request_progress.client_gives_up_at(request, progress)
         limit = waiting.refused_at(client_gives_up_at) - self._context.clock.monotonic()
@@ -109,15 +110,15 @@
             return dispatch.Withdrawn()
 
     def release(self, prefilled: request_progress.PrefilledPrompt) -> None:
-        """Free a prompt that nobody will take, so that others get its memory."""
+        """Release the KV cache of a prompt that no engine will fetch."""
         if self._context.fleet.has_ended(prefilled.engine.server.incarnation):
-            # The handle may name another request's prompt in the engine's new life.
+            # After a restart the handle may name another request's prompt.
             return
-        task = asyncio.create_task(self._free(prefilled))
+        task = asyncio.create_task(self._release(prefilled))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
 
-    def _source(
+    def _prefilled_prompt(
         self,
         engine: engine_loads.EngineLoad,
         outcome: _Outcome,
@@ -127,11 +128,14 @@
         try:
             read = engines.decode_read_prompt(outcome.body)
         except ValueError as error:
-            _log.warn("a reading engine gave no handle", reason=str(error))
+            _log.warn(
+                "prefill engine returned no valid KV handle; retrying",
+                reason=str(error),
+            )
             return None
         return request_progress.PrefilledPrompt(engine, read.handle)
 
-    async def _free(self, prefilled: request_progress.PrefilledPrompt) -> None:
+    async def _release(self, prefilled: request_progress.PrefilledPrompt) -> None:
         target = engines.release_target(prefilled.handle)
         await self._context.client.call(
             prefilled.engine.server, "DELETE", target, limit=_RELEASE_LIMIT
--- a/src/pimentolatch/gateway/prompt_placer.py
+++ b/src/pimentolatch/gateway/prompt_placer.py
@@ -1,4 +1,4 @@
-"""Chooses engines for prompts and has those wait for which there is none."""
+"""Chooses engines for prompts; prompts wait while no engine is available."""
 
 import datetime
 
@@ -18,10 +18,10 @@
 
 
 class PromptPlacer:
-    """Places the prompts of an instance and counts what they ask of engines.
+    """Places the prompts of an instance and counts their demand.
 
     Args:
-        context: What serves every request.
+        context: Components that all requests share.
         own_domain: Failure domain of this instance.
     """
 
@@ -32,17 +32,17 @@
         self._demands: dict[str, demand_rate.DemandRate] = {}
 
     def demand(self, service: str) -> demand_rate.ServiceDemand:
-        """Return what clients ask of a service through this instance."""
+        """Return the demand on a service through this instance."""
         return self._rate(service).rate(self._context.clock.monotonic())
 
     def demands(self) -> dict[str, demand_rate.ServiceDemand]:
-        """Return what clients ask of each service through this instance."""
+        """Return the demand on each service through this instance."""
         return {service: self.demand(service) for service in self._demands}
 
     async def place(
         self, request: client_request.ClientRequest, progress: request_progress.Progress
     ) -> places.InPlace | places.Apart | places.Hopeless:
-        """Choose engines, waiting for one if none takes requests."""
+        """Choose engines; wait for one if none accepts requests."""
         since = self._context.clock.monotonic()
         place = self._choose(request, progress, since)
         if not isinstance(place, places.NoEngine):
@@ -62,7 +62,7 @@
         prefilled: request_progress.PrefilledPrompt,
         progress: request_progress.Progress,
     ) -> engine_loads.EngineLoad | None:
-        """Return the engine that is to go on with a prompt; None if there is none."""
+        """Return the decode engine for a prefilled prompt; None if there is none."""
         assert request.head.prompt is not None and request.service.engine is not None
         loads = self._context.loads(request)
         now = self._context.clock.monotonic()
@@ -77,7 +77,7 @@
     async def wait(
         self, request: client_request.ClientRequest, progress: request_progress.Progress
     ) -> bool:
-        """Wait before looking for an engine again; False if there is no time left."""
+        """Wait before choosing again; False if the client has no time left."""
         left = (
             request_progress.client_gives_up_at(request, progress)
             - self._context.clock.monotonic()
@@ -90,8 +90,8 @@
             await self._context.clock.sleep(pause)
         finally:
             self._waiting -= 1
-        # Whatever failed the request before may serve it now; engines that fail are
-        # left alone for a while whoever asks.
+        # An engine that failed this request before may serve it now; engines that keep
+        # failing are excluded for a while for all requests.
         progress.failed.clear()
         return True
 
@@ -130,14 +130,14 @@
         progress: request_progress.Progress,
         now: datetime.timedelta,
     ) -> frozenset[servers.Incarnation]:
-        """Return the engines that a request does not use."""
+        """Return the engines that a request must not use."""
         failed = frozenset(progress.failed)
         if not self._context.suspects.is_suspect(request):
             return failed
         loads = self._context.loads(request)
-        writers = loads.usable(servers.Stage.DECODE, now, failed)
+        decode_engines = loads.usable(servers.Stage.DECODE, now, failed)
         return failed | self._context.suspects.avoided(
-            request, (writer.server for writer in writers)
+            request, (engine.server for engine in decode_engines)
         )
 
     def _rate(self, service: str) -> demand_rate.DemandRate:
@@ -146,7 +146,7 @@
     def _count_demand(
         self, request: client_request.ClientRequest, place: places.Place
     ) -> None:
-        """Count what the engines that read apart are asked for."""
+        """Count the tokens to prefill on separate engines and to decode."""
         prompt = request.head.prompt
         assert prompt is not None
         loads = self._context.loads(request)
@@ -178,11 +178,13 @@
                 size=size.value,
             )
             return
-        reader = place.reader if isinstance(place, places.Apart) else place.engine
+        prefill_engine = (
+            place.reader if isinstance(place, places.Apart) else place.engine
+        )
         self._context.log.write(
             request_log.PLACED,
             request.request_id,
-            reader=reader.server.server_id,
+            reader=prefill_engine.server.server_id,
             writer=place.engine.server.server_id,
             donor=None if place.donor is None else place.donor.server.server_id,
             tokens=place.tokens,
@@ -209,5 +211,5 @@
 
 
 def jitter(request: client_request.ClientRequest) -> float:
-    """Return a number from 0 to 1, drawn evenly and the same wherever it is asked."""
+    """Return a uniform number from 0 to 1, the same for a request on all instances."""
     return subset.rank(request.request_id, "lot") / 2**64
--- a/src/pimentolatch/gateway/request_progress.py
+++ b/src/pimentolatch/gateway/request_progress.py
@@ -1,4 +1,4 @@
-"""What has become of one stream request so far, and what its parts share."""
+"""Progress of one stream request, and what all stream requests share."""
 
 import dataclasses
 import datetime
@@ -33,7 +33,8 @@
     "client_gives_up_at",
 ]
 
-# Time allowed to the first event, as a multiple of what was expected and at least.
+# Time until the first event after which an engine is checked for a stall: a multiple of
+# the expected time, and a minimum.
 _FIRST_EVENT_FACTOR = 3.0
 _MIN_FIRST_EVENT_LIMIT = datetime.timedelta(milliseconds=900)
 _ATTEMPTS_EXHAUSTED_RETRY = datetime.timedelta(milliseconds=500)
@@ -41,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Context:
-    """What serves every request of the stream routes of an instance."""
+    """Components that all stream requests of an instance share."""
 
     fleet: knowledge.Knowledge
     client: dispatch.ServerClient
@@ -57,13 +58,13 @@
     def record_cached_prompt(
         self, request: client_request.ClientRequest, engine: engine_loads.EngineLoad
     ) -> None:
-        """Note that an engine has read a request's prompt and keeps it."""
+        """Record that an engine has a request's prompt in its prefix cache."""
         assert request.head.prompt is not None and request.service.engine is not None
         engine.cached.keep_prompt(request.head.prompt, request.service.engine.kv_tokens)
         self.updates.add(engine.server.incarnation, request.head.prompt)
 
     def loads(self, request: client_request.ClientRequest) -> engine_loads.EngineLoads:
-        """Return the engines of a request's service."""
+        """Return the engines of a request's service with their loads."""
         return self.fleet.loads(request.service.name)
 
     def log_sent(
@@ -75,15 +76,15 @@
         since: datetime.timedelta,
         events: int | None = None,
     ) -> None:
-        """Log one sending and what became of it.
+        """Log one dispatch and its outcome.
 
         Args:
             request: The request.
-            engine: Where it was sent.
-            what: What the engine was to do.
-            outcome: What became of it.
+            engine: The engine that it was dispatched to.
+            what: What the engine was asked to do.
+            outcome: The outcome of the dispatch.
             since: When it was sent.
-            events: Number of the last event that the client had, if it was a stream.
+            events: Number of the last event that the client received, for streams.
         """
         self.log.write(
             request_log.SENT,
@@ -102,11 +103,14 @@
 
 @dataclasses.dataclass(slots=True)
 class PrefilledPrompt:
-    """A prompt that waits at the engine that read it.
+    """A prompt whose KV cache is held at its prefill engine for transfer.
 
     Attributes:
-        taken: An engine that writes has taken it.
-        doubtful: One may have; it is offered to no other, and freed.
+        engine: The prefill engine.
+        handle: Names the KV cache at that engine.
+        transferred: A decode engine has fetched it.
+        possibly_transferred: A decode engine may have fetched it. It is offered to no
+            other engine and released.
     """
 
     engine: engine_loads.EngineLoad
@@ -117,22 +121,23 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """What has become of one request so far.
+    """Progress of one request over all its dispatches.
 
     Attributes:
-        size: How large its prompt is among those of its route.
+        size: Size class of its prompt among those of its route.
         failed: Engines that failed or declined it.
-        ran: Engines that may have begun to write.
-        open: A sending is under way whose fate is not known yet.
-        arrivals: Sendings that reached an engine, as the budget counts them.
-        read_before: An engine has read the prompt for another one.
+        possible_runs: Engines that may have started to decode.
+        outcome_pending: A dispatch is in flight whose outcome is not known yet.
+        dispatches: Dispatches that reached an engine, as the retry budget counts them.
+        prefilled_before: The prompt has been prefilled on a separate engine before.
         last_event: Number of the last event that the client received.
-        event_at: When the client was sent its last event.
-        answered: A failure that an engine gave, to be passed on if nothing better
-            comes.
-        wait: When to come back, if no engine took the request.
-        counted: The request has been counted as demand.
-        begun: It has been counted as begun for its customer.
+        last_event_at: When the client was sent its last event.
+        failure_response: An engine's error response, forwarded if no other engine
+            succeeds.
+        reason: Why the last dispatch failed.
+        retry_after: When the client should retry if no engine accepted the request.
+        demand_counted: The request has been counted as demand.
+        usage_counted: The request has been counted as started for its customer.
     """
 
     size: prompt_sizes.SizeClass
@@ -152,11 +157,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Generation:
-    """One engine's part in answering a request.
+    """Generation of a response, or the rest of one, by one engine.
 
     Attributes:
-        in_place: Tokens of the prompt that the engine reads itself.
-        unread: Those of them that it has not read yet.
+        prefill_tokens: Prompt tokens that this engine prefills itself.
+        unprefilled: Those of them that are not prefilled yet.
+        first_event_seen: The engine has sent an event.
     """
 
     request: client_request.ClientRequest
@@ -176,12 +182,12 @@
     progress: Progress,
     refusal: results.Refusal,
 ) -> None:
-    """Write the final answer of a request that may go to no further server.
+    """Finish a request that must not be dispatched to another server.
 
     Args:
-        response: Where to write.
-        progress: What has become of the request so far.
-        refusal: Why it may not, in words that hold if it has not run.
+        response: Response to the client.
+        progress: Progress of the request.
+        refusal: Why it must not; sent as it is only if the request has not run.
     """
     if response.started or progress.possible_runs:
         progress.failure_response = None
@@ -192,7 +198,7 @@
 
 
 async def finish(response: client_request.ClientResponse, progress: Progress) -> None:
-    """Write the final answer of a request that no engine goes on with."""
+    """Finish the response of a request that is not dispatched again."""
     whole = progress.failure_response
     if response.started:
         response.abort(progress.reason)
@@ -205,14 +211,14 @@
 
 
 def first_event_limit(place: places.InPlace | places.Apart) -> datetime.timedelta:
-    """Return how long a first event may take before its engine is asked for it."""
+    """Return how long to wait for the first event before a stall check."""
     return max(_MIN_FIRST_EVENT_LIMIT, _FIRST_EVENT_FACTOR * place.expected)
 
 
 def client_gives_up_at(
     request: client_request.ClientRequest, progress: Progress
 ) -> datetime.timedelta:
-    """Return when the client leaves if it sees no further event."""
+    """Return when the client disconnects if it receives no further event."""
     since = (
         request.arrived_at if progress.last_event_at is None else progress.last_event_at
     )
@@ -222,5 +228,5 @@
 
 
 def address_of(engine: engine_loads.EngineLoad | None) -> settings.Address | None:
-    """Return an engine's address; None for no engine."""
+    """Return an engine's address, or None if there is no engine."""
     return None if engine is None else engine.server.address
--- a/src/pimentolatch/gateway/stream_forwarder.py
+++ b/src/pimentolatch/gateway/stream_forwarder.py
@@ -1,4 +1,4 @@
-"""Answers requests on stream routes from model engines."""
+"""Forwards requests on stream routes to model engines."""
 
 import asyncio
 import dataclasses
@@ -31,19 +31,19 @@
 
 __all__ = ["StreamForwarder"]
 
-# Engines that one request may be offered to, declining ones included.
+# Placements that are tried for one request, declined ones included.
 _MAX_ATTEMPTS = 5
-# Engines that a prompt which was read is offered to. One that declines may do so
-# because the prompt can't be had any more; a third would be told the same.
+# Decode engines that a prefilled prompt is offered to. An engine may decline because
+# the KV cache is no longer available, in which case a third one would decline as well.
 _MAX_TRANSFERS = 2
 
 
 class StreamForwarder:
-    """Places requests on engines and passes their events on.
+    """Places requests on engines and relays their events.
 
-    A stream that breaks goes on at another engine, within the same answer, if its
-    route allows it: the client sees no seam. Otherwise its connection is closed, so
-    that the answer does not look whole.
+    If its route allows it, a broken stream is resumed on another engine within the same
+    response, so that the client sees no interruption. Otherwise the client's connection
+    is closed, so that the response does not look complete.
     """
 
     def __init__(
@@ -80,11 +80,11 @@
         self._budget = budget
 
     def demand(self, service: str) -> demand_rate.ServiceDemand:
-        """Return what clients ask of a service through this instance."""
+        """Return the demand on a service through this instance."""
         return self._placer.demand(service)
 
     def demands(self) -> dict[str, demand_rate.ServiceDemand]:
-        """Return what clients ask of each service through this instance."""
+        """Return the demand on each service through this instance."""
         return self._placer.demands()
 
     async def run(
@@ -92,7 +92,7 @@
         request: client_request.ClientRequest,
         response: client_request.ClientResponse,
     ) -> None:
-        """Answer a request."""
+        """Forward a request and write its response."""
         assert request.head.prompt is not None
         size = self._sizes.classify(request.route.name, request.head.prompt.tokens)
         progress = request_progress.Progress(size, last_event=request.head.last_event)
@@ -151,7 +151,7 @@
         response: client_request.ClientResponse,
         progress: request_progress.Progress,
     ) -> bool:
-        """Offer the request to engines once; True if the answer is finished."""
+        """Place and dispatch a request once; True if its response is finished."""
         if progress.possible_runs >= max(1, request.route.most_servers):
             return await self._give_up(response, progress)
         place = await self._placer.place(request, progress)
@@ -188,10 +188,11 @@
         place: places.Apart,
         prefilled: request_progress.PrefilledPrompt,
     ) -> bool:
-        """Have an engine go on with a prompt that was read; see `_try`.
+        """Have a decode engine fetch a prefilled prompt and generate; see `_attempt`.
 
-        An engine that declines leaves the prompt where it is, and another one takes it,
-        so that a change of stage costs no second prefill.
+        If an engine declines, for example because it changes its stage, the KV cache
+        stays where it is and is offered to another engine, which saves a second
+        prefill.
         """
         for _ in range(_MAX_TRANSFERS):
             if self._context.fleet.has_ended(prefilled.engine.server.incarnation):
@@ -224,11 +225,11 @@
     def _may_send(
         self, request: client_request.ClientRequest, progress: request_progress.Progress
     ) -> bool:
-        """Tell whether the budget allows one more sending of a request.
+        """Tell whether the retry budget allows another dispatch of a request.
 
-        The first sending is free, and so is the first prompt that is read apart. A
-        further one is paid for before it goes out, since a server that declines it has
-        been disturbed all the same.
+        The first dispatch and the first separate prefill are free. Each further
+        dispatch is charged before it is sent, since a server that declines it has spent
+        work on it all the same.
         """
         if not progress.dispatches:
             return True
@@ -240,7 +241,7 @@
         response: client_request.ClientResponse,
         progress: request_progress.Progress,
     ) -> bool:
-        """End a request that may go to no further server since it was let in."""
+        """Finish a request that must not be dispatched any more; True if so."""
         refusal = self._context.dispatch_check.refusal(request)
         if refusal is None:
             return False
