--- a/src/pimentolatch/gateway/__init__.py
+++ b/src/pimentolatch/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The face that serves the operator's routes, in front of services and engines."""
+"""The front end that serves the operator's routes, before services and engines."""
--- a/src/pimentolatch/gateway/client_request.py
+++ b/src/pimentolatch/gateway/client_request.py
@@ -1,4 +1,4 @@
-"""A client's request on a route, read whole, and the answer that is written to it."""
+"""A client's complete request on a route, and the response that is written to it."""
 
 import dataclasses
 import datetime
@@ -17,7 +17,7 @@
 
 Scope = typing.MutableMapping[str, typing.Any]
 Send = typing.Callable[[typing.MutableMapping[str, typing.Any]], abc.Awaitable[None]]
-# Outcome of an answer that a server gave and that was passed on whole.
+# Outcome of a server's response that was forwarded completely.
 PASSED_ON = "passed on"
 Fields = abc.Sequence[tuple[bytes, bytes]]
 
@@ -28,12 +28,12 @@
 
     Attributes:
         target: Path and query, byte for byte.
-        fields: The header, byte for byte, but for the customer's key.
-        arrived: When its header was read.
-        until: When its final answer is due: the client's deadline or the route's
+        fields: The header, byte for byte, without the customer's key.
+        arrived_at: When its header was read.
+        deadline: When its response is due: the client's deadline or the route's
             timeout, whichever comes first.
-        digest: Names the request whichever attempt this is.
-        access: Whose request it is, and how urgent.
+        digest: Identifies the request; the same for each attempt of the client.
+        access: Customer and priority of the request.
     """
 
     method: str
@@ -50,28 +50,28 @@
 
     @property
     def rank(self) -> int:
-        """How urgent it is, 0 first."""
+        """Priority of the request; 0 is served first."""
         return self.access.rank
 
     @property
     def customer_name(self) -> str | None:
-        """Whose request it is; None if it bears no key."""
+        """Name of the customer; None if the request has no customer's key."""
         customer = self.access.customer
         return None if customer is None else customer.name
 
     @property
     def request_id(self) -> str:
-        """The client's name of this attempt."""
+        """The client's identifier of this attempt."""
         return self.head.request_id
 
 
 class ClientResponse:
-    """Writes one answer to a client.
+    """Writes one response to a client.
 
     Attributes:
         status: Status that was written; 0 before.
         finished: Whether nothing more can be written.
-        outcome: What was answered, for the log.
+        outcome: Outcome of the request, for the log.
     """
 
     def __init__(self, scope: Scope, send: Send) -> None:
@@ -87,14 +87,14 @@
         return self.status != 0
 
     async def start(self, status: int, fields: Fields) -> None:
-        """Write status and header of an answer whose body follows in pieces."""
+        """Write status and header of a response whose body follows in chunks."""
         self.status = status
         await self._send(
             {"type": "http.response.start", "status": status, "headers": list(fields)}
         )
 
     async def write(self, data: bytes) -> None:
-        """Write a piece of the body."""
+        """Write a chunk of the body."""
         message = {"type": "http.response.body", "body": data, "more_body": True}
         await self._send(message)
 
@@ -104,12 +104,12 @@
         await self._send({"type": "http.response.body", "body": data})
 
     async def send_full(self, status: int, fields: Fields, body: bytes) -> None:
-        """Write an answer whose body is known."""
+        """Write a response whose body is complete."""
         await self.start(status, [*fields, (b"content-length", b"%d" % len(body))])
         await self.finish(body)
 
     async def refuse(self, refusal: results.Refusal) -> None:
-        """Write a final answer of our own."""
+        """Write a refusal of this instance as the response."""
         self.outcome = refusal.code.name.lower()
         body = json.dumps(refusal.to_json()).encode()
         fields = [
@@ -122,7 +122,7 @@
         await self.send_full(refusal.http_status, fields, body)
 
     def abort(self, reason: str) -> None:
-        """Close the connection, so that what was written does not look whole."""
+        """Close the connection, so that a partial response does not look complete."""
         self.outcome = reason
         self.finished = True
         self._scope["extensions"][guard.CLOSE_EXTENSION]["call"]()
--- a/src/pimentolatch/gateway/dispatch_check.py
+++ b/src/pimentolatch/gateway/dispatch_check.py
@@ -1,4 +1,4 @@
-"""Tells whether a request may be sent to one more server."""
+"""Decides before each dispatch whether a request may be sent to a server."""
 
 from pimentolatch import results
 from pimentolatch.decisions import access
@@ -8,11 +8,13 @@
 
 
 class DispatchCheck:
-    """What may end a request between two sendings.
+    """Refuses requests that are quarantined or whose customer's key was revoked.
+
+    Either may happen between two dispatches of the same request.
 
     Args:
-        known: What this instance knows.
-        suspects: Tells which requests are kept from servers.
+        fleet: Configuration that this instance knows.
+        suspects: Tells which requests are quarantined.
     """
 
     def __init__(
@@ -22,9 +24,9 @@
         self._suspects = suspects
 
     def refusal(self, request: client_request.ClientRequest) -> results.Refusal | None:
-        """Return why a request goes to no further server; None if it may go.
+        """Return why a request must not be dispatched; None if it may be.
 
-        The refusal is true of a request that no server has begun to run.
+        The refusal is correct only for a request that no server has started to run.
         """
         verdict = self._suspects.verdict(request)
         if verdict is not None:
--- a/src/pimentolatch/gateway/front_end.py
+++ b/src/pimentolatch/gateway/front_end.py
@@ -1,4 +1,4 @@
-"""The HTTP application that clients of routes talk to."""
+"""HTTP front end for clients of routes, as an ASGI application."""
 
 import asyncio
 import datetime
@@ -25,7 +25,7 @@
 
 _log = logbook.Logger("requests")
 _CLOSE = (b"connection", b"close")
-# Time in which a body must have arrived, when the client states no deadline.
+# Longest time for a request body to arrive; a deadline may shorten it.
 _BODY_LIMIT = datetime.timedelta(seconds=10)
 
 Scope = typing.MutableMapping[str, typing.Any]
@@ -35,27 +35,28 @@
 
 
 class Forwarder(typing.Protocol):
-    """Answers requests of one kind of route."""
+    """Forwards requests of one kind to backend servers."""
 
     async def run(
         self,
         request: client_request.ClientRequest,
         response: client_request.ClientResponse,
     ) -> None:
-        """Answer a request."""
+        """Forward a request and write its response."""
 
 
 class RouteFrontEnd:
-    """Selects the route of each request and has it answered.
+    """Selects the route of each request and has it forwarded.
 
     Args:
-        known: What this instance knows.
-        forwarders: For plain requests and for those that carry a prompt.
-        budget: Counts requests, which bound how many may be sent twice.
-        check: Tells which requests may go to servers.
-        door: Counts requests in flight for a graceful stop.
-        log: Log of what became of requests.
-        digest_key: Key of the digests of requests; the same in all instances.
+        fleet: Configuration and servers that this instance knows.
+        forwarders: For plain requests and for requests with a prompt.
+        budget: Retry budget; each request counts towards it.
+        check: Tells which requests may be dispatched.
+        request_gate: Counts requests in flight for a graceful shutdown.
+        log: Log of requests and their outcomes.
+        digest_key: Key of the requests' digests; the same on all instances.
+        time: Clock.
     """
 
     def __init__(
@@ -84,7 +85,7 @@
             await self._serve(scope, receive, self._announcing_shutdown(send))
 
     def _announcing_shutdown(self, send: Send) -> Send:
-        """Ask clients to leave their connection once this instance is stopping."""
+        """Ask clients to close their connection once this instance is stopping."""
 
         async def announcing(message: Message) -> None:
             if message["type"] == "http.response.start" and not self._gate.ready:
@@ -128,7 +129,7 @@
         configuration: table.Configuration,
         arrived_at: datetime.timedelta,
     ) -> client_request.ClientRequest | results.Refusal | None:
-        """Read a request whole; None if its client left before its end."""
+        """Read a complete request; None if its client disconnected before its end."""
         target = scope["extensions"][guard.TARGET_EXTENSION]["bytes"]
         try:
             head = heads.read_client(scope["headers"])
@@ -200,10 +201,10 @@
         response: client_request.ClientResponse,
         receive: Receive,
     ) -> None:
-        """Answer a request for as long as its client stays.
+        """Forward a request until its response is finished or its client disconnects.
 
-        A client that leaves ends the work at once: the connection to the server is
-        closed, so that no server goes on working for nobody.
+        When the client disconnects, the connection to the server is closed at once, so
+        that no server goes on working on a response that nobody receives.
         """
         engines = request.head.prompt is not None and request.service.engine is not None
         forwarder = self._prompts if engines else self._plain
@@ -266,9 +267,9 @@
 
 
 def _caller(head: heads.ClientHead, allowed: access.Access) -> str:
-    """Return by what requests of the same caller are known.
+    """Return the identity of a caller, for the request's digest.
 
-    A customer stays the same whichever of its keys it uses.
+    A customer has the same identity whichever of its keys it uses.
     """
     if allowed.customer is not None:
         return allowed.customer.name
@@ -278,9 +279,9 @@
 def _fields_to_forward(
     fields: client_request.Fields, configuration: table.Configuration
 ) -> client_request.Fields:
-    """Return the client's fields that concern servers.
+    """Return the client's header fields that are forwarded to servers.
 
-    Where customers have keys, no server ever needs one.
+    Keys are removed if the configuration has customers: no server needs them then.
     """
     if configuration.customers is None:
         return fields
--- a/src/pimentolatch/gateway/http_protocol.py
+++ b/src/pimentolatch/gateway/http_protocol.py
@@ -1,4 +1,4 @@
-"""The connections of clients, bounded as the configuration says."""
+"""HTTP protocol of client connections, with the limits of the configuration."""
 
 import functools
 import typing
@@ -10,7 +10,7 @@
 
 
 class RouteProtocol(guard.GuardedProtocol):
-    """One connection of a client; the newest limits apply to each request."""
+    """One client connection; the newest limits apply to each request."""
 
     def __init__(
         self, *args: typing.Any, fleet: knowledge.Knowledge, **named: typing.Any
@@ -34,21 +34,21 @@
 
     @property
     def first_byte_seconds(self) -> float:
-        """Longest time a new connection may stay silent."""
+        """Longest time until the first byte on a new connection."""
         if self._fleet.configuration is None:
             return super().first_byte_seconds
         return self._fleet.configuration.limits.idle_timeout.total_seconds()
 
     def runs_to_its_end(self, path: str) -> bool:
-        """A client that has closed its side has left."""
+        """Return False: a client that closes its side has disconnected."""
         return False
 
     def on_response_complete(self) -> None:
-        """Keep the connection for as long as the configuration says."""
+        """Keep the connection alive for the configured idle time."""
         self.timeout_keep_alive = round(self.first_byte_seconds)
         super().on_response_complete()
 
 
 def protocol_class(fleet: knowledge.Knowledge) -> typing.Callable[..., typing.Any]:
-    """Return what makes the protocol of each connection."""
+    """Return the factory of the protocol of each connection."""
     return functools.partial(RouteProtocol, fleet=fleet)
--- a/src/pimentolatch/gateway/plain_forwarder.py
+++ b/src/pimentolatch/gateway/plain_forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards requests that one server answers whole."""
+"""Forwards requests whose response is returned complete by one server."""
 
 import asyncio
 import datetime
@@ -27,21 +27,21 @@
     | dispatch.Declined
     | dispatch.OutcomeUnknown
 )
-# A server that may be asked again elsewhere gets this many times the latency target:
-# long enough for nearly every answer, short enough that a second server can still
-# answer before the client stops waiting.
+# Time-out of a dispatch that can be repeated on another server, as a multiple of the
+# route's latency target: long enough for nearly every response, short enough that a
+# second server can still respond before the client disconnects.
 _TIMEOUT_TARGETS = 2.0
 _MIN_TIMEOUT = datetime.timedelta(milliseconds=150)
-# Tries that reached no server, or one that declined, end here at the latest.
+# Most attempts for one request, also counting those not sent and those declined.
 _MAX_ATTEMPTS = 4
 
 
 class PlainForwarder:
-    """Sends requests to plain servers and passes their answers on.
+    """Sends requests to plain servers and forwards their responses.
 
-    A request that may not be repeated goes out again only if the server before it was
-    not reached or states that it did not run the request: a second arrival would print
-    a second badge.
+    A request that must not be repeated is dispatched again only if the previous server
+    was not reached or states that it did not run the request. Otherwise its effect
+    could happen twice, for example a badge be printed twice.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         request: client_request.ClientRequest,
         response: client_request.ClientResponse,
     ) -> None:
-        """Answer a request."""
+        """Forward a request and write its response."""
         service = request.service.name
         tried: set[servers.Incarnation] = set()
         possible_runs = dispatches = 0
@@ -101,7 +101,7 @@
             sent_at = self._clock.now()
             outcome = await self._send(server, request, may_repeat)
             self._report_outcome(server, request, outcome, now)
-            # A server's own failure says more than what came after it.
+            # An error response of a server says more than a later failed dispatch.
             if not isinstance(last, dispatch.FullResponse) or isinstance(
                 outcome, dispatch.FullResponse
             ):
@@ -125,7 +125,7 @@
         outcome: _Outcome,
         begun: datetime.timedelta,
     ) -> None:
-        """Note whether a server has ended under a request, or goes on."""
+        """Report to quarantine whether a server crashed during a request."""
         if isinstance(outcome, dispatch.OutcomeUnknown):
             if outcome.server_crashed:
                 self._suspects.server_ended(request, server, begun)
--- a/src/pimentolatch/gateway/refusals.py
+++ b/src/pimentolatch/gateway/refusals.py
@@ -1,4 +1,7 @@
-"""Final answers of our own to clients of routes."""
+"""Refusals that an instance itself returns to clients of routes.
+
+The messages are part of the response body that clients receive.
+"""
 
 import datetime
 
@@ -33,7 +36,7 @@
 
 
 def no_route(host: str, path: str) -> results.Refusal:
-    """Refuse what no route takes."""
+    """Refuse a request that no route matches."""
     return results.Refusal(
         results.ResultCode.UNKNOWN_SERVICE,
         f"no route for {host[:60]}{path[:60]}",
@@ -42,7 +45,7 @@
 
 
 def unknown_key() -> results.Refusal:
-    """Refuse a request that bears no customer's key."""
+    """Refuse a request without a valid key of a customer."""
     return results.Refusal(
         results.ResultCode.UNKNOWN_CALLER,
         "the request bears no key of a customer",
@@ -51,7 +54,7 @@
 
 
 def key_possibly_new() -> results.Refusal:
-    """Refuse a key that may have been added since the store was last heard."""
+    """Refuse a key that may have been added since the store became unreachable."""
     return results.Refusal(
         results.ResultCode.NO_CONFIGURATION,
         "this instance may not know the newest keys",
@@ -61,7 +64,7 @@
 
 
 def no_server(service: str) -> results.Refusal:
-    """Refuse for want of a server that takes requests."""
+    """Refuse a request because no server accepted it."""
     return results.Refusal(
         results.ResultCode.NO_BACKEND_SERVER,
         f"no server of {service} took the request",
@@ -71,7 +74,7 @@
 
 
 def overloaded(retry_after: datetime.timedelta) -> results.Refusal:
-    """Refuse what would start too late."""
+    """Refuse a request whose response would start too late."""
     return results.Refusal(
         results.ResultCode.OVERLOADED,
         "the answer would start too late",
@@ -81,7 +84,7 @@
 
 
 def not_run_in_time(retry_after: datetime.timedelta | None = None) -> results.Refusal:
-    """Tell that the time limit passed before the request ran."""
+    """Report that the deadline passed before the request ran."""
     return results.Refusal(
         results.ResultCode.DEADLINE_UNREACHABLE,
         "the time limit passed before a server ran the request",
@@ -91,7 +94,7 @@
 
 
 def deadline_passed() -> results.Refusal:
-    """Tell that the time limit passed while a server may have run the request."""
+    """Report that the deadline passed; a server may have run the request."""
     return results.Refusal(
         results.ResultCode.DEADLINE_PASSED,
         "the time limit passed while the request ran",
@@ -100,7 +103,7 @@
 
 
 def outcome_unknown(reason: str) -> results.Refusal:
-    """Tell that a server may have run the request and no answer came."""
+    """Report that a server may have run the request but did not respond."""
     return results.Refusal(
         results.ResultCode.OUTCOME_UNKNOWN, reason, results.Execution.UNKNOWN
     )
--- a/src/pimentolatch/gateway/request_log.py
+++ b/src/pimentolatch/gateway/request_log.py
@@ -1,4 +1,4 @@
-"""Log lines that tell what became of a request, for whoever asks afterwards."""
+"""Log lines that trace a request from placement to its response."""
 
 import datetime
 import typing
@@ -26,7 +26,7 @@
 SENT = "sent"
 DOUBTED = "doubted"
 ANSWERED = "answered"
-# Every event with its fields; `explain` reads them and docs/OPERATIONS.md lists them.
+# Every event with its fields; `explain` parses them and docs/OPERATIONS.md lists them.
 EVENTS: dict[str, tuple[str, ...]] = {
     WAITED: ("ms", "in_vain"),
     PLACED: (
@@ -43,7 +43,7 @@
 
 
 class EventCounter(typing.Protocol):
-    """Counts events, also those whose line is dropped."""
+    """Counts events for the metrics, also those whose log line is dropped."""
 
     def observe(
         self, event: str, fields: typing.Mapping[str, typing.Any], *, wrong: bool
@@ -52,11 +52,11 @@
 
 
 class RequestLog:
-    """Writes the lines of all requests of an instance, within a budget.
+    """Writes the log lines of all requests of an instance, within a budget.
 
     Args:
         time: Clock of the budget.
-        counted: Counts every event, also those whose line is dropped.
+        counter: Counts every event, also those whose line is dropped.
     """
 
     def __init__(self, time: clock.Clock, counter: EventCounter) -> None:
@@ -67,7 +67,7 @@
     def write(
         self, event: str, request_id: str, *, wrong: bool = False, **fields: typing.Any
     ) -> None:
-        """Write one line if the budget has room for it."""
+        """Count an event and write its line if the budget has room for it."""
         self._counter.observe(event, fields, wrong=wrong)
         dropped = self._budget.take(event, self._clock.monotonic(), wrong=wrong)
         if dropped is None:
@@ -78,6 +78,6 @@
         write(event, id=request_id, **fields)
 
     def elapsed_ms(self, since: datetime.timedelta) -> int:
-        """Return the whole milliseconds since a moment."""
+        """Return the time since `since` in whole milliseconds."""
         passed = self._clock.monotonic() - since
         return round(passed / datetime.timedelta(milliseconds=1))
--- a/src/pimentolatch/gateway/settings.py
+++ b/src/pimentolatch/gateway/settings.py
@@ -28,7 +28,7 @@
     Attributes:
         host: Address of this instance.
         ports: First and last port that instances may use between themselves.
-        seeds: Addresses of some instances; they may be out of date.
+        seeds: Addresses of some instances, to join the fleet; may be out of date.
     """
 
     host: settings.IpNumber
@@ -37,12 +37,12 @@
 
     @property
     def address(self) -> settings.Address:
-        """Where this instance hears its peers, by datagrams and by HTTP."""
+        """Where this instance receives datagrams and HTTP requests of its peers."""
         return settings.Address(host=self.host, port=self.ports[0])
 
     @property
     def usage_address(self) -> settings.Address:
-        """Where this instance hears what customers' requests began at others."""
+        """Where this instance receives its peers' counts of started requests."""
         return settings.Address(host=self.host, port=self.ports[0] + 1)
 
 
@@ -58,14 +58,14 @@
 
 
 class BoundSettings(checks.CheckedModel):
-    """What the operator holds this instance to.
+    """Bounds that this instance has to observe.
 
     Attributes:
         stop_grace_s: Time from the stop signal until the process is killed.
-        repeat_ratio: Repeated sendings allowed for each request, over all instances.
+        repeat_ratio: Retries allowed per request, over all instances.
         repeat_window_s: Length of the sliding window in which they are counted.
-        repeat_slack: Repeats allowed besides, over all instances.
-        lease_ms: Shortest time between orders of two holders.
+        repeat_slack: Additional retries allowed, over all instances.
+        lease_ms: Shortest time between orders of two successive leaders.
     """
 
     stop_grace_s: float = pydantic.Field(default=8.0, gt=0)
@@ -76,10 +76,10 @@
 
 
 class ControlSettings(checks.CheckedModel):
-    """The platform's interface for reports and orders of one holder.
+    """The platform's interface for reports and orders, sent by the leader only.
 
     Attributes:
-        duties: What it takes: `usage` reports, orders to `scale` services.
+        duties: What it accepts: `usage` reports, orders to `scale` services.
         usage_window_s: Length of the windows that usage reports cover.
     """
 
@@ -89,15 +89,15 @@
 
 
 class CapacitySettings(checks.CheckedModel):
-    """How servers that are paid by the second are ordered.
+    """How servers that are billed by the second are ordered.
 
     Attributes:
-        order: Whether they are ordered at all; else what stands is left as it is.
-        servers: Servers of each service that suffice; if it is not set, as many as
-            stood at first.
-        spot: Whether servers may be ordered that can be taken back.
-        spare_domains: Failure domains whose loss these must cover; if it is not set,
-            two where they are cheap enough, else one.
+        order: Whether servers are ordered at all; otherwise the fleet is left as it is.
+        servers: Sufficient number of servers for each service; by default as many as
+            there were at first.
+        spot: Whether spot servers, which can be reclaimed, may be ordered.
+        spare_domains: Number of failure domains whose loss the servers must cover; by
+            default two where servers are cheap enough, otherwise one.
     """
 
     order: bool = True
@@ -112,14 +112,14 @@
 
 
 class QuarantineSettings(checks.CheckedModel):
-    """When a request is kept from all servers, since it ends those that run it.
+    """When a request that crashes servers is quarantined, that is, not dispatched.
 
     Attributes:
-        crashes: Servers that must have ended under it, two or more.
-        first_minutes: How long it is kept from servers when three have ended; six times
-            as long after the next one.
-        hours: How long it is kept from them after a fifth one, and at the most.
-        exempt: Digests, as the log writes them, that are never kept from servers.
+        crashes: Number of servers that must have crashed while running it, at least 2.
+        first_minutes: Length of its quarantine after three crashes; six times as long
+            after the next one.
+        hours: Length of its quarantine after a fifth crash, and the maximum.
+        exempt: Digests, as written in the log, that are never quarantined.
     """
 
     crashes: int = pydantic.Field(default=3, ge=2)
@@ -143,14 +143,14 @@
 
     Attributes:
         instance: Name of this instance, unique in the fleet.
-        failure_domain: Failure domain that it stands in.
-        clients: Where requests on routes arrive.
-        readiness: Where the balancer asks whether to send requests here.
-        metrics: Where metrics are served; nowhere if it is not set.
-        control: Takes reports and orders; nobody does if it is not set.
+        failure_domain: Failure domain of this instance.
+        clients: Address for client requests on routes.
+        readiness: Address for the load balancer's readiness checks.
+        metrics: Address for metrics; they are not served if it is not set.
+        control: Receives reports and orders; none are sent if it is not set.
         capacity: How servers are ordered there.
-        digest_key: Key of the digests by which logs and peers name requests; the same
-            in all instances of the fleet.
+        digest_key: Key of the digests that identify requests in logs and between peers;
+            the same on all instances of the fleet.
     """
 
     instance: str = pydantic.Field(min_length=1)
--- a/src/pimentolatch/gateway/sse.py
+++ b/src/pimentolatch/gateway/sse.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of server-sent events into whole events."""
+"""Splits a byte stream of server-sent events into complete events."""
 
 import dataclasses
 
@@ -10,17 +10,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
-    """One event, byte for byte; `number` is None if it bears no number."""
+    """One event, byte for byte; `number` is None if it has no numeric id."""
 
     number: int | None
     data: bytes
 
 
 class EventSplitter:
-    """Holds back the part of an event whose end has not arrived.
+    """Holds back a partial event until its end has arrived.
 
-    A server that crashes may stop in the middle of an event. Passed on, that half would
-    be joined to the first event of the server that goes on.
+    A server that crashes may stop in the middle of an event. If the partial event were
+    forwarded, the first event of the server that resumes the stream would be joined to
+    it.
     """
 
     def __init__(self) -> None:
@@ -32,7 +33,7 @@
         return bool(self._partial)
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that are whole now."""
+        """Return the events that are now complete."""
         *whole, self._partial = (self._partial + data).split(_END)
         return [Event(_number(event), event + _END) for event in whole]
 
--- a/src/pimentolatch/gateway/stall_checker.py
+++ b/src/pimentolatch/gateway/stall_checker.py
@@ -1,4 +1,4 @@
-"""Asks engines that are silent for longer than expected whether they go on."""
+"""Asks unresponsive engines whether they still have a request."""
 
 import asyncio
 import datetime
@@ -13,15 +13,16 @@
 
 __all__ = ["StallChecker"]
 
-# Reports need no slot and come in milliseconds; a client that waits two seconds for its
-# first event must still find another engine afterwards.
+# Reports need no slot and arrive within milliseconds. After a time-out there must be
+# time left to try another engine for a client that waits two seconds for its first
+# event.
 _CALL_LIMIT = datetime.timedelta(milliseconds=300)
 _Outcome = typing.TypeVar("_Outcome")
 _ReportTask = asyncio.Task["reports.EngineReport | None"]
 
 
 class StallChecker:
-    """Engines' reports, asked for once for all requests that wait for an engine."""
+    """Fetches engines' reports, once for all requests that wait for an engine."""
 
     def __init__(
         self,
@@ -39,7 +40,7 @@
     async def verdict(
         self, engine: engine_loads.EngineLoad, request_id: str
     ) -> doubt.Verdict:
-        """Ask an engine what has become of a request."""
+        """Ask an engine whether it still has a request."""
         report = await self._report(engine.server)
         verdict = doubt.judge(report, request_id, engine.server.born)
         self._request_log.write(
@@ -61,7 +62,14 @@
         call: abc.Coroutine[typing.Any, typing.Any, _Outcome],
         expected: datetime.timedelta,
     ) -> _Outcome | dispatch.OutcomeUnknown:
-        """Wait for a call for as long as its engine has the request."""
+        """Wait for a call for as long as its engine has the request.
+
+        Args:
+            engine: The engine that is called.
+            request_id: The request.
+            call: The call; it is cancelled when the engine has lost the request.
+            expected: Time after which the engine is first checked for a stall.
+        """
         task = asyncio.create_task(call)
         limit = expected
         try:
@@ -88,7 +96,7 @@
             }
             report_task = asyncio.create_task(self._fetch_report(server))
             self._pending_reports[server.incarnation] = now, report_task
-        # One request that leaves must not end the question of the others.
+        # A request that is cancelled must not cancel the report that others wait for.
         return await asyncio.shield(report_task)
 
     async def _fetch_report(
@@ -100,6 +108,6 @@
         if isinstance(response, dispatch.FullResponse):
             return engines.decode_report(response.body)
         if isinstance(response, dispatch.NotSent) and not response.unresponsive:
-            # It takes no further connection: it lives and is full.
+            # It refuses further connections, so it is running and at capacity.
             return reports.EngineReport(servers.Stage.DECODE, False, 0, queued=1)
         return None
