--- a/src/pimentolatch/gateway/decode_client.py
+++ b/src/pimentolatch/gateway/decode_client.py
@@ -138,7 +138,9 @@
         if isinstance(outcome, dispatch.OutcomeUnknown):
             self._count_run(generation)
             if outcome.server_crashed:
-                self._context.suspects.server_ended(request, engine.server, sent_at)
+                self._context.crash_quarantine.server_ended(
+                    request, engine.server, sent_at
+                )
         return False
 
     def _count_run(self, generation: request_progress.Generation) -> None:
@@ -171,7 +173,7 @@
             opened.link.close()
             progress.reason = str(error)
             broken = dispatch.OutcomeUnknown(progress.reason, server_crashed=True)
-            self._context.suspects.server_ended(request, engine.server, sent_at)
+            self._context.crash_quarantine.server_ended(request, engine.server, sent_at)
             self._context.log_sent(
                 request,
                 engine,
@@ -187,8 +189,8 @@
                 return True
             return False
         loads.succeeded(engine, self._context.clock.monotonic())
-        self._context.suspects.answered(engine.server, sent_at)
-        self._context.suspects.completed(request)
+        self._context.crash_quarantine.answered(engine.server, sent_at)
+        self._context.crash_quarantine.completed(request)
         return True
 
     async def _failure_response(
--- a/src/pimentolatch/gateway/dispatch.py
+++ b/src/pimentolatch/gateway/dispatch.py
@@ -28,7 +28,7 @@
     "describe",
 ]
 
-_CONNECT_LIMIT = datetime.timedelta(milliseconds=700)
+_CONNECT_TIMEOUT = datetime.timedelta(milliseconds=700)
 # Longest idle time of a pooled connection that is used for a request that must not be
 # repeated: if the server closed it meanwhile, the outcome would be unknown.
 _MAX_IDLE_FOR_UNREPEATABLE = datetime.timedelta(seconds=2)
@@ -139,11 +139,11 @@
 
     def __init__(self, time: clock.Clock) -> None:
         self._clock = time
-        self._pool = channel.ChannelPool(_CONNECT_LIMIT)
+        self._pool = channel.ChannelPool(_CONNECT_TIMEOUT)
 
-    def retain(self, listed: abc.Container[abc.Hashable]) -> None:
+    def retain(self, incarnations: abc.Container[abc.Hashable]) -> None:
         """Close pooled connections to incarnations that are no longer listed."""
-        self._pool.retain(listed)
+        self._pool.retain(incarnations)
 
     def close(self) -> None:
         """Close all pooled connections."""
@@ -226,15 +226,15 @@
         limit: datetime.timedelta,
     ) -> FullResponse | NotSent | OutcomeUnknown:
         """Call the server's own interface over a connection of the pool."""
-        async with self.conversation(server) as calls:
+        async with self.session(server) as calls:
             return await calls.call(method, target, fields, body, limit=limit)
 
     @contextlib.asynccontextmanager
-    async def conversation(
+    async def session(
         self, server: servers.Server
-    ) -> abc.AsyncGenerator["Conversation", None]:
+    ) -> abc.AsyncGenerator["Session", None]:
         """Make several calls to a server's own interface over one connection."""
-        calls = Conversation(server, self._pool, self._clock)
+        calls = Session(server, self._pool, self._clock)
         try:
             yield calls
         finally:
@@ -274,7 +274,7 @@
         return opened
 
 
-class Conversation:
+class Session:
     """Calls that all reach the same incarnation of a server, or fail.
 
     A connection does not outlive the process at its other end. So a call that depends
--- a/src/pimentolatch/gateway/dispatch_check.py
+++ b/src/pimentolatch/gateway/dispatch_check.py
@@ -14,21 +14,21 @@
 
     Args:
         fleet: Configuration that this instance knows.
-        suspects: Tells which requests are quarantined.
+        crash_quarantine: Tells which requests are quarantined.
     """
 
     def __init__(
-        self, fleet: knowledge.Knowledge, suspects: quarantine.Quarantine
+        self, fleet: knowledge.Knowledge, crash_quarantine: quarantine.Quarantine
     ) -> None:
         self._fleet = fleet
-        self._suspects = suspects
+        self._crash_quarantine = crash_quarantine
 
     def refusal(self, request: client_request.ClientRequest) -> results.Refusal | None:
         """Return why a request must not be dispatched; None if it may be.
 
         The refusal is correct only for a request that no server has started to run.
         """
-        verdict = self._suspects.verdict(request)
+        verdict = self._crash_quarantine.verdict(request)
         if verdict is not None:
             return results.quarantined(verdict.left)
         configuration = self._fleet.configuration
--- a/src/pimentolatch/gateway/front_end.py
+++ b/src/pimentolatch/gateway/front_end.py
@@ -26,7 +26,7 @@
 _log = logbook.Logger("requests")
 _CLOSE = (b"connection", b"close")
 # Longest time for a request body to arrive; a deadline may shorten it.
-_BODY_LIMIT = datetime.timedelta(seconds=10)
+_BODY_TIMEOUT = datetime.timedelta(seconds=10)
 
 Scope = typing.MutableMapping[str, typing.Any]
 Message = typing.MutableMapping[str, typing.Any]
@@ -101,7 +101,7 @@
         if configuration is None or not self._fleet.complete:
             await response.refuse(refusals.no_configuration())
             return
-        request = await self._read(scope, receive, configuration, arrived_at)
+        request = await self._read_request(scope, receive, configuration, arrived_at)
         if isinstance(request, results.Refusal):
             self._request_log.write(
                 request_log.ANSWERED,
@@ -118,11 +118,11 @@
         self._budget.arrived(request.service.name, arrived_at)
         if (refusal := self._dispatch_check.refusal(request)) is not None:
             await response.refuse(refusal)
-            self._log_answer(request, response)
+            self._log_response(request, response)
             return
-        await self._answer(request, response, receive)
+        await self._forward(request, response, receive)
 
-    async def _read(
+    async def _read_request(
         self,
         scope: Scope,
         receive: Receive,
@@ -150,7 +150,7 @@
         deadline = arrived_at + route.timeout
         if head.time_left is not None:
             deadline = min(deadline, arrived_at + head.time_left)
-        body = await self._body(receive, configuration.limits.body_bytes, deadline)
+        body = await self._read_body(receive, configuration.limits.body_bytes, deadline)
         if not isinstance(body, bytes):
             return body
         method = scope["method"]
@@ -176,11 +176,11 @@
             access=allowed,
         )
 
-    async def _body(
+    async def _read_body(
         self, receive: Receive, limit: int, deadline: datetime.timedelta
     ) -> bytes | results.Refusal | None:
         body = bytearray()
-        left = min(_BODY_LIMIT, deadline - self._clock.monotonic())
+        left = min(_BODY_TIMEOUT, deadline - self._clock.monotonic())
         try:
             async with asyncio.timeout(max(0.0, left.total_seconds())):
                 while True:
@@ -195,7 +195,7 @@
         except TimeoutError:
             return refusals.body_too_slow()
 
-    async def _answer(
+    async def _forward(
         self,
         request: client_request.ClientRequest,
         response: client_request.ClientResponse,
@@ -209,22 +209,22 @@
         engines = request.head.prompt is not None and request.service.engine is not None
         forwarder = self._prompts if engines else self._plain
         work = asyncio.create_task(forwarder.run(request, response))
-        leaving = asyncio.create_task(_wait_for_disconnect(receive))
+        disconnect = asyncio.create_task(_wait_for_disconnect(receive))
         try:
-            await asyncio.wait({work, leaving}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({work, disconnect}, return_when=asyncio.FIRST_COMPLETED)
             if not work.done():
                 response.outcome = "client left"
                 work.cancel()
             await asyncio.wait({work})
             if not work.cancelled() and (error := work.exception()) is not None:
                 _log.error("request failed", id=request.request_id, reason=repr(error))
-                await self._failed(response)
+                await self._finish_failed(response)
         finally:
-            leaving.cancel()
+            disconnect.cancel()
             work.cancel()
-            self._log_answer(request, response)
+            self._log_response(request, response)
 
-    def _log_answer(
+    def _log_response(
         self,
         request: client_request.ClientRequest,
         response: client_request.ClientResponse,
@@ -244,7 +244,7 @@
             digest=digests.digest_text(request.digest),
         )
 
-    async def _failed(self, response: client_request.ClientResponse) -> None:
+    async def _finish_failed(self, response: client_request.ClientResponse) -> None:
         if response.finished:
             return
         if response.started:
--- a/src/pimentolatch/gateway/plain_forwarder.py
+++ b/src/pimentolatch/gateway/plain_forwarder.py
@@ -30,7 +30,7 @@
 # Time-out of a dispatch that can be repeated on another server, as a multiple of the
 # route's latency target: long enough for nearly every response, short enough that a
 # second server can still respond before the client disconnects.
-_TIMEOUT_TARGETS = 2.0
+_TIMEOUT_FACTOR = 2.0
 _MIN_TIMEOUT = datetime.timedelta(milliseconds=150)
 # Most attempts for one request, also counting those not sent and those declined.
 _MAX_ATTEMPTS = 4
@@ -50,7 +50,7 @@
         client: dispatch.ServerClient,
         choice: server_choice.ServerChoice,
         budget: repeat_budget.RepeatBudget,
-        suspects: quarantine.Quarantine,
+        crash_quarantine: quarantine.Quarantine,
         check: dispatch_check.DispatchCheck,
         usage: usage_exchange.UsageCounter,
         log: request_log.RequestLog,
@@ -61,7 +61,7 @@
         self._client = client
         self._choice = choice
         self._budget = budget
-        self._suspects = suspects
+        self._crash_quarantine = crash_quarantine
         self._dispatch_check = check
         self._usage = usage
         self._clock = time
@@ -89,7 +89,7 @@
                 break
             listed = self._fleet.servers.of_service(service)
             usable = self._choice.usable(listed, now, tried)
-            avoided = self._suspects.avoided(request, usable)
+            avoided = self._crash_quarantine.avoided(request, usable)
             server = self._choice.choose(usable, now, avoided)
             if server is None:
                 break
@@ -128,11 +128,11 @@
         """Report to quarantine whether a server crashed during a request."""
         if isinstance(outcome, dispatch.OutcomeUnknown):
             if outcome.server_crashed:
-                self._suspects.server_ended(request, server, begun)
+                self._crash_quarantine.server_ended(request, server, begun)
         elif isinstance(outcome, dispatch.FullResponse | dispatch.Declined):
-            self._suspects.answered(server, begun)
+            self._crash_quarantine.answered(server, begun)
             if isinstance(outcome, dispatch.FullResponse) and _successful(outcome):
-                self._suspects.completed(request)
+                self._crash_quarantine.completed(request)
 
     async def _send(
         self,
@@ -144,7 +144,7 @@
         left = request.deadline - now - dispatch.RETURN_TIME
         timeout = left
         if may_repeat:
-            target = _TIMEOUT_TARGETS * request.route.latency_target
+            target = _TIMEOUT_FACTOR * request.route.latency_target
             timeout = min(left, max(target, _MIN_TIMEOUT))
         delivery = heads.Delivery(server.server_id, left)
         outcome: _Outcome = dispatch.OutcomeUnknown("cancelled")
--- a/src/pimentolatch/gateway/prefill_client.py
+++ b/src/pimentolatch/gateway/prefill_client.py
@@ -12,7 +12,7 @@
 __all__ = ["PrefillClient"]
 
 _log = logbook.Logger("reading")
-_RELEASE_LIMIT = datetime.timedelta(seconds=1)
+_RELEASE_TIMEOUT = datetime.timedelta(seconds=1)
 _Outcome = (
     dispatch.FullResponse
     | dispatch.NotSent
@@ -71,14 +71,16 @@
             else:
                 loads.failed(engine, now)
             if isinstance(outcome, dispatch.OutcomeUnknown) and outcome.server_crashed:
-                self._context.suspects.server_ended(request, engine.server, sent_at)
+                self._context.crash_quarantine.server_ended(
+                    request, engine.server, sent_at
+                )
             progress.reason = f"prompt not read: {dispatch.describe(outcome)}"
             return None
         if progress.prefilled_before:
             progress.dispatches += 1
         progress.prefilled_before = True
         loads.succeeded(engine, now)
-        self._context.suspects.answered(engine.server, sent_at)
+        self._context.crash_quarantine.answered(engine.server, sent_at)
         loads.read_in(place.tokens, now - sent_at, ahead)
         self._context.record_cached_prompt(request, engine)
         return prefilled
@@ -138,5 +140,5 @@
     async def _release(self, prefilled: request_progress.PrefilledPrompt) -> None:
         target = engines.release_target(prefilled.handle)
         await self._context.client.call(
-            prefilled.engine.server, "DELETE", target, limit=_RELEASE_LIMIT
+            prefilled.engine.server, "DELETE", target, limit=_RELEASE_TIMEOUT
         )
--- a/src/pimentolatch/gateway/prompt_placer.py
+++ b/src/pimentolatch/gateway/prompt_placer.py
@@ -132,11 +132,11 @@
     ) -> frozenset[servers.Incarnation]:
         """Return the engines that a request must not use."""
         failed = frozenset(progress.failed)
-        if not self._context.suspects.is_suspect(request):
+        if not self._context.crash_quarantine.is_suspect(request):
             return failed
         loads = self._context.loads(request)
         decode_engines = loads.usable(servers.Stage.DECODE, now, failed)
-        return failed | self._context.suspects.avoided(
+        return failed | self._context.crash_quarantine.avoided(
             request, (engine.server for engine in decode_engines)
         )
 
--- a/src/pimentolatch/gateway/request_progress.py
+++ b/src/pimentolatch/gateway/request_progress.py
@@ -48,7 +48,7 @@
     client: dispatch.ServerClient
     stall_checks: stall_checker.StallChecker
     updates: cache_updates.CacheUpdates
-    suspects: quarantine.Quarantine
+    crash_quarantine: quarantine.Quarantine
     dispatch_check: dispatch_check.DispatchCheck
     usage: usage_exchange.UsageCounter
     log: request_log.RequestLog
@@ -199,11 +199,11 @@
 
 async def finish(response: client_request.ClientResponse, progress: Progress) -> None:
     """Finish the response of a request that is not dispatched again."""
-    whole = progress.failure_response
+    failure = progress.failure_response
     if response.started:
         response.abort(progress.reason)
-    elif whole is not None and whole.status not in dispatch.NOT_RUN_STATUSES:
-        await response.send_full(whole.status, whole.head.fields, whole.body)
+    elif failure is not None and failure.status not in dispatch.NOT_RUN_STATUSES:
+        await response.send_full(failure.status, failure.head.fields, failure.body)
     elif progress.possible_runs:
         await response.refuse(refusals.outcome_unknown(progress.reason))
     else:
--- a/src/pimentolatch/gateway/stages.py
+++ b/src/pimentolatch/gateway/stages.py
@@ -83,7 +83,7 @@
             return False
         if not await self._tenure.acquire():
             return False
-        async with self._client.conversation(server) as calls:
+        async with self._client.session(server) as calls:
             ordered = await self._order(calls, server, change)
         if ordered and not self._is_unsettled(
             server.server_id, self._clock.monotonic()
@@ -108,7 +108,7 @@
 
     async def _order(
         self,
-        calls: dispatch.Conversation,
+        calls: dispatch.Session,
         server: servers.Server,
         change: stage_plan.Change,
     ) -> bool:
--- a/src/pimentolatch/gateway/stall_checker.py
+++ b/src/pimentolatch/gateway/stall_checker.py
@@ -16,7 +16,7 @@
 # Reports need no slot and arrive within milliseconds. After a time-out there must be
 # time left to try another engine for a client that waits two seconds for its first
 # event.
-_CALL_LIMIT = datetime.timedelta(milliseconds=300)
+_REPORT_TIMEOUT = datetime.timedelta(milliseconds=300)
 _Outcome = typing.TypeVar("_Outcome")
 _ReportTask = asyncio.Task["reports.EngineReport | None"]
 
@@ -103,7 +103,7 @@
         self, server: servers.Server
     ) -> reports.EngineReport | None:
         response = await self._client.call(
-            server, "GET", engines.REPORT_TARGET, limit=_CALL_LIMIT
+            server, "GET", engines.REPORT_TARGET, limit=_REPORT_TIMEOUT
         )
         if isinstance(response, dispatch.FullResponse):
             return engines.decode_report(response.body)
