--- a/benchmarks/gateway_cost.py
+++ b/benchmarks/gateway_cost.py
@@ -210,7 +210,9 @@
     spec = _spec()
     instance.known.configure(configuration.decode(spec), spec)
     found = [entries.decode(name, entry) for name, entry in listed.items()]
-    instance.known.list_servers(1, [s for s in found if isinstance(s, servers.Server)])
+    instance.known.replace_servers(
+        1, [s for s in found if isinstance(s, servers.Server)]
+    )
     await instance.start()
     await asyncio.sleep(START_S)
     around.stdin.write(json.dumps([rate, seconds]) + "\n")
--- a/src/pimentolatch/gateway/attempt.py
+++ b/src/pimentolatch/gateway/attempt.py
@@ -8,13 +8,13 @@
 from pimentolatch.gateway import (
     cache_updates,
     doubting,
+    fleet_state,
     inbound,
-    knowledge,
-    measuring,
     permission,
     quarantine,
     refusals,
     request_log,
+    route_metrics,
     sending,
     usage_exchange,
 )
@@ -43,7 +43,7 @@
 class Context:
     """What serves every request of the stream routes of an instance."""
 
-    known: knowledge.Knowledge
+    known: fleet_state.FleetState
     client: sending.ServerClient
     doubts: doubting.EngineDoubts
     updates: cache_updates.CacheUpdates
@@ -51,7 +51,7 @@
     permission: permission.Permission
     usage: usage_exchange.UsageCounter
     log: request_log.RequestLog
-    measured: measuring.RouteMetrics
+    measured: route_metrics.RouteMetrics
     clock: clock.Clock
 
     def keep(self, asked: inbound.Inbound, engine: engine_loads.EngineLoad) -> None:
--- a/src/pimentolatch/gateway/cache_updates.py
+++ b/src/pimentolatch/gateway/cache_updates.py
@@ -17,7 +17,7 @@
 __all__ = ["CacheUpdates"]
 
 # Parts told in one beacon, ten bytes each.
-_TOLD = 60
+_MAX_PARTS = 60
 
 
 class CacheUpdates:
@@ -27,36 +27,36 @@
     """
 
     def __init__(self) -> None:
-        self._near = _empty()
-        self._far = _empty()
+        self._near = _new_queue()
+        self._far = _new_queue()
 
     def add(self, engine: servers.Incarnation, prompt: prompts.Prompt) -> None:
         """Note the parts that other prompts may share: all but the last."""
         for part in prompt.parts[:-1]:
             key = prompts.part_key(part.name)
-            self.pass_on(beacons.CachedPart(engine, key, part.tokens))
+            self.forward(beacons.CachedPart(engine, key, part.tokens))
 
-    def pass_on(self, part: beacons.CachedPart) -> None:
+    def forward(self, part: beacons.CachedPart) -> None:
         """Note what a peer has told and was not known."""
         self._near.append(part)
         self._far.append(part)
 
     def take_near(self) -> tuple[beacons.CachedPart, ...]:
         """Return what near peers are to be told, newest first, and forget it."""
-        taken, self._near = self._near, _empty()
-        return _newest(taken)
+        taken, self._near = self._near, _new_queue()
+        return _newest_first(taken)
 
     def take_far(self) -> tuple[beacons.CachedPart, ...]:
         """Return what peers of other domains are to be told, and forget it."""
-        taken, self._far = self._far, _empty()
-        return _newest(taken)
+        taken, self._far = self._far, _new_queue()
+        return _newest_first(taken)
 
 
-def _empty() -> collections.deque[beacons.CachedPart]:
-    return collections.deque(maxlen=_TOLD)
+def _new_queue() -> collections.deque[beacons.CachedPart]:
+    return collections.deque(maxlen=_MAX_PARTS)
 
 
-def _newest(
+def _newest_first(
     parts: abc.Sequence[beacons.CachedPart],
 ) -> tuple[beacons.CachedPart, ...]:
     """Return the parts, the newest first, each once."""
--- a/src/pimentolatch/gateway/capacity.py
+++ b/src/pimentolatch/gateway/capacity_controller.py
@@ -7,23 +7,23 @@
 
 from pimentolatch import clock, store
 from pimentolatch.decisions import server_plan
-from pimentolatch.gateway import knowledge, tenure
+from pimentolatch.gateway import fleet_state, leadership
 from pimentolatch.platform import control_api, objects
 from pimentolatch.routes import table
 
-__all__ = ["CapacityKeeper"]
+__all__ = ["CapacityController"]
 
 _log = logbook.Logger("capacity")
 _KIND = "pimentolatch-capacity"
 _INTERVAL = datetime.timedelta(milliseconds=500)
 
 
-class CapacityKeeper:
+class CapacityController:
     """Carries the plan out while this instance does the duties of one holder.
 
     Args:
         own_name: Name of this instance.
-        known: Services and servers.
+        fleet: Services and servers.
         held: The tenure.
         source: The platform's store.
         receiver: Takes the orders.
@@ -34,16 +34,16 @@
     def __init__(
         self,
         own_name: str,
-        known: knowledge.Knowledge,
-        held: tenure.Tenure,
+        fleet: fleet_state.FleetState,
+        own_leadership: leadership.Leadership,
         source: objects.ObjectStore,
         receiver: control_api.ControlApi,
         policy: server_plan.Policy,
         time: clock.Clock,
     ) -> None:
         self._name = own_name
-        self._known = known
-        self._tenure = held
+        self._fleet = fleet
+        self._leadership = own_leadership
         self._store = source
         self._receiver = receiver
         self._policy = policy
@@ -55,35 +55,35 @@
         """Order what is missing and give back what is too much, for ever."""
         while True:
             await self._clock.sleep(_INTERVAL)
-            if self._tenure.active:
-                await self.look()
+            if self._leadership.active:
+                await self.order_due()
             else:
                 self._planners.clear()
                 self._sizings.clear()
 
-    async def look(self) -> None:
+    async def order_due(self) -> None:
         """Send the orders that are due."""
-        configuration = self._known.configuration
-        if configuration is None or not self._known.servers_listed:
+        configuration = self._fleet.configuration
+        if configuration is None or not self._fleet.servers_listed:
             return
         for service in configuration.services.values():
             if service.scaling is not None:
-                await self._look(service.name, service.scaling)
+                await self._order_for_service(service.name, service.scaling)
 
-    async def _look(self, service: str, scaling: table.Scaling) -> None:
+    async def _order_for_service(self, service: str, scaling: table.Scaling) -> None:
         planner = await self._planner(service)
         if planner is None:
             return
-        standing = self._standing(service)
+        standing = self._servers_by_domain(service)
         for order in planner.plan(scaling, standing, self._clock.monotonic()):
-            if not await self._tenure.acquire() or not self._tenure.valid():
+            if not await self._leadership.acquire() or not self._leadership.valid():
                 return
             outcome = await self._send(service, order)
-            self._note(planner, order, outcome)
-            if not self._tenure.active:
+            self._record_outcome(planner, order, outcome)
+            if not self._leadership.active:
                 return
 
-    def _note(
+    def _record_outcome(
         self,
         planner: server_plan.ServerPlanner,
         order: server_plan.Order,
@@ -93,7 +93,7 @@
         if isinstance(outcome, control_api.Accepted | control_api.Unanswered):
             planner.sent(order, now)
         elif isinstance(outcome, control_api.FencedOff):
-            self._tenure.fenced_off()
+            self._leadership.fenced_off()
         else:
             planner.refused(order, now)
 
@@ -116,9 +116,9 @@
         for the need.
         """
         sizing = self._sizings.setdefault(service, server_plan.Sizing())
-        total = len(self._known.servers.of_service(service))
+        total = len(self._fleet.servers.of_service(service))
         size = sizing.note(total, self._clock.monotonic())
-        if size is None or not await self._tenure.acquire():
+        if size is None or not await self._leadership.acquire():
             return None
         found = await self._store.get(_KIND, service)
         if isinstance(found, store.Found):
@@ -132,11 +132,11 @@
     async def _send(
         self, service: str, order: server_plan.Order
     ) -> control_api.Outcome:
-        holder = control_api.Holder(self._name, self._tenure.fence)
-        told = control_api.ServerOrder(
+        holder = control_api.Holder(self._name, self._leadership.fence)
+        server_order = control_api.ServerOrder(
             service, order.failure_domain, order.count, order.spot
         )
-        outcome = await self._receiver.order_servers(holder, told)
+        outcome = await self._receiver.order_servers(holder, server_order)
         _log.info(
             "servers ordered",
             service=service,
@@ -149,9 +149,9 @@
         )
         return outcome
 
-    def _standing(self, service: str) -> dict[str, server_plan.Standing]:
+    def _servers_by_domain(self, service: str) -> dict[str, server_plan.Standing]:
         counts: dict[str, list[int]] = {}
-        for server in self._known.servers.of_service(service):
+        for server in self._fleet.servers.of_service(service):
             counts.setdefault(server.failure_domain, [0, 0])[server.spot] += 1
         return {
             domain: server_plan.Standing(firm, spot)
@@ -161,7 +161,7 @@
     def _stages(self, service: str) -> dict[str, int]:
         stages = (
             server.stage.value
-            for server in self._known.servers.of_service(service)
+            for server in self._fleet.servers.of_service(service)
             if server.stage is not None
         )
         return dict(collections.Counter(stages))
--- a/src/pimentolatch/gateway/face.py
+++ b/src/pimentolatch/gateway/face.py
@@ -11,8 +11,8 @@
 from pimentolatch.decisions import access, repeat_budget
 from pimentolatch.entry import gate, guard
 from pimentolatch.gateway import (
+    fleet_state,
     inbound,
-    knowledge,
     permission,
     refusals,
     request_log,
@@ -56,7 +56,7 @@
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
+        known: fleet_state.FleetState,
         forwarders: tuple[Forwarder, Forwarder],
         budget: repeat_budget.RepeatBudget,
         door: gate.Gate,
@@ -135,7 +135,7 @@
         if route is None:
             return refusals.no_route(head.host, path)
         allowed = access.decide(
-            configuration, route, head.keys, current=not self._known.store_lost
+            configuration, route, head.keys, current=not self._known.store_unreachable
         )
         if isinstance(allowed, access.Denial):
             return _denied(allowed)
--- a/src/pimentolatch/gateway/knowledge.py
+++ b/src/pimentolatch/gateway/fleet_state.py
@@ -7,10 +7,10 @@
 from pimentolatch.decisions import engine_loads
 from pimentolatch.routes import servers, table
 
-__all__ = ["Knowledge"]
+__all__ = ["FleetState"]
 
 
-class Knowledge:
+class FleetState:
     """The newest configuration and servers that this instance has heard of.
 
     It never goes back: an older version or revision that arrives late, from the store
@@ -32,9 +32,9 @@
         self.servers = servers.ServerTable()
         self.servers_revision = 0
         self.servers_listed = False
-        self.reads_store = False
-        self.store_lost = False
-        self.servers_heard = datetime.timedelta()
+        self.watches_store = False
+        self.store_unreachable = False
+        self.servers_confirmed_at = datetime.timedelta()
         self._loads: dict[str, engine_loads.EngineLoads] = {}
         self._engines: dict[servers.Incarnation, engine_loads.EngineLoad] = {}
         self._on_change: list[abc.Callable[[], None]] = []
@@ -61,7 +61,7 @@
         self.configuration_spec = spec
         return True
 
-    def list_servers(
+    def replace_servers(
         self,
         revision: int,
         listed: abc.Iterable[servers.Server],
@@ -72,10 +72,10 @@
         self.servers.replace(listed)
         self.servers_revision = revision
         self.servers_listed = True
-        self._share_servers()
+        self._update_loads()
         return True
 
-    def change_servers(
+    def update_servers(
         self,
         revision: int,
         changed: abc.Iterable[servers.Server],
@@ -87,7 +87,7 @@
         self.servers_revision = revision
         self._change(changed, removed)
 
-    def drop_servers(self, removed: abc.Iterable[str]) -> None:
+    def remove_servers(self, removed: abc.Iterable[str]) -> None:
         """Drop servers that are gone."""
         self._change((), removed)
 
@@ -107,7 +107,7 @@
         """Return the work of a listed engine, whatever its service."""
         return self._engines.get(incarnation)
 
-    def has_ended(self, incarnation: servers.Incarnation) -> bool:
+    def is_replaced(self, incarnation: servers.Incarnation) -> bool:
         """Tell whether another life of a server is listed in place of this one.
 
         One that is not listed at all may still serve what it has.
@@ -115,7 +115,7 @@
         server = self.servers.get(incarnation.server_id)
         return server is not None and server.incarnation != incarnation
 
-    def all_loads(self) -> abc.Mapping[str, engine_loads.EngineLoads]:
+    def loads_by_service(self) -> abc.Mapping[str, engine_loads.EngineLoads]:
         """Return the engines of every model service."""
         return self._loads
 
@@ -123,9 +123,9 @@
         self, changed: abc.Iterable[servers.Server], removed: abc.Iterable[str]
     ) -> None:
         self.servers.change(changed, removed)
-        self._share_servers()
+        self._update_loads()
 
-    def _share_servers(self) -> None:
+    def _update_loads(self) -> None:
         # Services of before come too: their last engine may just have gone.
         engines: dict[str, list[servers.Server]] = {name: [] for name in self._loads}
         for server in self.servers.all():
--- a/src/pimentolatch/gateway/generation.py
+++ b/src/pimentolatch/gateway/generation.py
@@ -15,15 +15,15 @@
     attempt,
     cache_updates,
     doubting,
+    fleet_state,
     inbound,
-    knowledge,
-    measuring,
     permission,
     placing,
     quarantine,
     reading,
     refusals,
     request_log,
+    route_metrics,
     sending,
     usage_exchange,
     writing,
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
+        known: fleet_state.FleetState,
         client: sending.ServerClient,
         budget: repeat_budget.RepeatBudget,
         time: clock.Clock,
@@ -58,7 +58,7 @@
         allowed: permission.Permission,
         usage: usage_exchange.UsageCounter,
         log: request_log.RequestLog,
-        measured: measuring.RouteMetrics,
+        measured: route_metrics.RouteMetrics,
     ) -> None:
         doubts = doubting.EngineDoubts(client, log, time)
         self._context = attempt.Context(
@@ -170,7 +170,7 @@
         so that a change of stage costs no second prefill.
         """
         for _ in range(_MOST_HANDOVERS):
-            if self._context.known.has_ended(source.reader.server.incarnation):
+            if self._context.known.is_replaced(source.reader.server.incarnation):
                 progress.reason = "the engine that read the prompt started again"
                 return False
             writer = self._placer.choose_writer(asked, source, progress)
--- a/src/pimentolatch/gateway/duties.py
+++ b/src/pimentolatch/gateway/leader_tasks.py
@@ -7,32 +7,32 @@
 from pimentolatch import clock
 from pimentolatch.decisions import usage
 from pimentolatch.gateway import (
-    capacity,
-    knowledge,
+    capacity_controller,
+    fleet_state,
+    leadership,
     lease,
     peer_table,
     settings,
-    tenure,
     usage_exchange,
     usage_reports,
 )
 from pimentolatch.platform import control_api, objects
 
-__all__ = ["Duties"]
+__all__ = ["LeaderTasks"]
 
-Work = typing.Callable[[], abc.Coroutine[typing.Any, typing.Any, None]]
+Runner = typing.Callable[[], abc.Coroutine[typing.Any, typing.Any, None]]
 
 _USAGE = "usage"
 _SCALE = "scale"
 
 
-class Duties:
+class LeaderTasks:
     """Builds and owns these parts.
 
     Args:
         chosen: Settings of this instance.
         life: Differs for each start of this instance.
-        known: Services and servers.
+        fleet: Services and servers.
         peers: Tells who else is there.
         source: The platform's store.
         time: Clock of this instance.
@@ -45,83 +45,85 @@
     def __init__(
         self,
         chosen: settings.GatewaySettings,
-        life: str,
-        known: knowledge.Knowledge,
+        incarnation: str,
+        fleet: fleet_state.FleetState,
         peers: peer_table.PeerTable,
         source: objects.ObjectStore,
         time: clock.Clock,
     ) -> None:
         self._settings = chosen
-        self._known = known
+        self._fleet = fleet
         self._peers = peers
         self._store = source
         self._clock = time
-        between = datetime.timedelta(milliseconds=chosen.bounds.lease_ms)
-        held = lease.DutyLease(
+        handover_gap = datetime.timedelta(milliseconds=chosen.bounds.lease_ms)
+        leader_lease = lease.LeaderLease(
             source,
             f"{chosen.instance}@{chosen.peers.host}",
-            life,
-            between,
+            incarnation,
+            handover_gap,
             time,
         )
-        self.tenure = tenure.Tenure(
+        self.leadership = leadership.Leadership(
             chosen.instance,
             chosen.peers.host,
             peers,
-            held,
+            leader_lease,
             time,
-            kept=chosen.control is not None,
+            permanent=chosen.control is not None,
         )
-        self.usage: usage_exchange.UsageCounter = usage_exchange.NoUsage()
-        self._work: list[Work] = []
+        self.usage: usage_exchange.UsageCounter = usage_exchange.NullUsageCounter()
+        self._runners: list[Runner] = []
         self._receiver: control_api.ControlApi | None = None
         self._exchange: usage_exchange.UsageExchange | None = None
         if chosen.control is not None:
             self._receiver = control_api.ControlApi(chosen.control.address, time)
-            self._work.append(self.tenure.run)
+            self._runners.append(self.leadership.run)
             if _USAGE in chosen.control.duties:
-                self._link_usage(chosen.control, self._receiver, life)
+                self._link_usage(chosen.control, self._receiver, incarnation)
             if _SCALE in chosen.control.duties and chosen.capacity.order:
-                keeper = capacity.CapacityKeeper(
+                controller = capacity_controller.CapacityController(
                     chosen.instance,
-                    known,
-                    self.tenure,
+                    fleet,
+                    self.leadership,
                     source,
                     self._receiver,
                     chosen.capacity.policy,
                     time,
                 )
-                self._work.append(keeper.run)
+                self._runners.append(controller.run)
 
     def _link_usage(
         self,
         chosen: settings.ControlSettings,
         receiver: control_api.ControlApi,
-        life: str,
+        incarnation: str,
     ) -> None:
         name, own = self._settings.instance, self._settings.peers
         length = datetime.timedelta(seconds=chosen.usage_window_s)
-        book = usage.UsageBook(usage.Origin(name, life), length, self._clock.now())
+        book = usage.UsageBook(
+            usage.Origin(name, incarnation), length, self._clock.now()
+        )
         self._exchange = usage_exchange.UsageExchange(
-            own.usage_address, book, self._peers, self.tenure, self._clock
+            own.usage_address, book, self._peers, self.leadership, self._clock
         )
         reporter = usage_reports.UsageReporter(
             name,
             length,
             book,
             self._peers,
-            self.tenure,
+            self.leadership,
             self._store,
             receiver,
             self._clock,
         )
         self.usage = self._exchange
-        self._work += [self._exchange.run, reporter.run]
+        self._runners += [self._exchange.run, reporter.run]
 
     @property
-    def work(self) -> tuple[Work, ...]:
+    def runners(self) -> tuple[Runner, ...]:
         """What has to run beside the requests."""
-        return tuple(self._work)
+        return tuple(self._runners)
 
     async def start(self) -> None:
         """Open sockets; raises `OSError` if an address can't be had."""
--- a/src/pimentolatch/gateway/tenure.py
+++ b/src/pimentolatch/gateway/leadership.py
@@ -9,18 +9,18 @@
 from pimentolatch.gateway import lease, peer_table
 from pimentolatch.protocol import beacons
 
-__all__ = ["Tenure"]
+__all__ = ["Leadership"]
 
 _log = logbook.Logger("tenure")
 _INTERVAL = datetime.timedelta(milliseconds=500)
 # A holder that can't write the lease for this long leaves it to others.
-_LONGEST_LOST = datetime.timedelta(milliseconds=4000)
+_MAX_RENEWAL_FAILURE = datetime.timedelta(milliseconds=4000)
 # So many times the shortest time between two holders it does not try again, since the
 # others may reach what it does not.
-_ABSTAINS = 3
+_ABSTAIN_FACTOR = 3
 
 
-class Tenure:
+class Leadership:
     """Holds the lease for as long as this instance does the duties.
 
     Args:
@@ -41,26 +41,26 @@
         own_name: str,
         own_host: str,
         peers: peer_table.PeerTable,
-        held: lease.DutyLease,
+        leader_lease: lease.LeaderLease,
         time: clock.Clock,
         *,
-        kept: bool = False,
+        permanent: bool = False,
     ) -> None:
-        self._kept = kept
+        self._permanent = permanent
         self._name = own_name
         self._host = own_host
         self._peers = peers
-        self._lease = held
+        self._lease = leader_lease
         self._clock = time
-        self._news = succession.HolderNews(self._clock.monotonic())
-        self._held_at: datetime.timedelta | None = None
+        self._claims = succession.HolderNews(self._clock.monotonic())
+        self._last_acquired: datetime.timedelta | None = None
         self._abstains_until = datetime.timedelta()
         self.since = time.now()
 
     @property
     def active(self) -> bool:
         """Whether this instance does the duties."""
-        return self._held_at is not None
+        return self._last_acquired is not None
 
     @property
     def fence(self) -> int:
@@ -72,7 +72,7 @@
         """Where the holder is reached; None if none is known."""
         if self.active:
             return self._host
-        return self._news.host(self._clock.monotonic())
+        return self._claims.host(self._clock.monotonic())
 
     def valid(self) -> bool:
         """Tell whether a call may go out now."""
@@ -85,52 +85,55 @@
         now = self._clock.monotonic()
         if now < self._abstains_until:
             return False
-        if self._news.host(now) == self._host:
+        if self._claims.host(now) == self._host:
             # A former life of this instance held the lease, and peers still say so.
             return True
         names = [peer.beacon.instance for peer in self._peers.live()]
-        if self._kept:
-            return self._news.is_turn_of(self._name, names, now)
+        if self._permanent:
+            return self._claims.is_turn_of(self._name, names, now)
         is_first = all(name > self._name for name in names)
-        return is_first and self._news.host(now) is None
+        return is_first and self._claims.host(now) is None
 
     async def acquire(self) -> bool:
         """Have the lease for the next calls; False if another may still act."""
         if not self.leads():
             return False
         now = self._clock.monotonic()
-        if await self._lease.acquire(self._news.released_fence):
-            if self._held_at is None:
+        if await self._lease.acquire(self._claims.released_fence):
+            if self._last_acquired is None:
                 self.since = self._clock.now()
                 _log.info("tenure begun", fence=self._lease.fence)
-            self._held_at = self._clock.monotonic()
+            self._last_acquired = self._clock.monotonic()
             return True
-        if self._held_at is not None and now - self._held_at > _LONGEST_LOST:
-            self._leave_to_others("the lease can't be renewed")
+        if (
+            self._last_acquired is not None
+            and now - self._last_acquired > _MAX_RENEWAL_FAILURE
+        ):
+            self._yield_to_peers("the lease can't be renewed")
         return False
 
     def fenced_off(self) -> None:
         """Give the tenure up: somebody has acted with a higher fence."""
         self._end("fenced off")
 
-    def out_of_reach(self) -> None:
+    def receiver_unreachable(self) -> None:
         """Give the tenure up: this instance can't reach whom it has to call."""
-        self._leave_to_others("the receiver is out of reach")
+        self._yield_to_peers("the receiver is out of reach")
 
     def announce_stop(self) -> None:
         """Give the tenure up: this instance is about to end."""
         self._release("stopping")
 
-    def hear(self, told: beacons.Holder | None) -> None:
+    def receive(self, notice: beacons.Holder | None) -> None:
         """Take what a peer has heard of the holder."""
-        if told is None:
+        if notice is None:
             return
         now = self._clock.monotonic()
-        self._news.hear(
-            succession.Claim(told.host, told.fence, told.released),
-            now - datetime.timedelta(milliseconds=told.age_ms),
+        self._claims.hear(
+            succession.Claim(notice.host, notice.fence, notice.released),
+            now - datetime.timedelta(milliseconds=notice.age_ms),
         )
-        if self.active and told.fence > self._lease.fence:
+        if self.active and notice.fence > self._lease.fence:
             self._end("another instance has a higher fence")
 
     def announcement(self) -> beacons.Holder | None:
@@ -138,11 +141,11 @@
         now = self._clock.monotonic()
         if self.active:
             return beacons.Holder(self._host, self._lease.fence, False, 0)
-        claim = self._news.fresh(now)
+        claim = self._claims.fresh(now)
         if claim is None:
             return None
         # Rounded up: an age that shrank on each way would never grow old.
-        age = (now - self._news.at) // datetime.timedelta(milliseconds=1) + 1
+        age = (now - self._claims.at) // datetime.timedelta(milliseconds=1) + 1
         return beacons.Holder(claim.host, claim.fence, claim.released, age)
 
     async def run(self) -> None:
@@ -151,7 +154,7 @@
             await self._clock.sleep(_INTERVAL)
             await self.acquire()
 
-    def _leave_to_others(self, reason: str) -> None:
+    def _yield_to_peers(self, reason: str) -> None:
         """Release the tenure if there is anybody who might do better."""
         if self._peers.live():
             self._release(reason)
@@ -161,13 +164,13 @@
         if not self.active:
             return
         now = self._clock.monotonic()
-        self._abstains_until = now + _ABSTAINS * self._lease.between
+        self._abstains_until = now + _ABSTAIN_FACTOR * self._lease.handover_gap
         claim = succession.Claim(self._host, self._lease.fence, released=True)
-        self._news.hear(claim, now)
+        self._claims.hear(claim, now)
         self._end(reason)
 
     def _end(self, reason: str) -> None:
         self._lease.give_up()
         if self.active:
             _log.info("tenure ended", fence=self._lease.fence, reason=reason)
-        self._held_at = None
+        self._last_acquired = None
--- a/src/pimentolatch/gateway/lease.py
+++ b/src/pimentolatch/gateway/lease.py
@@ -8,7 +8,7 @@
 from pimentolatch import clock, store
 from pimentolatch.platform import objects
 
-__all__ = ["DutyLease"]
+__all__ = ["LeaderLease"]
 
 _log = logbook.Logger("lease")
 _KIND = "pimentolatch-leases"
@@ -18,7 +18,7 @@
 _MARGIN = datetime.timedelta(milliseconds=500)
 
 
-class DutyLease:
+class LeaderLease:
     """Held by one instance at a time; each change of holder raises the fence.
 
     Two holders that act by turns would undo each other's work, and a holder that was
@@ -42,28 +42,28 @@
         self,
         source: objects.ObjectStore,
         holder: str,
-        life: str,
-        between: datetime.timedelta,
+        incarnation: str,
+        handover_gap: datetime.timedelta,
         time: clock.Clock,
     ) -> None:
         self._store = source
         self._holder = holder
-        self._life = life
-        self._validity = between
+        self._incarnation = incarnation
+        self._handover_gap = handover_gap
         self._clock = time
         # Each duty has a task that renews the lease. Two writes at once conflict, and
         # the one that lost would take the lease anew with a higher fence.
-        self._turn = asyncio.Lock()
-        self._until = datetime.timedelta()
+        self._lock = asyncio.Lock()
+        self._valid_until = datetime.timedelta()
         self._version = 0
         self._fence = 0
         self._previous: str | None = None
         self._seen: tuple[int, datetime.timedelta] | None = None
 
     @property
-    def between(self) -> datetime.timedelta:
+    def handover_gap(self) -> datetime.timedelta:
         """Shortest time between acts of two holders."""
-        return self._validity
+        return self._handover_gap
 
     @property
     def fence(self) -> int:
@@ -72,11 +72,11 @@
 
     def valid(self) -> bool:
         """Tell whether this instance may act now."""
-        return self._clock.monotonic() < self._until
+        return self._clock.monotonic() < self._valid_until
 
     def give_up(self) -> None:
         """Act no more in this tenure."""
-        self._until = datetime.timedelta()
+        self._valid_until = datetime.timedelta()
         self._version = 0
 
     async def acquire(self, released_fence: int | None = None) -> bool:
@@ -85,7 +85,7 @@
         Args:
             released_fence: Fence of a tenure whose holder has said that it is through.
         """
-        async with self._turn:
+        async with self._lock:
             return await self._acquire(released_fence)
 
     async def _acquire(self, released_fence: int | None) -> bool:
@@ -106,16 +106,16 @@
         if holder == self._holder:
             return await self._write(found.version, fence + 1, previous)
         released = fence == released_fence and previous != self._holder
-        if not released and not self._quiet(found.version):
+        if not released and not self._is_abandoned(found.version):
             return False
         return await self._write(found.version, fence + 1, holder)
 
-    def _quiet(self, version: int) -> bool:
+    def _is_abandoned(self, version: int) -> bool:
         """Tell whether the lease has stood unchanged for long enough."""
         now = self._clock.monotonic()
         if self._seen is None or self._seen[0] != version:
             self._seen = (version, now)
-        return now - self._seen[1] >= 2 * self._validity + _MARGIN
+        return now - self._seen[1] >= 2 * self._handover_gap + _MARGIN
 
     async def _write(self, version: int, fence: int, previous: str | None) -> bool:
         sent = self._clock.monotonic()
@@ -123,7 +123,7 @@
         # as it was, and others would take the lease for forgotten.
         value = {
             "holder": self._holder,
-            "life": self._life,
+            "life": self._incarnation,
             "previous": previous,
             "fence": fence,
             "sent": sent.total_seconds(),
@@ -136,5 +136,5 @@
             _log.info("lease taken", fence=fence)
         self._version, self._fence = outcome.version, fence
         self._previous = previous
-        self._until = sent + self._validity - _MARGIN
+        self._valid_until = sent + self._handover_gap - _MARGIN
         return True
--- a/src/pimentolatch/gateway/peer_work.py
+++ b/src/pimentolatch/gateway/load_exchange.py
@@ -5,26 +5,26 @@
 from collections import abc
 
 from pimentolatch.decisions import engine_loads, peer_loads, subset
-from pimentolatch.gateway import cache_updates, knowledge
+from pimentolatch.gateway import cache_updates, fleet_state
 from pimentolatch.protocol import beacons
 from pimentolatch.routes import servers
 
-__all__ = ["PeerWork"]
+__all__ = ["LoadExchange"]
 
 # A datagram stays under what passes every link unfragmented.
-_LOADS_TOLD = 40
+_MAX_LOADS = 40
 # The same for sums; an even spread over pieces leaves room for chance.
-_LOADS_IN_PIECE = 32
+_LOADS_PER_CHUNK = 32
 
 
-class PeerWork:
+class LoadExchange:
     """Keeps the engines' counts of an instance in step with its peers' beacons.
 
     In a fleet where not everybody hears everybody, the instances of another failure
     domain count as one peer, which is told of by any of them.
 
     Args:
-        known: The engines, to which peers' work is added.
+        fleet: The engines, to which peers' work is added.
         own_domain: Failure domain of this instance.
         updates: Takes what peers tell of prefix caches, to be passed on.
 
@@ -34,17 +34,17 @@
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
+        fleet: fleet_state.FleetState,
         own_domain: str,
         updates: cache_updates.CacheUpdates,
     ) -> None:
-        self._known = known
+        self._fleet = fleet
         self._updates = updates
         self._domain = own_domain
         self._busy: dict[str, set[servers.Incarnation]] = {}
-        self.partly_heard = False
+        self.partial_mesh = False
 
-    def take(
+    def receive(
         self, beacon: beacons.Beacon, weight: float, now: datetime.timedelta
     ) -> None:
         """Take what a beacon tells of engines.
@@ -54,19 +54,19 @@
             weight: For how many instances its sender stands.
             now: The time.
         """
-        if self.partly_heard and beacon.failure_domain != self._domain:
-            self._take_domain(beacon, now)
+        if self.partial_mesh and beacon.failure_domain != self._domain:
+            self._receive_domain(beacon, now)
         else:
-            self._take_loads(beacon, weight, now)
-        for told_change in beacon.changing:
-            engine = self._known.engine(told_change.engine)
+            self._receive_loads(beacon, weight, now)
+        for reported_change in beacon.changing:
+            engine = self._fleet.engine(reported_change.engine)
             if engine is not None:
-                left = datetime.timedelta(milliseconds=told_change.left_ms)
+                left = datetime.timedelta(milliseconds=reported_change.left_ms)
                 engine.begin_change(
-                    engine_loads.StageChange(told_change.stage, now + left)
+                    engine_loads.StageChange(reported_change.stage, now + left)
                 )
         for part in beacon.cached:
-            self._take_cached(part)
+            self._receive_cached(part)
 
     def retain(self, live: abc.Container[str]) -> None:
         """Forget which engines the peers that have ended kept busy."""
@@ -80,7 +80,7 @@
             if engine.writing or any(engine.reading)
         ]
         found.sort(key=lambda load: sum(load.reading), reverse=True)
-        return tuple(found[:_LOADS_TOLD])
+        return tuple(found[:_MAX_LOADS])
 
     def totals(
         self, now: datetime.timedelta
@@ -93,13 +93,13 @@
         """
         works = [(engine, engine.domain_work(now)) for engine in self._engines()]
         busy = [(e, work) for e, work in works if work.writing or any(work.reading)]
-        count = max(1, math.ceil(len(busy) / _LOADS_IN_PIECE))
-        pieces: list[list[beacons.Load]] = [[] for _ in range(count)]
+        count = max(1, math.ceil(len(busy) / _LOADS_PER_CHUNK))
+        chunks: list[list[beacons.Load]] = [[] for _ in range(count)]
         for engine, work in busy:
-            pieces[_piece_of(engine, count)].append(_load(engine, work))
+            chunks[_chunk_of(engine, count)].append(_load(engine, work))
         return [
             (beacons.Piece(number, count), tuple(loads))
-            for number, loads in enumerate(pieces)
+            for number, loads in enumerate(chunks)
         ]
 
     def changing(self, now: datetime.timedelta) -> tuple[beacons.Changing, ...]:
@@ -115,52 +115,52 @@
         )
 
     def _engines(self) -> abc.Iterator[engine_loads.EngineLoad]:
-        for loads in self._known.all_loads().values():
+        for loads in self._fleet.loads_by_service().values():
             yield from loads.all()
 
-    def _take_loads(
+    def _receive_loads(
         self, beacon: beacons.Beacon, weight: float, now: datetime.timedelta
     ) -> None:
         reported = {load.engine for load in beacon.loads}
         for ended in self._busy.get(beacon.instance, set()) - reported:
-            engine = self._known.engine(ended)
+            engine = self._fleet.engine(ended)
             if engine is not None:
                 engine.peers.forget(beacon.instance)
         self._busy[beacon.instance] = reported
         for load in beacon.loads:
-            engine = self._known.engine(load.engine)
+            engine = self._fleet.engine(load.engine)
             if engine is not None:
-                told = peer_loads.PeerLoad(
+                peer_load = peer_loads.PeerLoad(
                     load.reading, load.writing, load.held, weight
                 )
-                engine.peers.hear(beacon.instance, told, now)
+                engine.peers.hear(beacon.instance, peer_load, now)
 
-    def _take_domain(self, beacon: beacons.Beacon, now: datetime.timedelta) -> None:
+    def _receive_domain(self, beacon: beacons.Beacon, now: datetime.timedelta) -> None:
         """Take a piece of what a domain has under way; see `totals`."""
         domain = beacon.failure_domain
         for load in beacon.totals:
-            engine = self._known.engine(load.engine)
+            engine = self._fleet.engine(load.engine)
             if engine is not None:
                 work = peer_loads.PeerLoad(load.reading, load.writing, load.held)
                 engine.peers.hear_domain(domain, work, now)
-        told = {load.engine for load in beacon.totals}
+        reported = {load.engine for load in beacon.totals}
         for engine in self._engines():
-            covered = _piece_of(engine, beacon.piece.count) == beacon.piece.number
-            if covered and engine.server.incarnation not in told:
+            covered = _chunk_of(engine, beacon.piece.count) == beacon.piece.number
+            if covered and engine.server.incarnation not in reported:
                 engine.peers.forget_domain(domain)
 
-    def _take_cached(self, part: beacons.CachedPart) -> None:
-        engine = self._known.engine(part.engine)
+    def _receive_cached(self, part: beacons.CachedPart) -> None:
+        engine = self._fleet.engine(part.engine)
         if engine is None:
             return
-        traits = self._known.engine_traits(engine.server.service)
+        traits = self._fleet.engine_traits(engine.server.service)
         if traits is not None and engine.cached.keep(
             part.key, part.tokens, traits.kv_tokens
         ):
-            self._updates.pass_on(part)
+            self._updates.forward(part)
 
 
-def _piece_of(engine: engine_loads.EngineLoad, count: int) -> int:
+def _chunk_of(engine: engine_loads.EngineLoad, count: int) -> int:
     """Return the piece of the totals that an engine belongs to."""
     return subset.rank(engine.server.server_id, "piece") % count
 
--- a/src/pimentolatch/gateway/spread.py
+++ b/src/pimentolatch/gateway/peer_snapshots.py
@@ -14,10 +14,10 @@
 
 from pimentolatch import clock, settings
 from pimentolatch.backend import channel
-from pimentolatch.gateway import expired, knowledge, peer_table, watching
+from pimentolatch.gateway import expired_entries, fleet_state, peer_table, store_watch
 from pimentolatch.protocol import snapshots
 
-__all__ = ["PeerSource", "SnapshotFace"]
+__all__ = ["SnapshotEndpoint", "SnapshotFetcher"]
 
 _log = logbook.Logger("spread")
 _CONFIGURATION = "/v1/configuration"
@@ -26,17 +26,19 @@
 _INTERVAL = datetime.timedelta(milliseconds=100)
 # For an instance that reads the store a peer must be ahead for this long: a watch that
 # works is at most this much behind.
-_BEHIND = datetime.timedelta(milliseconds=400)
-_LIMIT = datetime.timedelta(seconds=1)
+_MAX_WATCH_LAG = datetime.timedelta(milliseconds=400)
+_FETCH_TIMEOUT = datetime.timedelta(seconds=1)
 
 
-class SnapshotFace:
+class SnapshotEndpoint:
     """Answers peers with what this instance knows (ASGI)."""
 
     def __init__(
-        self, known: knowledge.Knowledge, expired_servers: expired.ExpiredServers
+        self,
+        fleet: fleet_state.FleetState,
+        expired_servers: expired_entries.ExpiredServers,
     ) -> None:
-        self._known = known
+        self._fleet = fleet
         self._expired = expired_servers
 
     async def __call__(
@@ -51,23 +53,25 @@
         await send({"type": "http.response.body", "body": body})
 
     def _body(self, path: str) -> bytes:
-        known = self._known
+        fleet = self._fleet
         if path == _CONFIGURATION:
-            told = snapshots.Configuration(known.configuration_spec)
-            return snapshots.encode_configuration(told)
-        if path == _SERVERS and known.servers_listed:
-            listed = tuple(known.servers.all())
+            snapshot = snapshots.Configuration(fleet.configuration_spec)
+            return snapshots.encode_configuration(snapshot)
+        if path == _SERVERS and fleet.servers_listed:
+            listed = tuple(fleet.servers.all())
             return snapshots.encode_servers(
-                snapshots.Servers(known.servers_revision, listed, self._expired.left())
+                snapshots.Servers(
+                    fleet.servers_revision, listed, self._expired.remaining()
+                )
             )
         return b""
 
 
-class PeerSource:
+class SnapshotFetcher:
     """Follows peers that are ahead of this instance.
 
     Args:
-        known: Takes what peers know.
+        fleet: Takes what peers know.
         table: Tells which peers are ahead.
         expired_servers: Takes the servers that peers doubt.
         port: Port of peers' snapshots.
@@ -75,38 +79,40 @@
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
+        fleet: fleet_state.FleetState,
         table: peer_table.PeerTable,
-        expired_servers: expired.ExpiredServers,
+        expired_servers: expired_entries.ExpiredServers,
         port: int,
         time: clock.Clock,
     ) -> None:
-        self._known = known
+        self._fleet = fleet
         self._table = table
         self._expired = expired_servers
         self._port = port
         self._clock = time
-        self._pool = channel.ChannelPool(_LIMIT)
+        self._pool = channel.ChannelPool(_FETCH_TIMEOUT)
         self._behind_since: datetime.timedelta | None = None
 
     async def run(self) -> None:
         """Look for peers that are ahead, for ever."""
         while True:
             await self._clock.sleep(_INTERVAL)
-            newer, fresher = self._ahead()
+            newer_configuration, newer_servers = self._ahead()
             now = self._clock.monotonic()
-            if newer is None and fresher is None:
+            if newer_configuration is None and newer_servers is None:
                 self._behind_since = None
                 continue
             if self._behind_since is None:
                 self._behind_since = now
-            waits = self._known.reads_store and self._known.complete
-            if waits and now - self._behind_since < _BEHIND:
+            waits = self._fleet.watches_store and self._fleet.complete
+            if waits and now - self._behind_since < _MAX_WATCH_LAG:
                 continue
-            if newer is not None:
-                await self._fetch(newer, _CONFIGURATION, self._take_configuration)
-            if fresher is not None:
-                await self._fetch(fresher, _SERVERS, self._take_servers)
+            if newer_configuration is not None:
+                await self._fetch(
+                    newer_configuration, _CONFIGURATION, self._apply_configuration
+                )
+            if newer_servers is not None:
+                await self._fetch(newer_servers, _SERVERS, self._apply_servers)
 
     def close(self) -> None:
         """Close the kept connections."""
@@ -115,14 +121,19 @@
     def _ahead(self) -> tuple[peer_table.Peer | None, peer_table.Peer | None]:
         """Return peers with a newer configuration and with newer servers, if any."""
         live = self._table.live()
-        newer = max(live, key=lambda peer: peer.beacon.configuration, default=None)
-        if newer is not None and newer.beacon.configuration <= self._known.version:
-            newer = None
-        fresher = max(live, key=lambda peer: peer.beacon.servers, default=None)
-        revision = self._known.servers_revision
-        if fresher is not None and fresher.beacon.servers <= revision:
-            fresher = None
-        return newer, fresher
+        newer_configuration = max(
+            live, key=lambda peer: peer.beacon.configuration, default=None
+        )
+        if (
+            newer_configuration is not None
+            and newer_configuration.beacon.configuration <= self._fleet.version
+        ):
+            newer_configuration = None
+        newer_servers = max(live, key=lambda peer: peer.beacon.servers, default=None)
+        revision = self._fleet.servers_revision
+        if newer_servers is not None and newer_servers.beacon.servers <= revision:
+            newer_servers = None
+        return newer_configuration, newer_servers
 
     async def _fetch(
         self,
@@ -133,7 +144,7 @@
         name = peer.beacon.instance
         address = settings.Address(host=peer.host, port=self._port)
         try:
-            async with asyncio.timeout(_LIMIT.total_seconds()):
+            async with asyncio.timeout(_FETCH_TIMEOUT.total_seconds()):
                 take(name, await self._snapshot(name, address, path))
         except (
             channel.ConnectError,
@@ -155,17 +166,17 @@
         self._pool.give_back(name, link, self._clock.monotonic())
         return content
 
-    def _take_configuration(self, name: str, body: bytes) -> None:
-        told = snapshots.decode_configuration(body)
-        if isinstance(told, snapshots.Malformed):
-            _log.warn("peer told nothing readable", peer=name, reason=told.reason)
-        elif watching.take_configuration(self._known, told.spec):
-            _log.info("configuration from peer", peer=name, version=self._known.version)
-
-    def _take_servers(self, name: str, body: bytes) -> None:
-        told = snapshots.decode_servers(body)
-        if isinstance(told, snapshots.Malformed):
-            _log.warn("peer told nothing readable", peer=name, reason=told.reason)
-        elif self._known.list_servers(told.revision, told.listed):
-            self._expired.replace(told.expired, told.expired)
-            _log.info("servers from peer", peer=name, revision=told.revision)
+    def _apply_configuration(self, name: str, body: bytes) -> None:
+        snapshot = snapshots.decode_configuration(body)
+        if isinstance(snapshot, snapshots.Malformed):
+            _log.warn("peer told nothing readable", peer=name, reason=snapshot.reason)
+        elif store_watch.apply_configuration(self._fleet, snapshot.spec):
+            _log.info("configuration from peer", peer=name, version=self._fleet.version)
+
+    def _apply_servers(self, name: str, body: bytes) -> None:
+        snapshot = snapshots.decode_servers(body)
+        if isinstance(snapshot, snapshots.Malformed):
+            _log.warn("peer told nothing readable", peer=name, reason=snapshot.reason)
+        elif self._fleet.replace_servers(snapshot.revision, snapshot.listed):
+            self._expired.replace(snapshot.expired, snapshot.expired)
+            _log.info("servers from peer", peer=name, revision=snapshot.revision)
--- a/src/pimentolatch/gateway/peer_table.py
+++ b/src/pimentolatch/gateway/peer_table.py
@@ -11,12 +11,12 @@
 __all__ = ["Peer", "PeerTable"]
 
 # An instance that was not heard for eight beacons has ended or is cut off.
-_SILENCE = datetime.timedelta(seconds=2)
+_LIVENESS_TIMEOUT = datetime.timedelta(seconds=2)
 # Instances that nobody has mentioned for this long are forgotten. Until then they are
 # written to, so that a partition that heals is noticed without the store, and count as
 # part of the fleet, since one that is cut off goes on spending its part of what is
 # shared: failure domains lose each other for minutes.
-_REMEMBERED = datetime.timedelta(minutes=10)
+_RETENTION = datetime.timedelta(minutes=10)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
 
     host: str
     beacon: beacons.Beacon
-    heard: datetime.timedelta
+    received_at: datetime.timedelta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -48,12 +48,12 @@
         own_name: str,
         own_place: neighbours.Place,
         time: clock.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._own = own_name
         self._place = own_place
         self._clock = time
-        self._chance = chance
+        self._rng = rng
         self._peers: dict[str, Peer] = {}
         self._mentions: dict[str, _Mention] = {}
         self._readers: dict[str, store_readers.Reader] = {}
@@ -63,7 +63,7 @@
         """Instances of the fleet, this one included."""
         return 1 + len(self._mentions)
 
-    def heard(self, host: str, beacon: beacons.Beacon) -> bool:
+    def receive(self, host: str, beacon: beacons.Beacon) -> bool:
         """Take a beacon; tells whether its sender was not heard before."""
         now = self._clock.monotonic()
         known = self._peers.get(beacon.instance)
@@ -72,7 +72,7 @@
         for member in beacon.members:
             self._mention(neighbours.Place(member.host, member.failure_domain), now)
         if beacon.failure_domain == self._place.failure_domain:
-            self._note_readers(beacon, now)
+            self._update_readers(beacon, now)
         return known is None or known.beacon.life != beacon.life
 
     def forget_old(self) -> None:
@@ -80,7 +80,7 @@
         now = self._clock.monotonic()
         for host in [h for h, m in self._mentions.items() if _is_old(m.at, now)]:
             del self._mentions[host]
-        for name in [n for n, p in self._peers.items() if _is_old(p.heard, now)]:
+        for name in [n for n, p in self._peers.items() if _is_old(p.received_at, now)]:
             del self._peers[name]
             self._readers.pop(name, None)
 
@@ -90,17 +90,17 @@
         return [
             peer
             for peer in self._peers.values()
-            if now - peer.heard <= _SILENCE and not peer.beacon.stopping
+            if now - peer.received_at <= _LIVENESS_TIMEOUT and not peer.beacon.stopping
         ]
 
     def places(self) -> list[neighbours.Place]:
         """Return where all other instances stand that are known."""
         return [mention.place for mention in self._mentions.values()]
 
-    def some_members(self, most: int) -> tuple[beacons.Member, ...]:
+    def sample_members(self, most: int) -> tuple[beacons.Member, ...]:
         """Return some of the instances that are known, others each time."""
         known = self.places()
-        told = self._chance.sample(known, min(most, len(known)))
+        told = self._rng.sample(known, min(most, len(known)))
         return tuple(beacons.Member(place.host, place.failure_domain) for place in told)
 
     def weights(self) -> dict[str, float]:
@@ -124,13 +124,13 @@
             for demand in peer.beacon.demands
             if demand.service == service
         ]
-        heard_of = max(1.0, (self.instances - 1) / max(1, len(live)))
+        scale = max(1.0, (self.instances - 1) / max(1, len(live)))
         return demand_rate.ServiceDemand(
-            heard_of * sum(demand.reading for demand in found),
-            heard_of * sum(demand.writing for demand in found),
+            scale * sum(demand.reading for demand in found),
+            scale * sum(demand.writing for demand in found),
         )
 
-    def reading_rate(self, service: str) -> float:
+    def prefill_rate(self, service: str) -> float:
         """Return the fastest reading that a live peer has learned, tokens in a ms.
 
         Prompts that waited teach too low a rate and none teaches too high a one, so of
@@ -148,7 +148,7 @@
         if place.host != self._place.host:
             self._mentions[place.host] = _Mention(place, now)
 
-    def _note_readers(self, beacon: beacons.Beacon, now: datetime.timedelta) -> None:
+    def _update_readers(self, beacon: beacons.Beacon, now: datetime.timedelta) -> None:
         self._readers.pop(beacon.instance, None)
         for told in beacon.readers:
             heard = now - datetime.timedelta(milliseconds=told.age_ms)
@@ -160,4 +160,4 @@
 
 
 def _is_old(at: datetime.timedelta, now: datetime.timedelta) -> bool:
-    return now - at > _REMEMBERED
+    return now - at > _RETENTION
--- a/src/pimentolatch/gateway/permission.py
+++ b/src/pimentolatch/gateway/permission.py
@@ -2,7 +2,7 @@
 
 from pimentolatch import results
 from pimentolatch.decisions import access
-from pimentolatch.gateway import inbound, knowledge, quarantine, refusals
+from pimentolatch.gateway import fleet_state, inbound, quarantine, refusals
 
 __all__ = ["Permission"]
 
@@ -16,7 +16,7 @@
     """
 
     def __init__(
-        self, known: knowledge.Knowledge, suspects: quarantine.Quarantine
+        self, known: fleet_state.FleetState, suspects: quarantine.Quarantine
     ) -> None:
         self._known = known
         self._suspects = suspects
--- a/src/pimentolatch/gateway/plain.py
+++ b/src/pimentolatch/gateway/plain.py
@@ -6,8 +6,8 @@
 from pimentolatch import clock
 from pimentolatch.decisions import repeat_budget, server_choice
 from pimentolatch.gateway import (
+    fleet_state,
     inbound,
-    knowledge,
     permission,
     quarantine,
     refusals,
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
+        known: fleet_state.FleetState,
         client: sending.ServerClient,
         choice: server_choice.ServerChoice,
         budget: repeat_budget.RepeatBudget,
@@ -101,7 +101,7 @@
                 continue
             ran += 1
             if ran == 1:
-                self._usage.began(asked.customer_name, sent_at)
+                self._usage.record_start(asked.customer_name, sent_at)
             if not may_repeat or _final(outcome):
                 break
         await _conclude(asked, answer, last, ran)
@@ -116,11 +116,11 @@
         """Note whether a server has ended under a request, or goes on."""
         if isinstance(outcome, sending.Broken):
             if outcome.server_ended:
-                self._suspects.server_ended(asked, server, begun)
+                self._suspects.record_crash(asked, server, begun)
         elif isinstance(outcome, sending.Whole | sending.Declined):
-            self._suspects.answered(server, begun)
+            self._suspects.record_response(server, begun)
             if isinstance(outcome, sending.Whole) and _successful(outcome):
-                self._suspects.completed(asked)
+                self._suspects.record_completion(asked)
 
     async def _send(
         self, server: servers.Server, asked: inbound.Inbound, may_repeat: bool
--- a/src/pimentolatch/gateway/process.py
+++ b/src/pimentolatch/gateway/process.py
@@ -14,26 +14,26 @@
 from pimentolatch.decisions import neighbours, repeat_budget, server_choice
 from pimentolatch.entry import gate, servers
 from pimentolatch.gateway import (
+    beacon_exchange,
     cache_updates,
-    duties,
-    expired,
+    expired_entries,
     face,
+    fleet_state,
     generation,
-    knowledge,
-    measuring,
+    leader_tasks,
+    peer_snapshots,
     peer_table,
-    peers,
     permission,
     plain,
     protocol,
     quarantine,
     request_log,
+    route_metrics,
     sending,
     settings,
-    spread,
-    stages,
-    store_reading,
-    watching,
+    stage_controller,
+    store_watch,
+    watch_controller,
 )
 from pimentolatch.platform import objects
 
@@ -42,11 +42,11 @@
 _log = logbook.Logger("gateway")
 # The balancer asks every second and takes an instance out after two misses; until then
 # it goes on sending new connections, which are served.
-_BALANCER_NOTICE = datetime.timedelta(seconds=2.4)
+_DRAIN_DELAY = datetime.timedelta(seconds=2.4)
 _BUDGET_INTERVAL = datetime.timedelta(seconds=1)
 # What is left of the grace when the last requests are cut, so that the process ends by
 # itself.
-_END_MARGIN = datetime.timedelta(milliseconds=400)
+_ABORT_MARGIN = datetime.timedelta(milliseconds=400)
 
 
 class GatewayInstance:
@@ -56,7 +56,7 @@
         self._settings = chosen
         self._clock = time
         self._gate = gate.Gate()
-        self._known = knowledge.Knowledge()
+        self._fleet = fleet_state.FleetState()
         self._client = sending.ServerClient(time)
         self._choice = server_choice.ServerChoice(chosen.failure_domain)
         bounds = chosen.bounds
@@ -70,56 +70,56 @@
             datetime.timedelta(seconds=chosen.store.call_timeout_s),
             time,
         )
-        self._updates = cache_updates.CacheUpdates()
-        self._measured = measuring.RouteMetrics()
+        self._cache_updates = cache_updates.CacheUpdates()
+        self._measured = route_metrics.RouteMetrics()
         self._request_log = request_log.RequestLog(time, self._measured)
         self._quarantine = quarantine.Quarantine(chosen.quarantine.policy, time)
-        self._permission = permission.Permission(self._known, self._quarantine)
-        self._life = uuid.uuid4().hex
+        self._permission = permission.Permission(self._fleet, self._quarantine)
+        self._incarnation = uuid.uuid4().hex
         self._peer_table = peer_table.PeerTable(
             chosen.instance,
             neighbours.Place(chosen.peers.host, chosen.failure_domain),
             time,
             random.Random(),
         )
-        self._duties = duties.Duties(
-            chosen, self._life, self._known, self._peer_table, self._store, time
+        self._leader_tasks = leader_tasks.LeaderTasks(
+            chosen, self._incarnation, self._fleet, self._peer_table, self._store, time
         )
         self._prompts = generation.StreamForwarder(
-            self._known,
+            self._fleet,
             self._client,
             self._budget,
             time,
             chosen.failure_domain,
-            self._updates,
+            self._cache_updates,
             self._quarantine,
             self._permission,
-            self._duties.usage,
+            self._leader_tasks.usage,
             self._request_log,
             self._measured,
         )
         self._face = servers.HttpServer(
             self._route_face(),
             chosen.clients,
-            protocol.protocol_class(self._known),
+            protocol.protocol_class(self._fleet),
             datetime.timedelta(seconds=chosen.bounds.stop_grace_s),
         )
         self._readiness = servers.HttpServer(self._ready, chosen.readiness)
-        self._known.on_change(self._drop_unlisted)
+        self._fleet.on_change(self._drop_unlisted)
         self._tasks: list[asyncio.Task[None]] = []
-        self._link_peers()
+        self._build_peer_parts()
         self._measured.registry.register(
-            measuring.StateCollector(
-                self._known,
+            route_metrics.StateCollector(
+                self._fleet,
                 self._peer_table,
                 self._quarantine,
-                self._duties.tenure,
+                self._leader_tasks.leadership,
                 self._gate,
             )
         )
         self._metrics_server: servers.HttpServer | None = None
         if chosen.metrics is not None:
-            shown = measuring.MetricsFace(self._measured)
+            shown = route_metrics.MetricsEndpoint(self._measured)
             self._metrics_server = servers.HttpServer(shown, chosen.metrics)
 
     @property
@@ -128,9 +128,9 @@
         return self._budget
 
     @property
-    def known(self) -> knowledge.Knowledge:
+    def known(self) -> fleet_state.FleetState:
         """What the instance knows."""
-        return self._known
+        return self._fleet
 
     @property
     def quarantine(self) -> quarantine.Quarantine:
@@ -142,45 +142,52 @@
         """The other instances that it knows of."""
         return self._peer_table
 
-    def _link_peers(self) -> None:
-        chosen, known, time = self._settings, self._known, self._clock
+    def _build_peer_parts(self) -> None:
+        chosen, fleet, time = self._settings, self._fleet, self._clock
         domain = chosen.failure_domain
-        self._peers = peers.Peers(
+        self._beacon_exchange = beacon_exchange.BeaconExchange(
             chosen.peers,
             chosen.instance,
             domain,
-            self._life,
-            known,
+            self._incarnation,
+            fleet,
             self._peer_table,
-            self._updates,
+            self._cache_updates,
             self._quarantine,
-            self._duties.tenure,
+            self._leader_tasks.leadership,
             self._prompts.demands,
             time,
             random.Random(),
         )
-        self._expired = expired.ExpiredServers(known, time)
-        self._source = spread.PeerSource(
-            known, self._peer_table, self._expired, chosen.peers.address.port, time
+        self._expired_servers = expired_entries.ExpiredServers(fleet, time)
+        self._snapshot_fetcher = peer_snapshots.SnapshotFetcher(
+            fleet,
+            self._peer_table,
+            self._expired_servers,
+            chosen.peers.address.port,
+            time,
         )
         self._snapshots = servers.HttpServer(
-            spread.SnapshotFace(known, self._expired), chosen.peers.address
+            peer_snapshots.SnapshotEndpoint(fleet, self._expired_servers),
+            chosen.peers.address,
         )
-        self._store_reading = store_reading.StoreReading(
+        self._watch_controller = watch_controller.WatchController(
             chosen.instance,
-            known,
+            fleet,
             self._peer_table,
             (
-                watching.ConfigurationWatch(self._store, known, time),
-                watching.ServerWatch(self._store, known, self._expired, time),
+                store_watch.ConfigurationWatch(self._store, fleet, time),
+                store_watch.ServerWatch(
+                    self._store, fleet, self._expired_servers, time
+                ),
             ),
             time,
         )
-        self._stages = stages.StageKeeper(
+        self._stage_controller = stage_controller.StageController(
             chosen.instance,
-            known,
+            fleet,
             self._peer_table,
-            self._duties.tenure,
+            self._leader_tasks.leadership,
             self._client,
             self._prompts.demand,
             time,
@@ -188,18 +195,18 @@
 
     def _route_face(self) -> face.RouteFace:
         plain_requests = plain.PlainForwarder(
-            self._known,
+            self._fleet,
             self._client,
             self._choice,
             self._budget,
             self._quarantine,
             self._permission,
-            self._duties.usage,
+            self._leader_tasks.usage,
             self._request_log,
             self._clock,
         )
         return face.RouteFace(
-            self._known,
+            self._fleet,
             (plain_requests, self._prompts),
             self._budget,
             self._gate,
@@ -210,14 +217,14 @@
         )
 
     def _drop_unlisted(self) -> None:
-        listed = {server.incarnation for server in self._known.servers.all()}
+        listed = {server.incarnation for server in self._fleet.servers.all()}
         self._client.retain(listed)
         self._choice.retain(listed)
 
     async def _ready(
         self, scope: typing.Any, receive: typing.Any, send: typing.Any
     ) -> None:
-        ready = self._gate.ready and self._known.complete
+        ready = self._gate.ready and self._fleet.complete
         await send(
             {
                 "type": "http.response.start",
@@ -230,17 +237,17 @@
     async def start(self) -> None:
         """Start the parts; raises `OSError` if an address can't be had."""
         await self._snapshots.start()
-        await self._peers.start()
-        await self._duties.start()
+        await self._beacon_exchange.start()
+        await self._leader_tasks.start()
         for work in (
-            self._store_reading.run,
-            self._expired.run,
-            self._peers.run,
-            self._source.run,
-            self._stages.run,
+            self._watch_controller.run,
+            self._expired_servers.run,
+            self._beacon_exchange.run,
+            self._snapshot_fetcher.run,
+            self._stage_controller.run,
             self._share_budget,
             self._quarantine.review,
-            *self._duties.work,
+            *self._leader_tasks.runners,
         ):
             kept = tasks.keep_running(work.__qualname__, work, self._clock)
             self._tasks.append(asyncio.create_task(kept))
@@ -288,11 +295,11 @@
         """Stop without cutting a request that ends within the grace."""
         _log.info("stopping", in_flight=self._gate.in_flight)
         self._gate.announce_stop()
-        self._duties.tenure.announce_stop()
-        self._peers.announce_stop()
-        await self._clock.sleep(_BALANCER_NOTICE)
+        self._leader_tasks.leadership.announce_stop()
+        self._beacon_exchange.announce_stop()
+        await self._clock.sleep(_DRAIN_DELAY)
         grace = datetime.timedelta(seconds=self._settings.bounds.stop_grace_s)
-        left = grace - _BALANCER_NOTICE - _END_MARGIN
+        left = grace - _DRAIN_DELAY - _ABORT_MARGIN
         # Idle connections are closed first and requests waited for then: counted before
         # that, there may be none, and one that arrives meanwhile is cut.
         closing = asyncio.create_task(self._face.stop())
@@ -316,9 +323,9 @@
         ):
             if server is not None:
                 server.abort()
-        self._peers.close()
-        self._duties.close()
-        self._source.close()
+        self._beacon_exchange.close()
+        self._leader_tasks.close()
+        self._snapshot_fetcher.close()
         self._client.close()
         self._store.close()
 
--- a/src/pimentolatch/gateway/protocol.py
+++ b/src/pimentolatch/gateway/protocol.py
@@ -4,7 +4,7 @@
 import typing
 
 from pimentolatch.entry import guard
-from pimentolatch.gateway import knowledge
+from pimentolatch.gateway import fleet_state
 
 __all__ = ["RouteProtocol", "protocol_class"]
 
@@ -13,7 +13,7 @@
     """One connection of a client; the newest limits apply to each request."""
 
     def __init__(
-        self, *args: typing.Any, known: knowledge.Knowledge, **named: typing.Any
+        self, *args: typing.Any, known: fleet_state.FleetState, **named: typing.Any
     ) -> None:
         super().__init__(*args, **named)
         self._known = known
@@ -49,6 +49,6 @@
         super().on_response_complete()
 
 
-def protocol_class(known: knowledge.Knowledge) -> typing.Callable[..., typing.Any]:
+def protocol_class(known: fleet_state.FleetState) -> typing.Callable[..., typing.Any]:
     """Return what makes the protocol of each connection."""
     return functools.partial(RouteProtocol, known=known)
--- a/src/pimentolatch/gateway/quarantine.py
+++ b/src/pimentolatch/gateway/quarantine.py
@@ -18,11 +18,11 @@
 
 _log = logbook.Logger("quarantine")
 # Pairs in one beacon, some twenty bytes each.
-_TOLD = 24
+_MAX_PAIRS = 24
 # Requests in or close to quarantine of which one beacon tells besides, in turn.
-_SERIOUS_TOLD = 2
+_MAX_SERIOUS = 2
 # How often each pair is told: datagrams get lost.
-_TIMES_TOLD = 3
+_SEND_COUNT = 3
 
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 _REVIEW_INTERVAL = datetime.timedelta(seconds=1)
@@ -42,11 +42,11 @@
     def __init__(self, policy: crash_suspects.Policy, time: clock.Clock) -> None:
         self._suspects = crash_suspects.CrashSuspects(policy)
         self._clock = time
-        self._near = crash_news.CrashNews(_TIMES_TOLD)
-        self._far = crash_news.CrashNews(_TIMES_TOLD)
+        self._near = crash_news.CrashNews(_SEND_COUNT)
+        self._far = crash_news.CrashNews(_SEND_COUNT)
         self._turn = 0
         self._logged: set[digests.RequestDigest] = set()
-        self.partly_heard = False
+        self.partial_mesh = False
 
     @property
     def size(self) -> int:
@@ -75,7 +75,7 @@
         found = {server.incarnation for server in candidates}
         return frozenset(found) - crash_suspects.own_part(asked.digest, crashes, found)
 
-    def server_ended(
+    def record_crash(
         self,
         asked: inbound.Inbound,
         server: servers.Server,
@@ -97,27 +97,29 @@
         )
         known = self._suspects.add(pair, now)
         if known is not None:
-            self._tell([known])
+            self._enqueue([known])
 
-    def answered(self, server: servers.Server, since: datetime.timedelta) -> None:
+    def record_response(
+        self, server: servers.Server, since: datetime.timedelta
+    ) -> None:
         """Note that a server has answered an exchange that began at a moment."""
-        self._tell(self._suspects.answered(server.incarnation, since))
+        self._enqueue(self._suspects.answered(server.incarnation, since))
 
-    def completed(self, asked: inbound.Inbound) -> None:
+    def record_completion(self, asked: inbound.Inbound) -> None:
         """Note that a server has run a request to its end, with success."""
-        self._tell(self._suspects.completed(asked.digest))
+        self._enqueue(self._suspects.completed(asked.digest))
 
     def take_near(self) -> tuple[beacons.Suspicion, ...]:
         """Return what near peers are to be told."""
-        news = self._near.take(_TOLD, self._suspects.crashes)
-        return self._rows(news + self._in_turn())
+        news = self._near.take(_MAX_PAIRS, self._suspects.crashes)
+        return self._rows(news + self._next_serious())
 
     def take_far(self) -> tuple[beacons.Suspicion, ...]:
         """Return what peers of other failure domains are to be told."""
-        news = self._far.take(_TOLD, self._suspects.crashes)
-        return self._rows(news + self._in_turn())
+        news = self._far.take(_MAX_PAIRS, self._suspects.crashes)
+        return self._rows(news + self._next_serious())
 
-    def take(self, told: typing.Iterable[beacons.Suspicion]) -> None:
+    def receive(self, rows: typing.Iterable[beacons.Suspicion]) -> None:
         """Take what a peer tells."""
         now = self._clock.monotonic()
         pairs = [
@@ -129,13 +131,13 @@
                 row.lasted_ms * _MILLISECOND,
                 row.server_lives,
             )
-            for row in told
+            for row in rows
         ]
         fresh = self._suspects.merge(pairs, now)
         # A peer that missed a clearing is told of it in any fleet.
-        if not self.partly_heard:
+        if not self.partial_mesh:
             fresh = [pair for pair in fresh if pair not in pairs]
-        self._tell(fresh)
+        self._enqueue(fresh)
 
     async def review(self) -> None:
         """Drop what has expired and log what has changed, for ever."""
@@ -149,18 +151,18 @@
         self._suspects.forget_old(now)
         self._log_changes(self._suspects.quarantined(now))
 
-    def _tell(self, pairs: typing.Iterable[crash_evidence.Suspicion]) -> None:
+    def _enqueue(self, pairs: typing.Iterable[crash_evidence.Suspicion]) -> None:
         for pair in pairs:
             self._near.add(pair)
             self._far.add(pair)
 
-    def _in_turn(self) -> list[crash_evidence.Suspicion]:
+    def _next_serious(self) -> list[crash_evidence.Suspicion]:
         """Return some requests with all their pairs, others each time."""
         serious = self._suspects.serious()
         if not serious:
             return []
-        self._turn += _SERIOUS_TOLD
-        chosen = {(self._turn + n) % len(serious) for n in range(_SERIOUS_TOLD)}
+        self._turn += _MAX_SERIOUS
+        chosen = {(self._turn + n) % len(serious) for n in range(_MAX_SERIOUS)}
         return [pair for number in chosen for pair in serious[number]]
 
     def _rows(
--- a/src/pimentolatch/gateway/reading.py
+++ b/src/pimentolatch/gateway/reading.py
@@ -62,14 +62,14 @@
             else:
                 loads.failed(reader, now)
             if isinstance(outcome, sending.Broken) and outcome.server_ended:
-                self._context.suspects.server_ended(asked, reader.server, begun)
+                self._context.suspects.record_crash(asked, reader.server, begun)
             progress.reason = f"prompt not read: {sending.text_of(outcome)}"
             return None
         if progress.read_before:
             progress.arrivals += 1
         progress.read_before = True
         loads.succeeded(reader, now)
-        self._context.suspects.answered(reader.server, begun)
+        self._context.suspects.record_response(reader.server, begun)
         loads.read_in(place.tokens, now - begun, ahead)
         self._context.keep(asked, reader)
         return source
@@ -102,7 +102,7 @@
 
     def release(self, source: attempt.Source) -> None:
         """Free a prompt that nobody will take, so that others get its memory."""
-        if self._context.known.has_ended(source.reader.server.incarnation):
+        if self._context.known.is_replaced(source.reader.server.incarnation):
             # The handle may name another request's prompt in the engine's new life.
             return
         task = asyncio.create_task(self._free(source))
--- a/src/pimentolatch/gateway/measuring.py
+++ b/src/pimentolatch/gateway/route_metrics.py
@@ -13,15 +13,15 @@
 from pimentolatch.decisions import prompt_sizes
 from pimentolatch.entry import gate
 from pimentolatch.gateway import (
+    fleet_state,
     inbound,
-    knowledge,
+    leadership,
     peer_table,
     quarantine,
     request_log,
-    tenure,
 )
 
-__all__ = ["MetricsFace", "RouteMetrics", "StateCollector"]
+__all__ = ["MetricsEndpoint", "RouteMetrics", "StateCollector"]
 
 _PREFIX = "pimentolatch_"
 # Dense around the targets of today, 0.1 to 1.2 s, and up to the longest deadline.
@@ -46,7 +46,7 @@
         self._answer_seconds = self._histogram(
             "answer_seconds", "Time from a request to the end of its answer.", _SECONDS
         )
-        self._sendings = self._counter(
+        self._dispatches = self._counter(
             "sendings", "Requests sent to servers, by what was asked.", "what"
         )
         self._quarantined = prometheus_client.Counter(
@@ -54,13 +54,15 @@
             "Requests that were answered at once, since servers ended under them.",
             registry=self.registry,
         )
-        self._placed = self._counter("prompts", "Prompts, by where they are read.")
-        self._ended = self._counter(
+        self._prompts = self._counter("prompts", "Prompts, by where they are read.")
+        self._prompts_ended = self._counter(
             "prompts_ended",
             "Prompts, by how they ended and by size among those of their route.",
             "size",
         )
-        self._doubts = self._counter("doubts", "Silent engines asked, by verdict.")
+        self._stall_checks = self._counter(
+            "doubts", "Silent engines asked, by verdict."
+        )
         self._expected = self._histogram(
             "expected_first_event_seconds",
             "Time to the first event that was expected.",
@@ -84,11 +86,11 @@
                 self._answer_seconds.observe(fields["ms"] / _MS_PER_S)
         elif event == request_log.SENT:
             outcome = "failed" if wrong else "answered"
-            self._sendings.labels(outcome, fields["what"]).inc()
+            self._dispatches.labels(outcome, fields["what"]).inc()
         elif event == request_log.DOUBTED:
-            self._doubts.labels(fields["verdict"]).inc()
+            self._stall_checks.labels(fields["verdict"]).inc()
         elif event == request_log.PLACED:
-            self._placed_seen(fields)
+            self._count_placement(fields)
 
     def prompt_ended(
         self, size: prompt_sizes.SizeClass, status: int, *, whole: bool
@@ -106,7 +108,7 @@
             outcome = "refused"
         else:
             outcome = "failed" if status else "client left"
-        self._ended.labels(outcome, size.value).inc()
+        self._prompts_ended.labels(outcome, size.value).inc()
 
     def first_event(self, seconds: float) -> None:
         """Count the first event of a stream."""
@@ -120,12 +122,12 @@
         """Return the metrics in the text format of Prometheus."""
         return prometheus_client.generate_latest(self.registry)
 
-    def _placed_seen(self, fields: _Fields) -> None:
+    def _count_placement(self, fields: _Fields) -> None:
         if "refused_for_ms" in fields:
-            self._placed.labels("refused").inc()
+            self._prompts.labels("refused").inc()
             return
         apart = fields["reader"] != fields["writer"]
-        self._placed.labels("apart" if apart else "in place").inc()
+        self._prompts.labels("apart" if apart else "in place").inc()
         self._expected.observe(fields["expected_ms"] / _MS_PER_S)
 
     def _counter(self, name: str, text: str, *labels: str) -> prometheus_client.Counter:
@@ -150,37 +152,41 @@
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
+        fleet: fleet_state.FleetState,
         peers: peer_table.PeerTable,
         suspects: quarantine.Quarantine,
-        held: tenure.Tenure,
-        door: gate.Gate,
+        own_leadership: leadership.Leadership,
+        request_gate: gate.Gate,
     ) -> None:
-        self._known = known
+        self._fleet = fleet
         self._peers = peers
         self._suspects = suspects
-        self._tenure = held
-        self._door = door
+        self._leadership = own_leadership
+        self._gate = request_gate
 
     def collect(self) -> typing.Iterator[core.GaugeMetricFamily]:
         """Yield the gauges."""
-        known = self._known
+        fleet = self._fleet
         for name, text, value in (
-            ("requests_in_flight", "Requests now being served.", self._door.in_flight),
-            ("configuration_version", "Version in force.", known.version),
-            ("servers", "Servers that are listed.", len(known.servers.all())),
-            ("servers_revision", "Revision of the servers.", known.servers_revision),
-            ("reads_store", "Whether it reads the store.", known.reads_store),
-            ("store_lost", "Whether the store does not answer.", known.store_lost),
+            ("requests_in_flight", "Requests now being served.", self._gate.in_flight),
+            ("configuration_version", "Version in force.", fleet.version),
+            ("servers", "Servers that are listed.", len(fleet.servers.all())),
+            ("servers_revision", "Revision of the servers.", fleet.servers_revision),
+            ("reads_store", "Whether it reads the store.", fleet.watches_store),
+            (
+                "store_lost",
+                "Whether the store does not answer.",
+                fleet.store_unreachable,
+            ),
             ("peers_heard", "Peers that were heard lately.", len(self._peers.live())),
             ("fleet_instances", "Instances of the fleet.", self._peers.instances),
             ("quarantined", "Requests kept from servers.", self._suspects.size),
-            ("holds_duties", "Whether it reports and orders.", self._tenure.active),
+            ("holds_duties", "Whether it reports and orders.", self._leadership.active),
         ):
             yield core.GaugeMetricFamily(_PREFIX + name, text, value=float(value))
 
 
-class MetricsFace:
+class MetricsEndpoint:
     """Answers every request with the metrics (ASGI)."""
 
     def __init__(self, measured: RouteMetrics) -> None:
--- a/src/pimentolatch/gateway/stages.py
+++ b/src/pimentolatch/gateway/stage_controller.py
@@ -7,67 +7,67 @@
 
 from pimentolatch import clock
 from pimentolatch.decisions import demand_rate, engine_loads, stage_plan
-from pimentolatch.gateway import knowledge, peer_table, sending, tenure
+from pimentolatch.gateway import fleet_state, leadership, peer_table, sending
 from pimentolatch.platform import engines
 from pimentolatch.routes import servers, table
 
-__all__ = ["StageKeeper"]
+__all__ = ["StageController"]
 
 _log = logbook.Logger("stages")
 _INTERVAL = datetime.timedelta(milliseconds=500)
-_CALL_LIMIT = datetime.timedelta(milliseconds=800)
+_CALL_TIMEOUT = datetime.timedelta(milliseconds=800)
 # An order that got no answer may still be carried out this much later.
-_UNSETTLED = datetime.timedelta(seconds=13)
+_UNKNOWN_PERIOD = datetime.timedelta(seconds=13)
 _ACCEPTED = (200, 202)
 _FENCED_OFF = 412
 
 
-class StageKeeper:
+class StageController:
     """Plans stages while this instance does the duties of one holder."""
 
     def __init__(
         self,
         own_name: str,
-        known: knowledge.Knowledge,
+        fleet: fleet_state.FleetState,
         table_of_peers: peer_table.PeerTable,
-        held: tenure.Tenure,
+        own_leadership: leadership.Leadership,
         client: sending.ServerClient,
         own_demand: abc.Callable[[str], demand_rate.ServiceDemand],
         time: clock.Clock,
     ) -> None:
         self._name = own_name
-        self._known = known
+        self._fleet = fleet
         self._peers = table_of_peers
-        self._tenure = held
+        self._leadership = own_leadership
         self._client = client
         self._own_demand = own_demand
         self._clock = time
         self._planners: dict[str, stage_plan.StagePlanner] = {}
-        self._unsettled: dict[str, datetime.timedelta] = {}
+        self._unknown_until: dict[str, datetime.timedelta] = {}
 
     async def run(self) -> None:
         """Look for changes that are worth their price, for ever."""
         while True:
             await self._clock.sleep(_INTERVAL)
-            if not self._tenure.leads():
+            if not self._leadership.leads():
                 continue
-            for service in list(self._known.all_loads()):
-                await self._look(service)
+            for service in list(self._fleet.loads_by_service()):
+                await self._plan_service(service)
 
-    async def _look(self, service: str) -> None:
-        traits = self._known.engine_traits(service)
-        if traits is None or self._known.configuration is None:
+    async def _plan_service(self, service: str) -> None:
+        traits = self._fleet.engine_traits(service)
+        if traits is None or self._fleet.configuration is None:
             return
-        loads = self._known.loads(service)
+        loads = self._fleet.loads(service)
         planner = self._planners.setdefault(service, stage_plan.StagePlanner())
         now = self._clock.monotonic()
         own, others = self._own_demand(service), self._peers.demand(service)
         changes = planner.plan(
             loads,
             traits,
-            _pause_target(self._known.configuration, service),
+            _pause_target(self._fleet.configuration, service),
             own.reading + others.reading,
-            max(loads.reading_rate, self._peers.reading_rate(service)),
+            max(loads.reading_rate, self._peers.prefill_rate(service)),
             now,
         )
         for change in changes:
@@ -76,34 +76,34 @@
 
     async def carry_out(self, change: stage_plan.Change) -> bool:
         """Order a change; tells whether it was or may have been accepted."""
-        if self._is_unsettled(change.engine.server_id, self._clock.monotonic()):
+        if self._is_outcome_unknown(change.engine.server_id, self._clock.monotonic()):
             return False
-        server = self._known.servers.get(change.engine.server_id)
+        server = self._fleet.servers.get(change.engine.server_id)
         if server is None or server.incarnation != change.engine:
             return False
-        if not await self._tenure.acquire():
+        if not await self._leadership.acquire():
             return False
         async with self._client.conversation(server) as calls:
             ordered = await self._order(calls, server, change)
-        if ordered and not self._is_unsettled(
+        if ordered and not self._is_outcome_unknown(
             server.server_id, self._clock.monotonic()
         ):
-            self._tell(change)
+            self._mark_changing(change)
         return ordered
 
-    def _tell(self, change: stage_plan.Change) -> None:
+    def _mark_changing(self, change: stage_plan.Change) -> None:
         """Pass over an engine that has accepted an order, and have peers do so."""
-        engine = self._known.engine(change.engine)
+        engine = self._fleet.engine(change.engine)
         if engine is None:
             return
-        traits = self._known.engine_traits(engine.server.service)
+        traits = self._fleet.engine_traits(engine.server.service)
         if traits is not None:
             away = traits.stage_change + stage_plan.STREAMS_END
             until = self._clock.monotonic() + away
             engine.begin_change(engine_loads.StageChange(change.stage, until))
 
-    def _is_unsettled(self, server_id: str, now: datetime.timedelta) -> bool:
-        until = self._unsettled.get(server_id)
+    def _is_outcome_unknown(self, server_id: str, now: datetime.timedelta) -> bool:
+        until = self._unknown_until.get(server_id)
         return until is not None and now < until
 
     async def _order(
@@ -118,7 +118,7 @@
         the report's connection. An engine that starts again in between counts from
         nothing: its new life might carry out an order that was meant for the former.
         """
-        report = await calls.call("GET", engines.REPORT_TARGET, limit=_CALL_LIMIT)
+        report = await calls.call("GET", engines.REPORT_TARGET, limit=_CALL_TIMEOUT)
         if not isinstance(report, sending.Whole):
             _log.info("no report, no order", server=server.server_id)
             return False
@@ -131,23 +131,23 @@
         ):
             _log.info("started again, no order", server=server.server_id)
             return False
-        if not self._tenure.valid():
+        if not self._leadership.valid():
             return False
         order = engines.StageOrder(
-            change.stage.value, self._name, self._tenure.fence, state.orders
+            change.stage.value, self._name, self._leadership.fence, state.orders
         )
         answer = await calls.call(
             "POST",
             engines.ORDER_TARGET,
             engines.order_fields(server.server_id),
             engines.encode_stage_order(order),
-            limit=_CALL_LIMIT,
+            limit=_CALL_TIMEOUT,
         )
         _log.info(
             "stage ordered",
             server=server.server_id,
             stage=change.stage.value,
-            fence=self._tenure.fence,
+            fence=self._leadership.fence,
             reading_share=round(change.reading_share, 2),
             writing_share=round(change.writing_share, 2),
             reading_rate=round(change.reading_rate, 1),
@@ -156,10 +156,12 @@
         if isinstance(answer, sending.NotSent):
             return False
         if isinstance(answer, sending.Broken):
-            self._unsettled[server.server_id] = self._clock.monotonic() + _UNSETTLED
+            self._unknown_until[server.server_id] = (
+                self._clock.monotonic() + _UNKNOWN_PERIOD
+            )
             return True
         if answer.status == _FENCED_OFF:
-            self._tenure.fenced_off()
+            self._leadership.fenced_off()
         return answer.status in _ACCEPTED
 
 
--- a/src/pimentolatch/gateway/watching.py
+++ b/src/pimentolatch/gateway/store_watch.py
@@ -7,20 +7,20 @@
 import logbook
 
 from pimentolatch import backoff, clock, store
-from pimentolatch.gateway import expired, knowledge
+from pimentolatch.gateway import expired_entries, fleet_state
 from pimentolatch.platform import configuration, entries, objects
 from pimentolatch.routes import servers
 
 __all__ = [
     "ConfigurationWatch",
     "ServerWatch",
-    "take_configuration",
+    "apply_configuration",
 ]
 
 _log = logbook.Logger("watch")
 # The store answers a waiting watch at the latest after this; the connection's own
 # probes notice a silent one long before.
-_WAIT = datetime.timedelta(seconds=30)
+_WATCH_TIMEOUT = datetime.timedelta(seconds=30)
 _FIRST_PAUSE = datetime.timedelta(milliseconds=100)
 # With the store out, every instance of a domain asks for it: one call a second each.
 _LONGEST_PAUSE = datetime.timedelta(seconds=2)
@@ -28,10 +28,10 @@
 # register one by one, each of a domain's readers asked once for each of them: half of
 # the 2,038 calls that 195 instances made in 50 seconds. A leaving server may be sent
 # requests for seconds yet, and one that crashed is noticed by its requests.
-_GATHERED = datetime.timedelta(milliseconds=300)
+_COALESCE_INTERVAL = datetime.timedelta(milliseconds=300)
 # Entries expire after three heartbeats of silence. A store that was away for less has
 # dropped none by mistake.
-_LAPSING = datetime.timedelta(seconds=2.5)
+_MIN_EXPIRY = datetime.timedelta(seconds=2.5)
 
 
 class _Watch:
@@ -47,25 +47,25 @@
     """
 
     kind: typing.ClassVar[str]
-    gathered: typing.ClassVar[datetime.timedelta] = datetime.timedelta()
+    coalesce_interval: typing.ClassVar[datetime.timedelta] = datetime.timedelta()
 
     def __init__(
         self,
         source: objects.ObjectStore,
-        known: knowledge.Knowledge,
+        fleet: fleet_state.FleetState,
         time: clock.Clock,
     ) -> None:
         self._store = source
-        self._known = known
+        self._fleet = fleet
         self._clock = time
         self._pause = backoff.Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, random.Random())
         self._revision: int | None = None
-        self.lost = False
+        self.unreachable = False
 
     async def catch_up(self) -> None:
         """List the kind once."""
         if await self._step() is None:
-            self._heard()
+            self._on_response()
 
     async def run(self) -> None:
         """Follow the store for ever, from a listing on."""
@@ -73,16 +73,16 @@
         while True:
             outcome = await self._step()
             if isinstance(outcome, store.Unavailable):
-                if not self.lost:
+                if not self.unreachable:
                     _log.warn("store lost", kind=self.kind, reason=outcome.reason)
-                self.lost = True
+                self.unreachable = True
                 self._revision = None
                 await self._clock.sleep(self._pause.next_pause())
                 continue
-            if self.lost:
+            if self.unreachable:
                 _log.info("store regained", kind=self.kind, revision=self._revision)
-            self.lost = False
-            self._heard()
+            self.unreachable = False
+            self._on_response()
             self._pause.reset()
 
     async def _step(self) -> store.Unavailable | None:
@@ -91,9 +91,11 @@
             if isinstance(listing, store.Unavailable):
                 return listing
             self._revision = listing.revision
-            self._listed(listing)
+            self._apply_listing(listing)
             return None
-        outcome = await self._store.watch(self.kind, after=self._revision, wait=_WAIT)
+        outcome = await self._store.watch(
+            self.kind, after=self._revision, wait=_WATCH_TIMEOUT
+        )
         if isinstance(outcome, store.Unavailable):
             return outcome
         if isinstance(outcome, store.HistoryGone):
@@ -101,18 +103,18 @@
             self._revision = None
             return None
         self._revision = outcome.revision
-        self._changed(outcome)
-        if self.gathered:
-            await self._clock.sleep(self.gathered)
+        self._apply_changes(outcome)
+        if self.coalesce_interval:
+            await self._clock.sleep(self.coalesce_interval)
         return None
 
-    def _listed(self, listing: store.Listing) -> None:
+    def _apply_listing(self, listing: store.Listing) -> None:
         raise NotImplementedError
 
-    def _changed(self, changes: store.Changes) -> None:
+    def _apply_changes(self, changes: store.Changes) -> None:
         raise NotImplementedError
 
-    def _heard(self) -> None:
+    def _on_response(self) -> None:
         """Note that the store has answered."""
 
 
@@ -121,16 +123,16 @@
 
     kind = configuration.CONFIGURATION_KIND
 
-    def _listed(self, listing: store.Listing) -> None:
-        self._take(listing.objects)
+    def _apply_listing(self, listing: store.Listing) -> None:
+        self._apply(listing.objects)
 
-    def _changed(self, changes: store.Changes) -> None:
-        self._take(changes.changed)
+    def _apply_changes(self, changes: store.Changes) -> None:
+        self._apply(changes.changed)
 
-    def _take(self, found: tuple[store.Found, ...]) -> None:
+    def _apply(self, found: tuple[store.Found, ...]) -> None:
         for item in found:
             if item.name == configuration.CONFIGURATION_NAME:
-                take_configuration(self._known, item.value)
+                apply_configuration(self._fleet, item.value)
 
 
 class ServerWatch(_Watch):
@@ -141,47 +143,47 @@
     """
 
     kind = entries.SERVER_KIND
-    gathered = _GATHERED
+    coalesce_interval = _COALESCE_INTERVAL
 
     def __init__(
         self,
         source: objects.ObjectStore,
-        known: knowledge.Knowledge,
-        expired_servers: expired.ExpiredServers,
+        fleet: fleet_state.FleetState,
+        expired_servers: expired_entries.ExpiredServers,
         time: clock.Clock,
     ) -> None:
-        super().__init__(source, known, time)
+        super().__init__(source, fleet, time)
         self._expired = expired_servers
         self._unusable: set[str] = set()
 
-    def _listed(self, listing: store.Listing) -> None:
-        away = self._clock.monotonic() - self._known.servers_heard
+    def _apply_listing(self, listing: store.Listing) -> None:
+        away = self._clock.monotonic() - self._fleet.servers_confirmed_at
         self._unusable &= {item.name for item in listing.objects}
-        listed = self._usable(listing.objects)
+        listed = self._decode_usable(listing.objects)
         missing: list[servers.Server] = []
-        if away >= _LAPSING and self._known.servers_listed:
+        if away >= _MIN_EXPIRY and self._fleet.servers_listed:
             named = {item.name for item in listing.objects}
-            known = self._known.servers.all()
+            known = self._fleet.servers.all()
             missing = [server for server in known if server.server_id not in named]
         self._expired.replace(server.server_id for server in missing)
-        self._known.list_servers(listing.revision, [*listed, *missing])
+        self._fleet.replace_servers(listing.revision, [*listed, *missing])
 
-    def _heard(self) -> None:
-        self._known.servers_heard = self._clock.monotonic()
+    def _on_response(self) -> None:
+        self._fleet.servers_confirmed_at = self._clock.monotonic()
 
-    def _changed(self, changes: store.Changes) -> None:
-        self._expired.settled(changes.removed)
-        self._expired.settled(item.name for item in changes.changed)
+    def _apply_changes(self, changes: store.Changes) -> None:
+        self._expired.confirm(changes.removed)
+        self._expired.confirm(item.name for item in changes.changed)
         self._unusable -= set(changes.removed)
-        usable = self._usable(changes.changed)
+        usable = self._decode_usable(changes.changed)
         # An entry that can't be used replaces a good one: it names no server now.
         named = {server.server_id for server in usable}
         unusable = [item.name for item in changes.changed if item.name not in named]
-        self._known.change_servers(
+        self._fleet.update_servers(
             changes.revision, usable, [*changes.removed, *unusable]
         )
 
-    def _usable(self, found: tuple[store.Found, ...]) -> list[servers.Server]:
+    def _decode_usable(self, found: tuple[store.Found, ...]) -> list[servers.Server]:
         """Return the servers that entries name; log each that becomes unusable."""
         usable = []
         for item in found:
@@ -195,14 +197,14 @@
         return usable
 
 
-def take_configuration(known: knowledge.Knowledge, spec: typing.Any) -> bool:
+def apply_configuration(fleet: fleet_state.FleetState, spec: typing.Any) -> bool:
     """Put a configuration in force if it is newer; tells whether it was."""
     try:
         decoded = configuration.decode(spec)
     except configuration.UNREADABLE as error:
         _log.error("configuration not understood", reason=repr(error))
         return False
-    if not known.configure(decoded, spec):
+    if not fleet.configure(decoded, spec):
         return False
     _log.info("configuration in force", version=decoded.version)
     return True
--- a/src/pimentolatch/gateway/usage_exchange.py
+++ b/src/pimentolatch/gateway/usage_exchange.py
@@ -8,29 +8,29 @@
 
 from pimentolatch import clock, settings
 from pimentolatch.decisions import subset, usage
-from pimentolatch.gateway import datagrams, peer_table, tenure
+from pimentolatch.gateway import datagrams, leadership, peer_table
 from pimentolatch.protocol import usage_rows
 
-__all__ = ["NoUsage", "UsageCounter", "UsageExchange"]
+__all__ = ["NullUsageCounter", "UsageCounter", "UsageExchange"]
 
 _log = logbook.Logger("usage")
 # Counts that an instance has not told are lost if it ends: a second of its requests.
 _INTERVAL = datetime.timedelta(seconds=1)
 # Neighbours that keep the counts of an instance which ends.
-_KEEPERS = 2
+_BACKUPS = 2
 
 
 class UsageCounter(typing.Protocol):
     """Takes note of requests that begin to run."""
 
-    def began(self, customer: str | None, moment: datetime.datetime) -> None:
+    def record_start(self, customer: str | None, moment: datetime.datetime) -> None:
         """Count a request; None for one that belongs to nobody."""
 
 
-class NoUsage:
+class NullUsageCounter:
     """Counts nothing, where nobody asks for reports."""
 
-    def began(self, customer: str | None, moment: datetime.datetime) -> None:
+    def record_start(self, customer: str | None, moment: datetime.datetime) -> None:
         """See `UsageCounter.began`."""
 
 
@@ -50,16 +50,16 @@
         address: settings.Address,
         book: usage.UsageBook,
         peers: peer_table.PeerTable,
-        held: tenure.Tenure,
+        own_leadership: leadership.Leadership,
         time: clock.Clock,
     ) -> None:
         super().__init__(address)
         self._book = book
         self._peers = peers
-        self._tenure = held
+        self._leadership = own_leadership
         self._clock = time
 
-    def began(self, customer: str | None, moment: datetime.datetime) -> None:
+    def record_start(self, customer: str | None, moment: datetime.datetime) -> None:
         """See `UsageCounter.began`."""
         if customer is not None and not self._book.began(customer, moment):
             _log.warn("began in a window that has settled", customer=customer)
@@ -67,20 +67,20 @@
     async def run(self) -> None:
         """Tell the counts again and again, for ever."""
         while True:
-            self.tell()
+            self.send_counts()
             await self._clock.sleep(_INTERVAL)
 
-    def tell(self) -> None:
+    def send_counts(self) -> None:
         """Tell the counts of this instance, and of those that are gone, once."""
         own = self._book.own_rows(self._clock.now())
         live = self._peers.live()
-        holder = self._tenure.host
-        told = set(self._keepers(live))
+        holder = self._leadership.host
+        receivers = set(self._backup_hosts(live))
         if holder is not None and holder != self._address.host:
-            told.add(holder)
-            ended = self._book.rows_of_ended(_names(live))
-            self.send({holder}, _datagrams(ended))
-        self.send(told, _datagrams(own))
+            receivers.add(holder)
+            terminated = self._book.rows_of_ended(_names(live))
+            self.send({holder}, _datagrams(terminated))
+        self.send(receivers, _datagrams(own))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Take a row."""
@@ -90,11 +90,11 @@
             return
         self._book.take(row)
 
-    def _keepers(self, live: abc.Iterable[peer_table.Peer]) -> list[str]:
+    def _backup_hosts(self, live: abc.Iterable[peer_table.Peer]) -> list[str]:
         """Return the neighbours that keep this instance's counts."""
         hosts = (peer.host for peer in live)
         return sorted(hosts, key=lambda host: subset.rank(self._address.host, host))[
-            :_KEEPERS
+            :_BACKUPS
         ]
 
 
--- a/src/pimentolatch/gateway/usage_reports.py
+++ b/src/pimentolatch/gateway/usage_reports.py
@@ -8,7 +8,7 @@
 
 from pimentolatch import clock, store
 from pimentolatch.decisions import usage
-from pimentolatch.gateway import peer_table, tenure
+from pimentolatch.gateway import leadership, peer_table
 from pimentolatch.platform import control_api, objects
 
 __all__ = ["UsageReporter"]
@@ -18,11 +18,11 @@
 _NAME = "windows"
 _INTERVAL = datetime.timedelta(milliseconds=500)
 # Pause after a call that was not accepted.
-_PAUSE = datetime.timedelta(seconds=1)
+_RETRY_PAUSE = datetime.timedelta(seconds=1)
 # Windows whose content the store keeps; a report that is later than this is of no use.
-_KEPT = 8
+_STORED_WINDOWS = 8
 # Calls in a row that did not reach the receiver before the tenure is left to others.
-_MOST_OUT_OF_REACH = 2
+_MAX_UNREACHABLE_CALLS = 2
 
 _Counts = dict[str, int]
 
@@ -59,7 +59,7 @@
         length: datetime.timedelta,
         book: usage.UsageBook,
         peers: peer_table.PeerTable,
-        held: tenure.Tenure,
+        own_leadership: leadership.Leadership,
         source: objects.ObjectStore,
         receiver: control_api.ControlApi,
         time: clock.Clock,
@@ -68,7 +68,7 @@
         self._length = length
         self._book = book
         self._peers = peers
-        self._tenure = held
+        self._leadership = own_leadership
         self._store = source
         self._receiver = receiver
         self._clock = time
@@ -76,31 +76,31 @@
         self._record_fence = 0
         self._accepted: set[int] = set()
         self._unanswered: set[int] = set()
-        self._out_of_reach = 0
+        self._unreachable_calls = 0
 
     async def run(self) -> None:
         """Report windows when they are complete, for ever."""
         while True:
             await self._clock.sleep(_INTERVAL)
-            if self._tenure.active and not await self.look():
-                await self._clock.sleep(_PAUSE)
+            if self._leadership.active and not await self.report_due():
+                await self._clock.sleep(_RETRY_PAUSE)
 
-    async def look(self) -> bool:
+    async def report_due(self) -> bool:
         """Report what is complete; False if a call was not accepted."""
         newest = usage.window_of(self._clock.now(), self._length)
         counted = range(newest - usage.KEPT_WINDOWS + 1, newest)
-        oldest = newest - _KEPT + 1
+        oldest = newest - _STORED_WINDOWS + 1
         self._accepted = {window for window in self._accepted if window >= oldest}
         self._unanswered = {window for window in self._unanswered if window >= oldest}
         for window in sorted({*self._unanswered, *counted} - self._accepted):
-            counts = await self._fixed(window)
+            counts = await self._committed_counts(window)
             if counts is None:
                 continue
             if not await self._send(window, counts):
                 return False
         return True
 
-    async def _fixed(self, window: int) -> _Counts | None:
+    async def _committed_counts(self, window: int) -> _Counts | None:
         """Return what a window's report says; None if that is not settled yet."""
         if not await self._read_record():
             return None
@@ -109,10 +109,12 @@
         if known is not None:
             return known
         live = [peer.beacon.instance for peer in self._peers.live()]
-        total = self._book.total(window, live, self._clock.now(), self._tenure.since)
+        total = self._book.total(
+            window, live, self._clock.now(), self._leadership.since
+        )
         if total is None:
             return None
-        if not await self._fix(window, dict(total.counts)):
+        if not await self._commit(window, dict(total.counts)):
             return None
         _log.info(
             "usage of a window fixed",
@@ -125,23 +127,23 @@
 
     async def _read_record(self) -> bool:
         """Know what the store holds, read anew in each tenure."""
-        if not await self._tenure.acquire():
+        if not await self._leadership.acquire():
             return False
-        if self._record is not None and self._record_fence == self._tenure.fence:
+        if self._record is not None and self._record_fence == self._leadership.fence:
             return True
         found = await self._store.get(_KIND, _NAME)
         if isinstance(found, store.Unavailable):
             _log.warn("usage record not read", reason=found.reason)
             return False
         self._record = _record_of(found)
-        self._record_fence = self._tenure.fence
+        self._record_fence = self._leadership.fence
         return True
 
-    async def _fix(self, window: int, counts: _Counts) -> bool:
+    async def _commit(self, window: int, counts: _Counts) -> bool:
         """Write what a window's report says; False if it is not certain."""
         assert self._record is not None
         windows = self._record.windows | {window: counts}
-        kept = dict(sorted(windows.items())[-_KEPT:])
+        kept = dict(sorted(windows.items())[-_STORED_WINDOWS:])
         value = {"windows": {str(number): found for number, found in kept.items()}}
         outcome = await self._store.put(
             _KIND, _NAME, value, if_version=self._record.version
@@ -155,9 +157,9 @@
         return False
 
     async def _send(self, window: int, counts: _Counts) -> bool:
-        if not await self._tenure.acquire() or not self._tenure.valid():
+        if not await self._leadership.acquire() or not self._leadership.valid():
             return False
-        holder = control_api.Holder(self._name, self._tenure.fence)
+        holder = control_api.Holder(self._name, self._leadership.fence)
         outcome = await self._receiver.report_usage(holder, window, counts)
         _log.info(
             "usage reported",
@@ -166,23 +168,23 @@
             fence=holder.fence,
             outcome=repr(outcome),
         )
-        return self._note(window, outcome)
+        return self._record_outcome(window, outcome)
 
-    def _note(self, window: int, outcome: control_api.Outcome) -> bool:
+    def _record_outcome(self, window: int, outcome: control_api.Outcome) -> bool:
         """Note what became of a report; False if it was not accepted."""
         if isinstance(outcome, control_api.Accepted):
             self._accepted.add(window)
             self._unanswered.discard(window)
-            self._out_of_reach = 0
+            self._unreachable_calls = 0
             return True
         self._unanswered.add(window)
         if isinstance(outcome, control_api.FencedOff):
-            self._tenure.fenced_off()
+            self._leadership.fenced_off()
         elif isinstance(outcome, control_api.Unanswered):
-            self._out_of_reach += 1
-            if self._out_of_reach >= _MOST_OUT_OF_REACH:
-                self._out_of_reach = 0
-                self._tenure.out_of_reach()
+            self._unreachable_calls += 1
+            if self._unreachable_calls >= _MAX_UNREACHABLE_CALLS:
+                self._unreachable_calls = 0
+                self._leadership.receiver_unreachable()
         return False
 
 
--- a/src/pimentolatch/gateway/store_reading.py
+++ b/src/pimentolatch/gateway/watch_controller.py
@@ -7,26 +7,26 @@
 
 from pimentolatch import clock, tasks
 from pimentolatch.decisions import store_readers
-from pimentolatch.gateway import knowledge, peer_table, watching
+from pimentolatch.gateway import fleet_state, peer_table, store_watch
 
-__all__ = ["StoreReading"]
+__all__ = ["WatchController"]
 
 _log = logbook.Logger("watch")
 # After a start peers are heard before anybody watches: in a fleet that starts at one
 # moment each server that registers would wake a watch of every instance. Until then the
 # first listing holds, and peers that know more are heard.
 _SETTLING = datetime.timedelta(seconds=1)
-_LOOK = datetime.timedelta(milliseconds=250)
+_CHECK_INTERVAL = datetime.timedelta(milliseconds=250)
 # Readers that come and go with the loss of a beacon would list anew each time.
-_LEAST_UNNEEDED = datetime.timedelta(seconds=2)
+_STOP_DELAY = datetime.timedelta(seconds=2)
 
 
-class StoreReading:
+class WatchController:
     """Starts and ends the watches.
 
     Args:
         own_name: Name of this instance.
-        known: What this instance knows.
+        fleet: What this instance knows.
         table: Tells who else reads.
         watches: Follow one kind each.
     """
@@ -34,13 +34,13 @@
     def __init__(
         self,
         own_name: str,
-        known: knowledge.Knowledge,
+        fleet: fleet_state.FleetState,
         table: peer_table.PeerTable,
-        watches: tuple[watching.ConfigurationWatch, watching.ServerWatch],
+        watches: tuple[store_watch.ConfigurationWatch, store_watch.ServerWatch],
         time: clock.Clock,
     ) -> None:
         self._name = own_name
-        self._known = known
+        self._fleet = fleet
         self._table = table
         self._watches = watches
         self._clock = time
@@ -53,24 +53,26 @@
             await asyncio.gather(*(watch.catch_up() for watch in self._watches))
             await self._clock.sleep(_SETTLING)
             while True:
-                self._look()
-                await self._clock.sleep(_LOOK)
+                self._check()
+                await self._clock.sleep(_CHECK_INTERVAL)
         finally:
-            self._end()
+            self._stop()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now = self._clock.monotonic()
         if store_readers.reads(self._name, self._table.readers(), now):
             self._needed_at = now
-            self._begin()
+            self._start()
         else:
-            self._known.servers_heard = now
-            if now - self._needed_at >= _LEAST_UNNEEDED:
-                self._end()
-        self._known.reads_store = bool(self._running)
-        self._known.store_lost = any(watch.lost for watch in self._watches)
+            self._fleet.servers_confirmed_at = now
+            if now - self._needed_at >= _STOP_DELAY:
+                self._stop()
+        self._fleet.watches_store = bool(self._running)
+        self._fleet.store_unreachable = any(
+            watch.unreachable for watch in self._watches
+        )
 
-    def _begin(self) -> None:
+    def _start(self) -> None:
         if self._running:
             return
         _log.info("reading the store")
@@ -78,7 +80,7 @@
             kept = tasks.keep_running(watch.kind, watch.run, self._clock)
             self._running.append(asyncio.create_task(kept))
 
-    def _end(self) -> None:
+    def _stop(self) -> None:
         if not self._running:
             return
         _log.info("leaving the store to others", readers=self._table.readers())
@@ -86,4 +88,4 @@
             task.cancel()
         self._running = []
         for watch in self._watches:
-            watch.lost = False
+            watch.unreachable = False
--- a/src/pimentolatch/gateway/writing.py
+++ b/src/pimentolatch/gateway/writing.py
@@ -108,7 +108,7 @@
         if isinstance(outcome, sending.Broken):
             self._count_run(writing)
             if outcome.server_ended:
-                self._context.suspects.server_ended(asked, engine.server, begun)
+                self._context.suspects.record_crash(asked, engine.server, begun)
         return False
 
     def _count_run(self, writing: attempt.Writing) -> None:
@@ -141,7 +141,7 @@
             opened.link.close()
             progress.reason = str(error)
             broken = sending.Broken(progress.reason, server_ended=True)
-            self._context.suspects.server_ended(asked, engine.server, begun)
+            self._context.suspects.record_crash(asked, engine.server, begun)
             self._context.log_sent(
                 asked, engine, "stream", broken, asked.arrived, progress.last_event
             )
@@ -152,8 +152,8 @@
                 return True
             return False
         loads.succeeded(engine, self._context.clock.monotonic())
-        self._context.suspects.answered(engine.server, begun)
-        self._context.suspects.completed(asked)
+        self._context.suspects.record_response(engine.server, begun)
+        self._context.suspects.record_completion(asked)
         return True
 
     async def _failed_answer(
@@ -232,7 +232,7 @@
         if not writing.progress.begun:
             writing.progress.begun = True
             name = writing.asked.customer_name
-            self._context.usage.began(name, self._context.clock.now())
+            self._context.usage.record_start(name, self._context.clock.now())
 
     def _measure(self, writing: attempt.Writing, now: datetime.timedelta) -> None:
         """Count what the client sees, whichever engines its events come from."""
--- a/tests/features/steps/capacity_steps.py
+++ b/tests/features/steps/capacity_steps.py
@@ -10,7 +10,7 @@
 
 from pimentolatch import clock, settings
 from pimentolatch.decisions import server_plan
-from pimentolatch.gateway import capacity, knowledge
+from pimentolatch.gateway import capacity_controller, fleet_state
 from pimentolatch.platform import configuration, control_api
 from pimentolatch.routes import servers, table
 from standins import memory_store, objects
@@ -190,7 +190,7 @@
     """A service whose servers come and go as they are ordered, at once."""
 
     def __init__(self, context):
-        self.known = knowledge.Knowledge()
+        self.known = fleet_state.FleetState()
         spec = route_world.configuration(1, route_world.ROUTES)
         spec["services"][0]["scaling"] = {
             "min": 1,
@@ -210,7 +210,7 @@
     def list(self):
         self.revision += 1
         address = settings.Address.from_text("127.0.0.1:80")
-        self.known.list_servers(
+        self.known.replace_servers(
             self.revision,
             [
                 servers.Server(
@@ -237,7 +237,7 @@
     def keeper(self, name):
         store = memory_store.MemoryStore(self.table, time=self.time, link=name)
         held = Tenure()
-        kept = capacity.CapacityKeeper(
+        kept = capacity_controller.CapacityController(
             name,
             self.known,
             held,
@@ -252,7 +252,7 @@
         async def steps():
             for _ in range(2 * seconds):
                 self.time.advance(SECOND / 2)
-                await kept.look()
+                await kept.order_due()
 
         with logbook.NullHandler().applicationbound():
             asyncio.run(steps())
--- a/tests/features/steps/crash_suspects_steps.py
+++ b/tests/features/steps/crash_suspects_steps.py
@@ -40,7 +40,7 @@
 
 def tell(kept, name, digest=DIGEST, age_ms=0):
     row = beacons.Suspicion(digest, servers.Incarnation(name), False, age_ms)
-    kept.take([row])
+    kept.receive([row])
 
 
 @behave.given("suspects: a request under which servers {names} ended {when}")
@@ -57,7 +57,7 @@
     for name in names_in(names):
         begun = context.time.monotonic()
         context.time.advance(SECOND / 10)
-        context.kept.server_ended(REQUEST, server(name), begun)
+        context.kept.record_crash(REQUEST, server(name), begun)
 
 
 @behave.given("suspects: servers end {times} ms after they were sent a request")
@@ -70,7 +70,7 @@
         context.time.advance(SECOND)
         begun = context.time.monotonic()
         context.time.advance(int(lasted) * SECOND / 1000)
-        context.kept.server_ended(REQUEST, server(f"s{number}"), begun)
+        context.kept.record_crash(REQUEST, server(f"s{number}"), begun)
         context.ends[f"s{number}"] = begun
     context.time.advance(SETTLED)
 
@@ -88,7 +88,7 @@
     name = f"s{len(context.ends)}"
     context.ends[name] = context.time.monotonic()
     context.time.advance(lasted * SECOND / 1000)
-    context.kept.server_ended(REQUEST, server(name), context.ends[name])
+    context.kept.record_crash(REQUEST, server(name), context.ends[name])
     context.time.advance(SETTLED)
 
 
@@ -112,7 +112,7 @@
             age_ms=(context.time.monotonic() - begun) // (SECOND / 1000),
             lasted_ms=50 + lead,
         )
-        context.kept.take([row])
+        context.kept.receive([row])
 
 
 @behave.given(
@@ -153,12 +153,12 @@
 def answers(context, name, when):
     now = context.time.monotonic()
     began = now if when == "later" else now - 2 * SETTLED
-    context.kept.answered(server(name), began)
+    context.kept.record_response(server(name), began)
 
 
 @behave.when("suspects: the request runs to its end")
 def runs(context):
-    context.kept.completed(REQUEST)
+    context.kept.record_completion(REQUEST)
 
 
 @behave.when("suspects: {count:d} other requests break off")
@@ -166,7 +166,7 @@
     for number in range(count):
         begun = context.time.monotonic()
         context.time.advance(SECOND / 1000)
-        context.kept.server_ended(Asked(number), server(f"f{number}"), begun)
+        context.kept.record_crash(Asked(number), server(f"f{number}"), begun)
 
 
 @behave.when("suspects: a day passes and a peer still tells of it")
@@ -184,11 +184,11 @@
 )
 def sent_too_late(context, name):
     other = Asked(7)
-    context.kept.server_ended(other, server(name), context.time.monotonic())
+    context.kept.record_crash(other, server(name), context.time.monotonic())
     context.time.advance(SECOND)
     begun = context.time.monotonic()
     context.time.advance(SECOND)
-    context.kept.server_ended(REQUEST, server(name), begun)
+    context.kept.record_crash(REQUEST, server(name), begun)
     context.time.advance(SETTLED)
 
 
@@ -201,7 +201,7 @@
 
 @behave.when("suspects: it hears one more beacon")
 def hears_one(context):
-    context.other.take(context.kept.take_near())
+    context.other.receive(context.kept.take_near())
 
 
 @behave.when("suspects: its digest is exempt in the settings")
--- a/tests/features/steps/customers_steps.py
+++ b/tests/features/steps/customers_steps.py
@@ -5,7 +5,7 @@
 import behave
 import logbook
 
-from pimentolatch.gateway import watching
+from pimentolatch.gateway import store_watch
 from pimentolatch.protocol import beacons
 from tests.features.steps import routes_serving_steps
 from tests.support import route_world
@@ -181,7 +181,7 @@
     _, instance = context.world.instances["one"]
     changed = customers(KEYS | {"north": ["k-north-third"]})
     spec = route_world.configuration(2, ROUTES, changed)
-    watching.take_configuration(instance.known, spec)
+    store_watch.apply_configuration(instance.known, spec)
     context.run(in_force(context, 2, "two"))
 
 
@@ -240,7 +240,7 @@
     async def both():
         await context.world.stop_store()
         _, instance = context.world.instances["one"]
-        await context.world.until(lambda: instance.known.store_lost)
+        await context.world.until(lambda: instance.known.store_unreachable)
         return await ask(context, "notify", UNKNOWN)
 
     context.reply = context.run(both())
--- a/tests/features/steps/routes_fleet_steps.py
+++ b/tests/features/steps/routes_fleet_steps.py
@@ -150,7 +150,7 @@
     context.teller, context.hearer = (
         fleet_parts.Instance(f"{domain}-0", domain, listed) for domain in ("d0", "d1")
     )
-    context.hearer.work.partly_heard = True
+    context.hearer.work.partial_mesh = True
     for load in context.teller.loads.all():
         load.reading[0] = 1000.0
         load.writing = 3
@@ -170,7 +170,7 @@
         told = context.teller.beacon(NOW, totals=totals, piece=piece)
         sent = beacons.encode(told)
         assert len(totals) <= 40
-        context.hearer.work.take(beacons.decode(sent), 1.0, NOW)
+        context.hearer.work.receive(beacons.decode(sent), 1.0, NOW)
 
 
 @behave.then("it counts the work of all {count:d}")
@@ -294,7 +294,7 @@
     context.updates = cache_updates.CacheUpdates()
     one = servers.Incarnation("e1")
     for number in range(count):
-        context.updates.pass_on(beacons.CachedPart(one, number, 1))
+        context.updates.forward(beacons.CachedPart(one, number, 1))
         assert len(context.updates.take_near()) == 1
     context.newest = count - 1
 
@@ -419,15 +419,15 @@
 def settled(context):
     def rests():
         table = context.world.instances["d"][1].peers
-        return len(table.readers()) == 3 and not known(context, "d").reads_store
+        return len(table.readers()) == 3 and not known(context, "d").watches_store
 
     context.run(context.world.until(rests))
 
 
 @behave.then('fleet: "d" does not read the store and "a" does')
 def only_first(context):
-    assert not known(context, "d").reads_store
-    assert known(context, "a").reads_store
+    assert not known(context, "d").watches_store
+    assert known(context, "a").watches_store
 
 
 @behave.when('fleet: the operator adds a route and server "{name}" leaves')
@@ -454,7 +454,7 @@
         return known(context, "d").servers.get(name).leaving
 
     context.run(context.world.until(leaves))
-    assert not known(context, "d").reads_store
+    assert not known(context, "d").watches_store
 
 
 @behave.when("fleet: all others end without a word")
@@ -468,4 +468,4 @@
 
 @behave.then('fleet: "d" reads the store soon')
 def reads_soon(context):
-    context.run(context.world.until(lambda: known(context, "d").reads_store))
+    context.run(context.world.until(lambda: known(context, "d").watches_store))
--- a/tests/features/steps/routes_incarnations_steps.py
+++ b/tests/features/steps/routes_incarnations_steps.py
@@ -15,15 +15,15 @@
     stage_plan,
 )
 from pimentolatch.gateway import (
+    beacon_exchange,
     cache_updates,
-    knowledge,
+    fleet_state,
+    leadership,
     lease,
     peer_table,
-    peers,
     quarantine,
     sending,
-    stages,
-    tenure,
+    stage_controller,
 )
 from pimentolatch.gateway import settings as gateway_settings
 from pimentolatch.platform import configuration
@@ -85,16 +85,16 @@
 
 @behave.given('incarnations: an instance that knows engine "{name}" born {born:d}')
 def instance_that_knows(context, name, born):
-    context.known = knowledge.Knowledge()
+    context.known = fleet_state.FleetState()
     spec = route_world.configuration(1, route_world.ROUTES)
     context.known.configure(configuration.decode(spec), spec)
-    context.known.list_servers(1, [listed(name, born)])
+    context.known.replace_servers(1, [listed(name, born)])
     place = neighbours.Place("127.0.0.1", "here")
     time = context.clock = clock.ManualClock()
     chance = random.Random(1)
     table = peer_table.PeerTable("one", place, time, chance)
     chosen = gateway_settings.PeerSettings(host="127.0.0.1", ports=(7000, 7001))
-    context.peers = peers.Peers(
+    context.peers = beacon_exchange.BeaconExchange(
         chosen,
         "one",
         "here",
@@ -103,7 +103,7 @@
         table,
         cache_updates.CacheUpdates(),
         quarantine.Quarantine(crash_suspects.Policy(), time),
-        tenure.Tenure("one", "127.0.0.1", table, None, time),
+        leadership.Leadership("one", "127.0.0.1", table, None, time),
         dict,
         time,
         chance,
@@ -205,12 +205,12 @@
     context.world.servers[name] = context.server
     context.route_runner.run(context.server.start())
     time = clock.SystemClock()
-    context.known = knowledge.Knowledge()
+    context.known = fleet_state.FleetState()
     spec = route_world.configuration(1, route_world.ROUTES)
     context.known.configure(configuration.decode(spec), spec)
     store = memory_store.MemoryStore(objects.ObjectTable(), time=time, link="one")
     minute = datetime.timedelta(minutes=1)
-    context.lease = lease.DutyLease(store, "one", "life", minute, time)
+    context.lease = lease.LeaderLease(store, "one", "life", minute, time)
 
 
 def new_keeper(context):
@@ -218,8 +218,10 @@
     place = neighbours.Place("127.0.0.1", "here")
     table = peer_table.PeerTable("one", place, time, random.Random(1))
     client = sending.ServerClient(time)
-    held = tenure.Tenure("one", "127.0.0.1", table, context.lease, time)
-    return stages.StageKeeper("one", context.known, table, held, client, None, time)
+    held = leadership.Leadership("one", "127.0.0.1", table, context.lease, time)
+    return stage_controller.StageController(
+        "one", context.known, table, held, client, None, time
+    )
 
 
 @behave.given('incarnations: "{name}" starts again once it has given its report')
@@ -232,7 +234,7 @@
     server = listed(
         "p1", context.server.born, address=f"127.0.0.1:{context.server.port}"
     )
-    context.known.list_servers(context.revision, [server])
+    context.known.replace_servers(context.revision, [server])
     change = stage_plan.Change(server.incarnation, servers.Stage.DECODE, 0.1, 1.2, 50.0)
     context.route_runner.run(new_keeper(context).carry_out(change))
 
@@ -315,7 +317,7 @@
 
 @behave.when('incarnations: the list shows the change of "{name}"')
 def list_shows(context, name):
-    context.known.list_servers(2, [listed(name, 2000, servers.Stage.DECODE)])
+    context.known.replace_servers(2, [listed(name, 2000, servers.Stage.DECODE)])
 
 
 @behave.when("incarnations: {seconds:d} seconds pass")
--- a/tests/features/steps/routes_operations_steps.py
+++ b/tests/features/steps/routes_operations_steps.py
@@ -208,7 +208,7 @@
         beacons.Suspicion(EXEMPT_DIGEST, servers.Incarnation(f"s{n}"), False, 5000)
         for n in range(3)
     ]
-    context.instance.quarantine.take(rows)
+    context.instance.quarantine.receive(rows)
     assert context.instance.quarantine.verdict(context.asked) is not None
 
 
--- a/tests/features/steps/routes_orders_steps.py
+++ b/tests/features/steps/routes_orders_steps.py
@@ -25,10 +25,10 @@
     count: int
 
 
-class HastyLease(lease.DutyLease):
+class HastyLease(lease.LeaderLease):
     """A lease that is taken over without watching it for long enough."""
 
-    def _quiet(self, version):
+    def _is_abandoned(self, version):
         return True
 
 
@@ -132,7 +132,7 @@
 
 @behave.when("orders: {count:d} schedules are played")
 def played(context, count):
-    play(context, count, lease.DutyLease)
+    play(context, count, lease.LeaderLease)
 
 
 @behave.when("orders: {count:d} schedules are played without the wait")
--- a/tests/features/steps/routes_store_steps.py
+++ b/tests/features/steps/routes_store_steps.py
@@ -5,7 +5,7 @@
 
 from pimentolatch import clock, settings
 from pimentolatch.backend import channel
-from pimentolatch.gateway import expired, knowledge, lease, watching
+from pimentolatch.gateway import expired_entries, fleet_state, lease, store_watch
 from standins import memory_store, objects
 from tests.support import route_world
 
@@ -23,7 +23,7 @@
         link = memory_store.MemoryStore(
             table, time=context.clock, link=name, faults=context.faults
         )
-        context.leases[name] = lease.DutyLease(
+        context.leases[name] = lease.LeaderLease(
             link, name, "life", BETWEEN, context.clock
         )
 
@@ -192,7 +192,7 @@
 def versions(context):
     for version in (5, 4):
         spec = route_world.configuration(version, route_world.ROUTES)
-        watching.take_configuration(context.world.known, spec)
+        store_watch.apply_configuration(context.world.known, spec)
 
 
 @behave.then("watch: version 5 is in force")
@@ -218,7 +218,7 @@
         self.clock = clock.ManualClock()
         self.faults = memory_store.StoreFaults()
         self.table = objects.ObjectTable()
-        self.known = knowledge.Knowledge()
+        self.known = fleet_state.FleetState()
         link = memory_store.MemoryStore(self.table, time=self.clock, faults=self.faults)
         self.watches = 0
         ask = link.watch
@@ -228,10 +228,12 @@
             return await ask(*args, **kwargs)
 
         link.watch = watch
-        self.expired = expired.ExpiredServers(self.known, self.clock)
-        self.watch = watching.ServerWatch(link, self.known, self.expired, self.clock)
+        self.expired = expired_entries.ExpiredServers(self.known, self.clock)
+        self.watch = store_watch.ServerWatch(link, self.known, self.expired, self.clock)
         self.asks_configuration_first = False
-        self.configuration = watching.ConfigurationWatch(link, self.known, self.clock)
+        self.configuration = store_watch.ConfigurationWatch(
+            link, self.known, self.clock
+        )
         self.tasks = []
 
     def start(self):
--- a/tests/support/crash_replay.py
+++ b/tests/support/crash_replay.py
@@ -120,7 +120,7 @@
         for instance in self._instances:
             others = [place for place in places if place is not instance.place]
             instance.told = neighbours.choose(instance.place, others)
-            instance.quarantine.partly_heard = bool(instance.told.far)
+            instance.quarantine.partial_mesh = bool(instance.told.far)
         self._running = {}
         self._seen = {}
         for _ in range(engines):
@@ -242,8 +242,8 @@
             return
         self._running[sending.server].remove(sending)
         known = sending.request.instance.quarantine
-        known.answered(sending.server, sending.begun)
-        known.completed(sending.request)
+        known.record_response(sending.server, sending.begun)
+        known.record_completion(sending.request)
         self.result.served += 1
 
     def _end_by(self, sending):
@@ -266,7 +266,7 @@
         for sending in lost:
             request = sending.request
             known = request.instance.quarantine
-            known.server_ended(request, server, sending.begun)
+            known.record_crash(request, server, sending.begun)
             request.servers_lost += 1
             self.result.lost_more_than_one += (
                 not request.fatal and request.servers_lost == 2
@@ -289,4 +289,4 @@
             return
         for host in hosts:
             if self._draw.random() >= LOST_SHARE:
-                self._by_host[host].quarantine.take(rows)
+                self._by_host[host].quarantine.receive(rows)
--- a/tests/support/fleet_parts.py
+++ b/tests/support/fleet_parts.py
@@ -14,7 +14,7 @@
     prompt_sizes,
     waiting,
 )
-from pimentolatch.gateway import cache_updates, knowledge, peer_work
+from pimentolatch.gateway import cache_updates, fleet_state, load_exchange
 from pimentolatch.protocol import beacons
 from pimentolatch.requests import prompts
 from pimentolatch.routes import servers, table
@@ -174,14 +174,14 @@
     def __init__(self, name: str, domain: str, listed: list[servers.Server]) -> None:
         self.name = name
         self.place = neighbours.Place(name, domain)
-        self.known = knowledge.Knowledge()
+        self.known = fleet_state.FleetState()
         services = {SERVICE: table.Service(SERVICE, TRAITS)}
         limits = table.ClientLimits(1, 1, MS, MS)
         self.known.configure(table.Configuration(1, (), services, limits), None)
-        self.known.list_servers(1, listed)
+        self.known.replace_servers(1, listed)
         self.loads = self.known.loads(SERVICE)
         self.updates = cache_updates.CacheUpdates()
-        self.work = peer_work.PeerWork(self.known, domain, self.updates)
+        self.work = load_exchange.LoadExchange(self.known, domain, self.updates)
         self.chooser = placement.Placement(self.loads, domain)
         self.demand = demand_rate.DemandRate()
         self.sizes = prompt_sizes.PromptSizes()
--- a/tests/support/fleet_world.py
+++ b/tests/support/fleet_world.py
@@ -108,8 +108,8 @@
         for instance in self.instances.values():
             others = [place for place in places if place != instance.place]
             instance.told = neighbours.choose(instance.place, others)
-            instance.work.partly_heard = bool(instance.told.far)
-            instance.loads.partly_heard = instance.work.partly_heard
+            instance.work.partial_mesh = bool(instance.told.far)
+            instance.loads.partly_heard = instance.work.partial_mesh
             heard = [neighbours.Place(h, "d") for h in instance.told.near]
             known = [neighbours.Place(str(n), "d") for n in range(instances - 1)]
             self._weight = neighbours.weights(known, heard).get("d", 1.0)
@@ -327,7 +327,7 @@
         def listed() -> None:
             self._revision += 1
             for instance in self.instances.values():
-                instance.known.change_servers(self._revision, [engine.server], [])
+                instance.known.update_servers(self._revision, [engine.server], [])
 
         away = fleet_parts.TRAITS.stage_change / fleet_parts.MS
         self.at(self.now + away, back)
@@ -445,7 +445,9 @@
         weight: float,
         way: float,
     ) -> None:
-        self.at(self.now + way, lambda: receiver.work.take(beacon, weight, self.time))
+        self.at(
+            self.now + way, lambda: receiver.work.receive(beacon, weight, self.time)
+        )
 
     def busiest(self) -> float:
         """Return the work of the busiest reading engine as a multiple of the mean."""
--- a/tests/support/unsafe.py
+++ b/tests/support/unsafe.py
@@ -8,7 +8,7 @@
 from pimentolatch.gateway import (
     daemon,
     events,
-    knowledge,
+    fleet_state,
     plain,
     process,
     quarantine,
@@ -82,12 +82,12 @@
 
 def _take_no_configuration():
     """A newer configuration is not put in force."""
-    configure = knowledge.Knowledge.configure
+    configure = fleet_state.FleetState.configure
 
     def first_only(self, decoded, spec):
         return self.version == 0 and configure(self, decoded, spec)
 
-    knowledge.Knowledge.configure = first_only
+    fleet_state.FleetState.configure = first_only
 
 
 def _stop_at_once():
--- a/tests/support/usage_world.py
+++ b/tests/support/usage_world.py
@@ -9,7 +9,7 @@
 
 from pimentolatch import clock
 from pimentolatch.decisions import usage
-from pimentolatch.gateway import lease, tenure, usage_reports
+from pimentolatch.gateway import leadership, lease, usage_reports
 from pimentolatch.platform import control_api
 from standins import memory_store, objects
 
@@ -93,12 +93,12 @@
     """Sends what it has counted, without having it fixed in the store."""
 
     async def _read_record(self):
-        if not await self._tenure.acquire():
+        if not await self._leadership.acquire():
             return False
         self._record = self._record or usage_reports._Record(0, {})
         return True
 
-    async def _fix(self, window, counts):
+    async def _commit(self, window, counts):
         self._record.windows[window] = counts
         return True
 
@@ -116,10 +116,10 @@
         link = memory_store.MemoryStore(
             world.table, time=world.time, link=name, faults=world.faults
         )
-        held = lease.DutyLease(link, name, self.life, BETWEEN, world.time)
+        held = lease.LeaderLease(link, name, self.life, BETWEEN, world.time)
         self.peers = types.SimpleNamespace(live=self.live)
-        self.tenure = tenure.Tenure(
-            name, self.host, self.peers, held, world.time, kept=True
+        self.tenure = leadership.Leadership(
+            name, self.host, self.peers, held, world.time, permanent=True
         )
         self.reporter = kind(
             name,
@@ -214,7 +214,7 @@
             )
             return
         if instance.tenure.active:
-            await instance.reporter.look()
+            await instance.reporter.report_due()
 
     def _begin_requests(self, instance):
         now = self.time.now()
@@ -243,7 +243,7 @@
     def _announce(self, instance, running):
         for other in running:
             if other is not instance and self.hear_each_other(instance, other):
-                other.tenure.hear(instance.tenure.announcement())
+                other.tenure.receive(instance.tenure.announcement())
 
     def _fault(self):
         name = self.chance.choice(NAMES)
