--- a/src/pimentolatch/gateway/capacity_controller.py
+++ b/src/pimentolatch/gateway/capacity_controller.py
@@ -1,4 +1,4 @@
-"""Orders servers of services that are paid by the second."""
+"""Orders servers for services whose servers are billed by the second."""
 
 import collections
 import datetime
@@ -19,15 +19,15 @@
 
 
 class CapacityController:
-    """Carries the plan out while this instance does the duties of one holder.
+    """Plans and orders servers while this instance is the leader.
 
     Args:
         own_name: Name of this instance.
         fleet: Services and servers.
-        held: The tenure.
+        own_leadership: Tells whether this instance is the leader.
         source: The platform's store.
-        receiver: Takes the orders.
-        policy: How servers are to be ordered.
+        receiver: API to which the orders are sent.
+        policy: Rules by which servers are ordered.
         time: Clock of this instance.
     """
 
@@ -52,7 +52,7 @@
         self._planners: dict[str, server_plan.ServerPlanner] = {}
 
     async def run(self) -> None:
-        """Order what is missing and give back what is too much, for ever."""
+        """Order missing servers and return surplus ones; runs until cancelled."""
         while True:
             await self._clock.sleep(_INTERVAL)
             if self._leadership.active:
@@ -98,7 +98,7 @@
             planner.refused(order, now)
 
     async def _planner(self, service: str) -> server_plan.ServerPlanner | None:
-        """Return the planner of a service; None before it is known what suffices."""
+        """Return the planner of a service; None until the required size is known."""
         found = self._planners.get(service)
         if found is not None:
             return found
@@ -110,10 +110,10 @@
         return planner
 
     async def _size(self, service: str) -> int | None:
-        """Return how many servers suffice, as the first holder has found.
+        """Return how many servers suffice, as stored by the first leader.
 
-        A later holder finds what was ordered, spare ones included, and would take that
-        for the need.
+        A later leader counts the ordered servers, including spare ones, and would
+        mistake that count for the need.
         """
         sizing = self._sizings.setdefault(service, server_plan.Sizing())
         total = len(self._fleet.servers.of_service(service))
--- a/src/pimentolatch/gateway/fleet_state.py
+++ b/src/pimentolatch/gateway/fleet_state.py
@@ -1,4 +1,4 @@
-"""What an instance knows: the configuration, the servers and the engines' work."""
+"""Local copy of the fleet's state: configuration, servers and load of the engines."""
 
 import datetime
 import typing
@@ -11,19 +11,20 @@
 
 
 class FleetState:
-    """The newest configuration and servers that this instance has heard of.
+    """The newest configuration and server list that this instance has received.
 
-    It never goes back: an older version or revision that arrives late, from the store
-    or from a peer, is dropped.
+    Versions only increase: an older version or revision that arrives late, from the
+    store or from a peer, is dropped.
 
     Attributes:
-        configuration: None until one was read.
-        configuration_spec: The same as the store holds it, for peers.
-        servers_revision: Revision of the store up to which the servers are known.
-        servers_listed: Whether the servers were ever read.
-        reads_store: Whether this instance follows the store itself.
-        store_lost: It does, and the store does not answer.
-        servers_heard: When the servers were last known to be those of the store.
+        configuration: None until a configuration has been received.
+        configuration_spec: The configuration as the store holds it, sent to peers.
+        servers: Table of the listed servers.
+        servers_revision: Store revision that the server table reflects.
+        servers_listed: Whether a server list has ever been received.
+        watches_store: Whether this instance watches the store itself.
+        store_unreachable: This instance watches the store and the last call failed.
+        servers_confirmed_at: Time at which the server table last matched the store.
     """
 
     def __init__(self) -> None:
@@ -50,11 +51,11 @@
         return self.configuration is not None and self.servers_listed
 
     def on_change(self, call: abc.Callable[[], None]) -> None:
-        """Have something called after each change of the servers."""
+        """Register a callback that runs after each change of the server table."""
         self._on_change.append(call)
 
     def configure(self, configuration: table.Configuration, spec: typing.Any) -> bool:
-        """Take a configuration if it is newer; tells whether it was."""
+        """Apply a configuration if it is newer; return whether it was applied."""
         if configuration.version <= self.version:
             return False
         self.configuration = configuration
@@ -66,7 +67,7 @@
         revision: int,
         listed: abc.Iterable[servers.Server],
     ) -> bool:
-        """Take a whole listing if it is newer; tells whether it was taken."""
+        """Apply a full server list unless it is older; return whether it was used."""
         if self.servers_listed and revision < self.servers_revision:
             return False
         self.servers.replace(listed)
@@ -81,42 +82,42 @@
         changed: abc.Iterable[servers.Server],
         removed: abc.Iterable[str],
     ) -> None:
-        """Take changes that follow on the known revision."""
+        """Apply incremental changes if their revision is newer than the current one."""
         if revision <= self.servers_revision:
             return
         self.servers_revision = revision
         self._change(changed, removed)
 
     def remove_servers(self, removed: abc.Iterable[str]) -> None:
-        """Drop servers that are gone."""
+        """Remove servers whose entries have expired."""
         self._change((), removed)
 
     def engine_traits(self, service: str) -> table.EngineTraits | None:
-        """Return what the operator says of a service's engines."""
+        """Return the configured properties of a service's engines, if any."""
         if self.configuration is None or service not in self.configuration.services:
             return None
         return self.configuration.services[service].engine
 
     def loads(self, service: str) -> engine_loads.EngineLoads:
-        """Return the engines of a model service."""
+        """Return the engine loads of a model service."""
         return self._loads.setdefault(service, engine_loads.EngineLoads())
 
     def engine(
         self, incarnation: servers.Incarnation
     ) -> engine_loads.EngineLoad | None:
-        """Return the work of a listed engine, whatever its service."""
+        """Return the load of a listed engine of any service."""
         return self._engines.get(incarnation)
 
     def is_replaced(self, incarnation: servers.Incarnation) -> bool:
-        """Tell whether another life of a server is listed in place of this one.
+        """Tell whether another incarnation of the same server is listed instead.
 
-        One that is not listed at all may still serve what it has.
+        False for a server that is not listed: it may still serve running requests.
         """
         server = self.servers.get(incarnation.server_id)
         return server is not None and server.incarnation != incarnation
 
     def loads_by_service(self) -> abc.Mapping[str, engine_loads.EngineLoads]:
-        """Return the engines of every model service."""
+        """Return the engine loads of every model service, by service name."""
         return self._loads
 
     def _change(
@@ -126,7 +127,8 @@
         self._update_loads()
 
     def _update_loads(self) -> None:
-        # Services of before come too: their last engine may just have gone.
+        # Services that had engines before are updated too: the last engine of such a
+        # service may just have been removed.
         engines: dict[str, list[servers.Server]] = {name: [] for name in self._loads}
         for server in self.servers.all():
             if server.stage is not None:
--- a/src/pimentolatch/gateway/leader_tasks.py
+++ b/src/pimentolatch/gateway/leader_tasks.py
@@ -1,4 +1,4 @@
-"""The parts of an instance that do what only one instance may do."""
+"""Builds the leader tasks, which only one instance runs at a time."""
 
 import datetime
 import typing
@@ -27,19 +27,19 @@
 
 
 class LeaderTasks:
-    """Builds and owns these parts.
+    """Builds and owns the leader tasks that the settings enable.
 
     Args:
         chosen: Settings of this instance.
-        life: Differs for each start of this instance.
+        incarnation: Differs for each start of this instance.
         fleet: Services and servers.
-        peers: Tells who else is there.
+        peers: The live peers.
         source: The platform's store.
         time: Clock of this instance.
 
     Attributes:
-        tenure: Tells whether this instance does the duties.
-        usage: Counts what customers' requests begin.
+        leadership: Tells whether this instance is the leader.
+        usage: Counts the started executions of customers' requests.
     """
 
     def __init__(
@@ -122,11 +122,15 @@
 
     @property
     def runners(self) -> tuple[Runner, ...]:
-        """What has to run beside the requests."""
+        """Functions to run as background tasks."""
         return tuple(self._runners)
 
     async def start(self) -> None:
-        """Open sockets; raises `OSError` if an address can't be had."""
+        """Open the sockets.
+
+        Raises:
+            OSError: An address can't be bound.
+        """
         if self._exchange is not None:
             await self._exchange.start()
 
--- a/src/pimentolatch/gateway/leadership.py
+++ b/src/pimentolatch/gateway/leadership.py
@@ -1,4 +1,4 @@
-"""Which instance does what only one may do, and how the others hear of it."""
+"""Leader election: which instance runs the leader tasks, and how peers learn of it."""
 
 import datetime
 
@@ -13,27 +13,28 @@
 
 _log = logbook.Logger("tenure")
 _INTERVAL = datetime.timedelta(milliseconds=500)
-# A holder that can't write the lease for this long leaves it to others.
+# A leader that has failed to renew the lease for this long yields to its peers.
 _MAX_RENEWAL_FAILURE = datetime.timedelta(milliseconds=4000)
-# So many times the shortest time between two holders it does not try again, since the
-# others may reach what it does not.
+# After yielding, this instance does not try again for this many handover gaps, since
+# its peers may reach the store or receiver that it can't reach.
 _ABSTAIN_FACTOR = 3
 
 
 class Leadership:
-    """Holds the lease for as long as this instance does the duties.
+    """Holds the leader lease while this instance is the leader.
 
     Args:
         own_name: Name of this instance.
-        own_host: Where it is reached.
-        peers: Tells who else is there.
-        held: The lease.
+        own_host: Host at which peers reach this instance.
+        peers: The live peers.
+        leader_lease: The lease.
         time: Clock of this instance.
-        kept: Some instance is to hold the lease all the time; else it is taken for an
-            order now and then, and only the first by name plans whether one is due.
+        permanent: Whether there is to be a leader at all times. Otherwise the lease is
+            acquired only when an order is sent, and only the live instance whose name
+            sorts first checks whether an order is due.
 
     Attributes:
-        since: When the latest tenure of this instance began.
+        since: Time at which this instance last became the leader.
     """
 
     def __init__(
@@ -59,34 +60,35 @@
 
     @property
     def active(self) -> bool:
-        """Whether this instance does the duties."""
+        """Whether this instance is the leader."""
         return self._last_acquired is not None
 
     @property
     def fence(self) -> int:
-        """Fencing token of the tenure."""
+        """Fencing token of the latest leadership of this instance."""
         return self._lease.fence
 
     @property
     def host(self) -> str | None:
-        """Where the holder is reached; None if none is known."""
+        """Host of the leader; None if no leader is known."""
         if self.active:
             return self._host
         return self._claims.host(self._clock.monotonic())
 
     def valid(self) -> bool:
-        """Tell whether a call may go out now."""
+        """Tell whether this instance may send a call as the leader now."""
         return self.active and self._lease.valid()
 
     def leads(self) -> bool:
-        """Tell whether this instance does the duties, or is to try for them."""
+        """Tell whether this instance is the leader or should try to become it."""
         if self.active:
             return True
         now = self._clock.monotonic()
         if now < self._abstains_until:
             return False
         if self._claims.host(now) == self._host:
-            # A former life of this instance held the lease, and peers still say so.
+            # An earlier incarnation of this instance held the lease, and peers still
+            # report it as the leader.
             return True
         names = [peer.beacon.instance for peer in self._peers.live()]
         if self._permanent:
@@ -95,37 +97,37 @@
         return is_first and self._claims.host(now) is None
 
     async def acquire(self) -> bool:
-        """Have the lease for the next calls; False if another may still act."""
+        """Acquire or renew the lease; False if another instance may still act."""
         if not self.leads():
             return False
         now = self._clock.monotonic()
         if await self._lease.acquire(self._claims.released_fence):
             if self._last_acquired is None:
                 self.since = self._clock.now()
-                _log.info("tenure begun", fence=self._lease.fence)
+                _log.info("became leader", fence=self._lease.fence)
             self._last_acquired = self._clock.monotonic()
             return True
         if (
             self._last_acquired is not None
             and now - self._last_acquired > _MAX_RENEWAL_FAILURE
         ):
-            self._yield_to_peers("the lease can't be renewed")
+            self._yield_to_peers("the lease could not be renewed")
         return False
 
     def fenced_off(self) -> None:
-        """Give the tenure up: somebody has acted with a higher fence."""
+        """Give up leadership: another instance has acted with a higher fence."""
         self._end("fenced off")
 
     def receiver_unreachable(self) -> None:
-        """Give the tenure up: this instance can't reach whom it has to call."""
-        self._yield_to_peers("the receiver is out of reach")
+        """Give up leadership: this instance can't reach the receiver of its calls."""
+        self._yield_to_peers("the receiver is unreachable")
 
     def announce_stop(self) -> None:
-        """Give the tenure up: this instance is about to end."""
-        self._release("stopping")
+        """Give up leadership: this instance is about to stop."""
+        self._release("instance is stopping")
 
     def receive(self, notice: beacons.Holder | None) -> None:
-        """Take what a peer has heard of the holder."""
+        """Process what a peer reports about the leader."""
         if notice is None:
             return
         now = self._clock.monotonic()
@@ -137,30 +139,31 @@
             self._end("another instance has a higher fence")
 
     def announcement(self) -> beacons.Holder | None:
-        """Return what is known of the holder, for peers; None if nothing fresh."""
+        """Return what to report about the leader; None if nothing recent is known."""
         now = self._clock.monotonic()
         if self.active:
             return beacons.Holder(self._host, self._lease.fence, False, 0)
         claim = self._claims.fresh(now)
         if claim is None:
             return None
-        # Rounded up: an age that shrank on each way would never grow old.
+        # Rounded up: an age that is rounded down at each hop would never reach the
+        # limit at which the claim expires.
         age = (now - self._claims.at) // datetime.timedelta(milliseconds=1) + 1
         return beacons.Holder(claim.host, claim.fence, claim.released, age)
 
     async def run(self) -> None:
-        """Hold the lease while nobody else does, for ever."""
+        """Acquire and renew the lease whenever possible; runs until cancelled."""
         while True:
             await self._clock.sleep(_INTERVAL)
             await self.acquire()
 
     def _yield_to_peers(self, reason: str) -> None:
-        """Release the tenure if there is anybody who might do better."""
+        """Release leadership if there is a live peer that could take it over."""
         if self._peers.live():
             self._release(reason)
 
     def _release(self, reason: str) -> None:
-        """End the tenure and have peers know that nothing more is sent in it."""
+        """End leadership and let peers know that no more calls are sent under it."""
         if not self.active:
             return
         now = self._clock.monotonic()
@@ -172,5 +175,5 @@
     def _end(self, reason: str) -> None:
         self._lease.give_up()
         if self.active:
-            _log.info("tenure ended", fence=self._lease.fence, reason=reason)
+            _log.info("leadership ended", fence=self._lease.fence, reason=reason)
         self._last_acquired = None
--- a/src/pimentolatch/gateway/lease.py
+++ b/src/pimentolatch/gateway/lease.py
@@ -1,4 +1,4 @@
-"""The lease in the platform's store that lets one instance do all duties of one."""
+"""The lease in the platform's store by which one instance at a time is the leader."""
 
 import asyncio
 import datetime
@@ -13,29 +13,31 @@
 _log = logbook.Logger("lease")
 _KIND = "pimentolatch-leases"
 _NAME = "stages"
-# Time of sending and answering; what a holder may still have on its way when its lease
-# ends.
+# Allows for the latency of a call: a leader may still have a call in flight when its
+# lease ends.
 _MARGIN = datetime.timedelta(milliseconds=500)
 
 
 class LeaderLease:
     """Held by one instance at a time; each change of holder raises the fence.
 
-    Two holders that act by turns would undo each other's work, and a holder that was
-    frozen might act when another already does. So a holder acts only within
-    `validity` of the moment at which it sent the write that the store accepted, and
-    whoever takes over has watched the lease unchanged for that time and the shortest
-    allowed time between two holders besides. The clock counts suspended time too.
+    Two leaders that act alternately would undo each other's work, and a leader whose
+    process was suspended might act after another has taken over. So a holder acts only
+    within `handover_gap` of sending the write that the store accepted, and an instance
+    takes over only after it has seen the lease unchanged for that time plus the
+    minimum gap between acts of two holders. The clock includes suspended time.
 
-    Nobody has to be waited for where the lease is of a former life of this instance,
-    which has ended, or of a holder that has said it is through; but for the one that
-    held it before that holder: the two would act by turns.
+    There is no wait if the lease belongs to an earlier incarnation of this instance,
+    whose process has ended, or to a holder that has released it. The exception is the
+    instance that held the lease before the holder that released it: it waits, since
+    the two could otherwise alternate.
 
     Args:
         source: The platform's store.
-        holder: This instance, alike in all its lives.
-        life: Differs for each start of this instance.
-        between: Shortest time between acts of two holders.
+        holder: Identifies this instance, the same in all its incarnations.
+        incarnation: Differs for each start of this instance.
+        handover_gap: Minimum time between acts of two holders.
+        time: Clock of this instance.
     """
 
     def __init__(
@@ -51,8 +53,8 @@
         self._incarnation = incarnation
         self._handover_gap = handover_gap
         self._clock = time
-        # Each duty has a task that renews the lease. Two writes at once conflict, and
-        # the one that lost would take the lease anew with a higher fence.
+        # Each leader task renews the lease. Of two concurrent writes one conflicts, and
+        # its task would then acquire the lease again with a higher fence.
         self._lock = asyncio.Lock()
         self._valid_until = datetime.timedelta()
         self._version = 0
@@ -62,12 +64,12 @@
 
     @property
     def handover_gap(self) -> datetime.timedelta:
-        """Shortest time between acts of two holders."""
+        """Minimum time between acts of two holders."""
         return self._handover_gap
 
     @property
     def fence(self) -> int:
-        """Fencing token of the tenure."""
+        """Fencing token under which this instance last held the lease."""
         return self._fence
 
     def valid(self) -> bool:
@@ -75,15 +77,15 @@
         return self._clock.monotonic() < self._valid_until
 
     def give_up(self) -> None:
-        """Act no more in this tenure."""
+        """Stop acting under the current lease."""
         self._valid_until = datetime.timedelta()
         self._version = 0
 
     async def acquire(self, released_fence: int | None = None) -> bool:
-        """Hold the lease; False if another instance may still act.
+        """Acquire or renew the lease; False if another instance may still act.
 
         Args:
-            released_fence: Fence of a tenure whose holder has said that it is through.
+            released_fence: Fence that its holder has announced as released.
         """
         async with self._lock:
             return await self._acquire(released_fence)
@@ -111,7 +113,7 @@
         return await self._write(found.version, fence + 1, holder)
 
     def _is_abandoned(self, version: int) -> bool:
-        """Tell whether the lease has stood unchanged for long enough."""
+        """Tell whether the lease has been unchanged for long enough to take over."""
         now = self._clock.monotonic()
         if self._seen is None or self._seen[0] != version:
             self._seen = (version, now)
@@ -119,8 +121,8 @@
 
     async def _write(self, version: int, fence: int, previous: str | None) -> bool:
         sent = self._clock.monotonic()
-        # The time makes each write differ: one that changes nothing leaves the version
-        # as it was, and others would take the lease for forgotten.
+        # The time makes each write differ: a write that changes nothing leaves the
+        # version as it was, and other instances would consider the lease abandoned.
         value = {
             "holder": self._holder,
             "life": self._incarnation,
@@ -133,7 +135,7 @@
             self._version = 0
             return False
         if fence != self._fence:
-            _log.info("lease taken", fence=fence)
+            _log.info("lease acquired", fence=fence)
         self._version, self._fence = outcome.version, fence
         self._previous = previous
         self._valid_until = sent + self._handover_gap - _MARGIN
--- a/src/pimentolatch/gateway/stage_controller.py
+++ b/src/pimentolatch/gateway/stage_controller.py
@@ -1,4 +1,4 @@
-"""Has engines change their stage when the mix of prompts and answers shifts."""
+"""Orders engines to change stage when the ratio of prefill to decode work shifts."""
 
 import datetime
 from collections import abc
@@ -16,14 +16,14 @@
 _log = logbook.Logger("stages")
 _INTERVAL = datetime.timedelta(milliseconds=500)
 _CALL_TIMEOUT = datetime.timedelta(milliseconds=800)
-# An order that got no answer may still be carried out this much later.
+# An order that was not answered may still be carried out within this time.
 _UNKNOWN_PERIOD = datetime.timedelta(seconds=13)
 _ACCEPTED = (200, 202)
 _FENCED_OFF = 412
 
 
 class StageController:
-    """Plans stages while this instance does the duties of one holder."""
+    """Plans and orders stage changes while this instance is the leader."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._unknown_until: dict[str, datetime.timedelta] = {}
 
     async def run(self) -> None:
-        """Look for changes that are worth their price, for ever."""
+        """Order stage changes whose gain exceeds their cost; runs until cancelled."""
         while True:
             await self._clock.sleep(_INTERVAL)
             if not self._leadership.leads():
@@ -75,7 +75,7 @@
                 planner.changed(change, self._clock.monotonic())
 
     async def carry_out(self, change: stage_plan.Change) -> bool:
-        """Order a change; tells whether it was or may have been accepted."""
+        """Order a stage change; return whether it was or may have been accepted."""
         if self._is_outcome_unknown(change.engine.server_id, self._clock.monotonic()):
             return False
         server = self._fleet.servers.get(change.engine.server_id)
@@ -92,7 +92,7 @@
         return ordered
 
     def _mark_changing(self, change: stage_plan.Change) -> None:
-        """Pass over an engine that has accepted an order, and have peers do so."""
+        """Exclude an engine from routing during its change, here and at peers."""
         engine = self._fleet.engine(change.engine)
         if engine is None:
             return
@@ -114,13 +114,17 @@
     ) -> bool:
         """Send the order.
 
-        The order rests on the number of orders that the report gives, and goes out on
-        the report's connection. An engine that starts again in between counts from
-        nothing: its new life might carry out an order that was meant for the former.
+        The order names the number of orders from the engine's report as a precondition
+        and is sent over the same connection as the report. An engine that restarts
+        counts from zero, so over another connection its new incarnation might carry
+        out an order that was meant for the previous one.
         """
         report = await calls.call("GET", engines.REPORT_TARGET, limit=_CALL_TIMEOUT)
         if not isinstance(report, sending.Whole):
-            _log.info("no report, no order", server=server.server_id)
+            _log.info(
+                "stage change not ordered: engine sent no report",
+                server=server.server_id,
+            )
             return False
         state = engines.decode_report(report.body)
         if state is None or state.changing or state.stage is change.stage:
@@ -129,7 +133,10 @@
             None,
             change.engine.born,
         ):
-            _log.info("started again, no order", server=server.server_id)
+            _log.info(
+                "stage change not ordered: engine has restarted",
+                server=server.server_id,
+            )
             return False
         if not self._leadership.valid():
             return False
@@ -144,7 +151,7 @@
             limit=_CALL_TIMEOUT,
         )
         _log.info(
-            "stage ordered",
+            "stage change ordered",
             server=server.server_id,
             stage=change.stage.value,
             fence=self._leadership.fence,
@@ -166,7 +173,7 @@
 
 
 def _pause_target(configuration: table.Configuration, service: str) -> float:
-    """Return the shortest pause target of a service's routes, in milliseconds."""
+    """Return the shortest pause target of a service's routes in ms; 0 if none."""
     targets = [
         route.pause_target / datetime.timedelta(milliseconds=1)
         for route in configuration.routes
--- a/src/pimentolatch/gateway/usage_exchange.py
+++ b/src/pimentolatch/gateway/usage_exchange.py
@@ -1,4 +1,7 @@
-"""Counts what customers' requests begin to run here, and tells it to the holder."""
+"""Counts started executions of customers' requests and sends the counts to the leader.
+
+Other instances keep a copy, so that counts survive the crash of the one that made them.
+"""
 
 import datetime
 import typing
@@ -14,34 +17,35 @@
 __all__ = ["NullUsageCounter", "UsageCounter", "UsageExchange"]
 
 _log = logbook.Logger("usage")
-# Counts that an instance has not told are lost if it ends: a second of its requests.
+# Counts that were not sent yet are lost if the instance crashes: at most those of this
+# interval.
 _INTERVAL = datetime.timedelta(seconds=1)
-# Neighbours that keep the counts of an instance which ends.
+# Number of peers that keep a copy of an instance's counts in case it crashes.
 _BACKUPS = 2
 
 
 class UsageCounter(typing.Protocol):
-    """Takes note of requests that begin to run."""
+    """Counts requests that start to execute."""
 
     def record_start(self, customer: str | None, moment: datetime.datetime) -> None:
-        """Count a request; None for one that belongs to nobody."""
+        """Count a request; `customer` is None if it belongs to no customer."""
 
 
 class NullUsageCounter:
-    """Counts nothing, where nobody asks for reports."""
+    """Counts nothing; used if usage reports are not enabled."""
 
     def record_start(self, customer: str | None, moment: datetime.datetime) -> None:
         """See `UsageCounter.began`."""
 
 
 class UsageExchange(datagrams.DatagramSocket):
-    """The socket by which instances tell each other their counts.
+    """Socket over which instances exchange their usage counts.
 
     Args:
-        address: Where this instance hears the others; they use the same port.
-        book: What is counted and heard.
-        peers: Tells who else is there.
-        held: Tells who reports.
+        address: Local address; all instances use the same port.
+        book: Counts of this instance and those received from peers.
+        peers: The live peers.
+        own_leadership: Tells which instance is the leader and sends the reports.
         time: Clock of this instance.
     """
 
@@ -62,16 +66,18 @@
     def record_start(self, customer: str | None, moment: datetime.datetime) -> None:
         """See `UsageCounter.began`."""
         if customer is not None and not self._book.began(customer, moment):
-            _log.warn("began in a window that has settled", customer=customer)
+            _log.warn(
+                "request not counted: its usage window is closed", customer=customer
+            )
 
     async def run(self) -> None:
-        """Tell the counts again and again, for ever."""
+        """Send the counts periodically; runs until cancelled."""
         while True:
             self.send_counts()
             await self._clock.sleep(_INTERVAL)
 
     def send_counts(self) -> None:
-        """Tell the counts of this instance, and of those that are gone, once."""
+        """Send the counts of this instance, and of terminated ones, once."""
         own = self._book.own_rows(self._clock.now())
         live = self._peers.live()
         holder = self._leadership.host
@@ -83,15 +89,17 @@
         self.send(receivers, _datagrams(own))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take a row."""
+        """Process a row of counts from a peer."""
         row = usage_rows.decode(data)
         if isinstance(row, usage_rows.Malformed):
-            _log.warn("datagram dropped", sender=addr[0], reason=row.reason)
+            _log.warn(
+                "malformed usage datagram dropped", sender=addr[0], reason=row.reason
+            )
             return
         self._book.take(row)
 
     def _backup_hosts(self, live: abc.Iterable[peer_table.Peer]) -> list[str]:
-        """Return the neighbours that keep this instance's counts."""
+        """Return the hosts of the peers that keep a copy of this instance's counts."""
         hosts = (peer.host for peer in live)
         return sorted(hosts, key=lambda host: subset.rank(self._address.host, host))[
             :_BACKUPS
--- a/src/pimentolatch/gateway/usage_reports.py
+++ b/src/pimentolatch/gateway/usage_reports.py
@@ -1,4 +1,4 @@
-"""Reports what customers' requests began, once for each window."""
+"""Reports started executions of customers' requests, once for each window."""
 
 import dataclasses
 import datetime
@@ -17,11 +17,11 @@
 _KIND = "pimentolatch-usage"
 _NAME = "windows"
 _INTERVAL = datetime.timedelta(milliseconds=500)
-# Pause after a call that was not accepted.
+# Pause after a report that was not accepted.
 _RETRY_PAUSE = datetime.timedelta(seconds=1)
-# Windows whose content the store keeps; a report that is later than this is of no use.
+# Number of windows that the store keeps; a report of an older window is of no use.
 _STORED_WINDOWS = 8
-# Calls in a row that did not reach the receiver before the tenure is left to others.
+# After this many consecutive unanswered calls leadership is yielded to a peer.
 _MAX_UNREACHABLE_CALLS = 2
 
 _Counts = dict[str, int]
@@ -29,27 +29,27 @@
 
 @dataclasses.dataclass(slots=True)
 class _Record:
-    """What the store holds: the content of each report, fixed before it is sent."""
+    """Content of the store: the counts of each report, committed before it is sent."""
 
     version: int
     windows: dict[int, _Counts]
 
 
 class UsageReporter:
-    """Sends reports while this instance does the duties of one holder.
+    """Sends usage reports while this instance is the leader.
 
-    What a window's report says is written to the store under a condition before it is
-    sent. So whoever takes over sends the same once more, which changes nothing, and
-    never another content for the same window.
+    The counts of a window are committed to the store by a conditional write before
+    they are sent. A new leader therefore repeats the same report, which the receiver
+    handles idempotently, and never sends different counts for the same window.
 
     Args:
         holder: Name of this instance.
         length: Length of a window.
-        book: What is counted and heard.
-        peers: Tells from whom counts are expected.
-        held: The tenure.
+        book: Counts of this instance and those received from peers.
+        peers: The live peers, from which counts are expected.
+        own_leadership: Tells whether this instance is the leader.
         source: The platform's store.
-        receiver: Takes the reports.
+        receiver: API to which the reports are sent.
         time: Clock of this instance.
     """
 
@@ -79,14 +79,14 @@
         self._unreachable_calls = 0
 
     async def run(self) -> None:
-        """Report windows when they are complete, for ever."""
+        """Report windows when they are complete; runs until cancelled."""
         while True:
             await self._clock.sleep(_INTERVAL)
             if self._leadership.active and not await self.report_due():
                 await self._clock.sleep(_RETRY_PAUSE)
 
     async def report_due(self) -> bool:
-        """Report what is complete; False if a call was not accepted."""
+        """Report complete windows; False if a report was not accepted."""
         newest = usage.window_of(self._clock.now(), self._length)
         counted = range(newest - usage.KEPT_WINDOWS + 1, newest)
         oldest = newest - _STORED_WINDOWS + 1
@@ -101,7 +101,7 @@
         return True
 
     async def _committed_counts(self, window: int) -> _Counts | None:
-        """Return what a window's report says; None if that is not settled yet."""
+        """Return the committed counts of a window; None if not committed yet."""
         if not await self._read_record():
             return None
         assert self._record is not None
@@ -117,7 +117,7 @@
         if not await self._commit(window, dict(total.counts)):
             return None
         _log.info(
-            "usage of a window fixed",
+            "usage counts of window committed",
             window=window,
             requests=sum(count for _, count in total.counts),
             customers=len(total.counts),
@@ -126,21 +126,21 @@
         return self._record.windows[window]
 
     async def _read_record(self) -> bool:
-        """Know what the store holds, read anew in each tenure."""
+        """Load the stored record, once per leadership; False if that fails."""
         if not await self._leadership.acquire():
             return False
         if self._record is not None and self._record_fence == self._leadership.fence:
             return True
         found = await self._store.get(_KIND, _NAME)
         if isinstance(found, store.Unavailable):
-            _log.warn("usage record not read", reason=found.reason)
+            _log.warn("failed to read usage record from store", reason=found.reason)
             return False
         self._record = _record_of(found)
         self._record_fence = self._leadership.fence
         return True
 
     async def _commit(self, window: int, counts: _Counts) -> bool:
-        """Write what a window's report says; False if it is not certain."""
+        """Commit the counts of a window; False if it is not certain that it worked."""
         assert self._record is not None
         windows = self._record.windows | {window: counts}
         kept = dict(sorted(windows.items())[-_STORED_WINDOWS:])
@@ -151,9 +151,14 @@
         if isinstance(outcome, store.Written):
             self._record = _Record(outcome.version, kept)
             return True
-        # Somebody else may have written, or this write may yet count: read it back.
+        # Another instance may have written, or this write may have taken effect after
+        # all: the record must be read again.
         self._record = None
-        _log.warn("usage record not written", window=window, reason=repr(outcome))
+        _log.warn(
+            "failed to write usage record; will read it again",
+            window=window,
+            reason=repr(outcome),
+        )
         return False
 
     async def _send(self, window: int, counts: _Counts) -> bool:
@@ -171,7 +176,7 @@
         return self._record_outcome(window, outcome)
 
     def _record_outcome(self, window: int, outcome: control_api.Outcome) -> bool:
-        """Note what became of a report; False if it was not accepted."""
+        """Record the outcome of a report; False if it was not accepted."""
         if isinstance(outcome, control_api.Accepted):
             self._accepted.add(window)
             self._unanswered.discard(window)
