--- a/benchmarks/gateway_cost.py
+++ b/benchmarks/gateway_cost.py
@@ -208,9 +208,9 @@
     listed = json.loads(await loop.run_in_executor(None, around.stdout.readline))
     instance = process.GatewayInstance(_settings(port, peers_port), clock.SystemClock())
     spec = _spec()
-    instance.known.configure(configuration.decode(spec), spec)
+    instance.fleet.configure(configuration.decode(spec), spec)
     found = [entries.decode(name, entry) for name, entry in listed.items()]
-    instance.known.replace_servers(
+    instance.fleet.replace_servers(
         1, [s for s in found if isinstance(s, servers.Server)]
     )
     await instance.start()
--- a/src/pimentolatch/gateway/beacon_exchange.py
+++ b/src/pimentolatch/gateway/beacon_exchange.py
@@ -133,9 +133,9 @@
         """Select the receivers of beacons and the weight of each peer's load."""
         self._table.forget_old()
         places = self._table.places()
-        known = {place.host for place in places}
-        unheard = [neighbours.Place(host, "") for host in self._seeds - known]
-        self._neighbours = neighbours.choose(self._place, [*places, *unheard])
+        known_hosts = {place.host for place in places}
+        seeds = [neighbours.Place(host, "") for host in self._seeds - known_hosts]
+        self._neighbours = neighbours.choose(self._place, [*places, *seeds])
         self._load_exchange.partial_view = bool(self._neighbours.far)
         self._suspects.partial_view = self._load_exchange.partial_view
         for loads in self._fleet.loads_by_service().values():
--- a/src/pimentolatch/gateway/capacity_controller.py
+++ b/src/pimentolatch/gateway/capacity_controller.py
@@ -48,7 +48,7 @@
         self._receiver = receiver
         self._policy = policy
         self._clock = time
-        self._sizings: dict[str, server_plan.Sizing] = {}
+        self._initial_sizes: dict[str, server_plan.Sizing] = {}
         self._planners: dict[str, server_plan.ServerPlanner] = {}
 
     async def run(self) -> None:
@@ -59,7 +59,7 @@
                 await self.order_due()
             else:
                 self._planners.clear()
-                self._sizings.clear()
+                self._initial_sizes.clear()
 
     async def order_due(self) -> None:
         """Send the orders that are due."""
@@ -74,8 +74,8 @@
         planner = await self._planner(service)
         if planner is None:
             return
-        standing = self._servers_by_domain(service)
-        for order in planner.plan(scaling, standing, self._clock.monotonic()):
+        server_counts = self._servers_by_domain(service)
+        for order in planner.plan(scaling, server_counts, self._clock.monotonic()):
             if not await self._leadership.acquire() or not self._leadership.valid():
                 return
             outcome = await self._send(service, order)
@@ -115,9 +115,9 @@
         A later leader counts the ordered servers, including spare ones, and would
         mistake that count for the need.
         """
-        sizing = self._sizings.setdefault(service, server_plan.Sizing())
+        initial_size = self._initial_sizes.setdefault(service, server_plan.Sizing())
         total = len(self._fleet.servers.of_service(service))
-        size = sizing.note(total, self._clock.monotonic())
+        size = initial_size.note(total, self._clock.monotonic())
         if size is None or not await self._leadership.acquire():
             return None
         found = await self._store.get(_KIND, service)
--- a/src/pimentolatch/gateway/daemon.py
+++ b/src/pimentolatch/gateway/daemon.py
@@ -31,8 +31,7 @@
     path = os.environ.get(heads.SETTINGS_VARIABLE)
     if path is None:
         print(
-            f"environment variable {heads.SETTINGS_VARIABLE} is not set: it must name "
-            "the settings file",
+            f"{heads.SETTINGS_VARIABLE} is not set; it must name the settings file",
             file=sys.stderr,
         )
         sys.exit(_EXIT_INVALID_INPUT)
--- a/src/pimentolatch/gateway/fleet_state.py
+++ b/src/pimentolatch/gateway/fleet_state.py
@@ -102,7 +102,7 @@
         """Return the engine loads of a model service."""
         return self._loads.setdefault(service, engine_loads.EngineLoads())
 
-    def engine(
+    def engine_load(
         self, incarnation: servers.Incarnation
     ) -> engine_loads.EngineLoad | None:
         """Return the load of a listed engine of any service."""
--- a/src/pimentolatch/gateway/leadership.py
+++ b/src/pimentolatch/gateway/leadership.py
@@ -53,7 +53,7 @@
         self._peers = peers
         self._lease = leader_lease
         self._clock = time
-        self._claims = succession.HolderNews(self._clock.monotonic())
+        self._leader_tracker = succession.HolderNews(self._clock.monotonic())
         self._last_acquired: datetime.timedelta | None = None
         self._abstains_until = datetime.timedelta()
         self.since = time.now()
@@ -73,35 +73,35 @@
         """Host of the leader; None if no leader is known."""
         if self.active:
             return self._host
-        return self._claims.host(self._clock.monotonic())
+        return self._leader_tracker.host(self._clock.monotonic())
 
     def valid(self) -> bool:
         """Tell whether this instance may send a call as the leader now."""
         return self.active and self._lease.valid()
 
-    def leads(self) -> bool:
+    def should_lead(self) -> bool:
         """Tell whether this instance is the leader or should try to become it."""
         if self.active:
             return True
         now = self._clock.monotonic()
         if now < self._abstains_until:
             return False
-        if self._claims.host(now) == self._host:
+        if self._leader_tracker.host(now) == self._host:
             # An earlier incarnation of this instance held the lease, and peers still
             # report it as the leader.
             return True
         names = [peer.beacon.instance for peer in self._peers.live()]
         if self._permanent:
-            return self._claims.is_turn_of(self._name, names, now)
+            return self._leader_tracker.is_turn_of(self._name, names, now)
         is_first = all(name > self._name for name in names)
-        return is_first and self._claims.host(now) is None
+        return is_first and self._leader_tracker.host(now) is None
 
     async def acquire(self) -> bool:
         """Acquire or renew the lease; False if another instance may still act."""
-        if not self.leads():
+        if not self.should_lead():
             return False
         now = self._clock.monotonic()
-        if await self._lease.acquire(self._claims.released_fence):
+        if await self._lease.acquire(self._leader_tracker.released_fence):
             if self._last_acquired is None:
                 self.since = self._clock.now()
                 _log.info("became leader", fence=self._lease.fence)
@@ -131,7 +131,7 @@
         if notice is None:
             return
         now = self._clock.monotonic()
-        self._claims.hear(
+        self._leader_tracker.hear(
             succession.Claim(notice.host, notice.fence, notice.released),
             now - datetime.timedelta(milliseconds=notice.age_ms),
         )
@@ -143,12 +143,12 @@
         now = self._clock.monotonic()
         if self.active:
             return beacons.Holder(self._host, self._lease.fence, False, 0)
-        claim = self._claims.fresh(now)
+        claim = self._leader_tracker.fresh(now)
         if claim is None:
             return None
         # Rounded up: an age that is rounded down at each hop would never reach the
         # limit at which the claim expires.
-        age = (now - self._claims.at) // datetime.timedelta(milliseconds=1) + 1
+        age = (now - self._leader_tracker.at) // datetime.timedelta(milliseconds=1) + 1
         return beacons.Holder(claim.host, claim.fence, claim.released, age)
 
     async def run(self) -> None:
@@ -169,7 +169,7 @@
         now = self._clock.monotonic()
         self._abstains_until = now + _ABSTAIN_FACTOR * self._lease.handover_gap
         claim = succession.Claim(self._host, self._lease.fence, released=True)
-        self._claims.hear(claim, now)
+        self._leader_tracker.hear(claim, now)
         self._end(reason)
 
     def _end(self, reason: str) -> None:
--- a/src/pimentolatch/gateway/load_exchange.py
+++ b/src/pimentolatch/gateway/load_exchange.py
@@ -61,7 +61,7 @@
         else:
             self._receive_loads(beacon, weight, now)
         for reported_change in beacon.changing:
-            engine = self._fleet.engine(reported_change.engine)
+            engine = self._fleet.engine_load(reported_change.engine)
             if engine is not None:
                 left = datetime.timedelta(milliseconds=reported_change.left_ms)
                 engine.begin_change(
@@ -124,13 +124,13 @@
         self, beacon: beacons.Beacon, weight: float, now: datetime.timedelta
     ) -> None:
         reported = {load.engine for load in beacon.loads}
-        for ended in self._busy.get(beacon.instance, set()) - reported:
-            engine = self._fleet.engine(ended)
+        for idle in self._busy.get(beacon.instance, set()) - reported:
+            engine = self._fleet.engine_load(idle)
             if engine is not None:
                 engine.peers.forget(beacon.instance)
         self._busy[beacon.instance] = reported
         for load in beacon.loads:
-            engine = self._fleet.engine(load.engine)
+            engine = self._fleet.engine_load(load.engine)
             if engine is not None:
                 peer_load = peer_loads.PeerLoad(
                     load.reading, load.writing, load.held, weight
@@ -141,7 +141,7 @@
         """Apply a chunk of another domain's total load; see `totals`."""
         domain = beacon.failure_domain
         for load in beacon.totals:
-            engine = self._fleet.engine(load.engine)
+            engine = self._fleet.engine_load(load.engine)
             if engine is not None:
                 work = peer_loads.PeerLoad(load.reading, load.writing, load.held)
                 engine.peers.hear_domain(domain, work, now)
@@ -152,7 +152,7 @@
                 engine.peers.forget_domain(domain)
 
     def _receive_cached(self, part: beacons.CachedPart) -> None:
-        engine = self._fleet.engine(part.engine)
+        engine = self._fleet.engine_load(part.engine)
         if engine is None:
             return
         traits = self._fleet.engine_traits(engine.server.service)
--- a/src/pimentolatch/gateway/peer_snapshots.py
+++ b/src/pimentolatch/gateway/peer_snapshots.py
@@ -141,13 +141,13 @@
         self,
         peer: peer_table.Peer,
         path: str,
-        take: abc.Callable[[str, bytes], None],
+        apply: abc.Callable[[str, bytes], None],
     ) -> None:
         name = peer.beacon.instance
         address = settings.Address(host=peer.host, port=self._port)
         try:
             async with asyncio.timeout(_FETCH_TIMEOUT.total_seconds()):
-                take(name, await self._snapshot(name, address, path))
+                apply(name, await self._snapshot(name, address, path))
         except (
             channel.ConnectError,
             channel.BrokenError,
@@ -158,16 +158,16 @@
             )
 
     async def _snapshot(self, name: str, address: settings.Address, path: str) -> bytes:
-        link = await self._pool.take(name, address, self._clock.monotonic())
+        connection = await self._pool.take(name, address, self._clock.monotonic())
         try:
             host = f"{address.host}:{address.port}".encode()
-            link.send("GET", path.encode(), [(b"host", host)], b"")
-            await link.start()
-            content = await link.read_whole()
+            connection.send("GET", path.encode(), [(b"host", host)], b"")
+            await connection.start()
+            content = await connection.read_whole()
         except BaseException:
-            link.close()
+            connection.close()
             raise
-        self._pool.give_back(name, link, self._clock.monotonic())
+        self._pool.give_back(name, connection, self._clock.monotonic())
         return content
 
     def _apply_configuration(self, name: str, body: bytes) -> None:
--- a/src/pimentolatch/gateway/peer_table.py
+++ b/src/pimentolatch/gateway/peer_table.py
@@ -104,16 +104,18 @@
     def sample_members(self, most: int) -> tuple[beacons.Member, ...]:
         """Return a random sample of the known instances, `most` of them at most."""
         known = self.places()
-        told = self._rng.sample(known, min(most, len(known)))
-        return tuple(beacons.Member(place.host, place.failure_domain) for place in told)
+        sample = self._rng.sample(known, min(most, len(known)))
+        return tuple(
+            beacons.Member(place.host, place.failure_domain) for place in sample
+        )
 
     def weights(self) -> dict[str, float]:
         """Return the number of instances that a live peer represents, by domain."""
-        heard = [
+        live_places = [
             neighbours.Place(peer.host, peer.beacon.failure_domain)
             for peer in self.live()
         ]
-        return neighbours.weights(self.places(), heard)
+        return neighbours.weights(self.places(), live_places)
 
     def readers(self) -> tuple[store_readers.Reader, ...]:
         """Return this domain's candidates for watching the store, without this one."""
@@ -157,12 +159,14 @@
 
     def _update_readers(self, beacon: beacons.Beacon, now: datetime.timedelta) -> None:
         self._readers.pop(beacon.instance, None)
-        for told in beacon.readers:
-            heard = now - datetime.timedelta(milliseconds=told.age_ms)
-            known = self._readers.get(told.instance)
-            if told.instance != self._own and (known is None or heard > known.heard):
-                self._readers[told.instance] = store_readers.Reader(
-                    told.instance, heard
+        for reported in beacon.readers:
+            last_seen = now - datetime.timedelta(milliseconds=reported.age_ms)
+            known = self._readers.get(reported.instance)
+            if reported.instance != self._own and (
+                known is None or last_seen > known.heard
+            ):
+                self._readers[reported.instance] = store_readers.Reader(
+                    reported.instance, last_seen
                 )
 
 
--- a/src/pimentolatch/gateway/process.py
+++ b/src/pimentolatch/gateway/process.py
@@ -63,7 +63,7 @@
         self._gate = gate.Gate()
         self._fleet = fleet_state.FleetState()
         self._client = sending.ServerClient(time)
-        self._choice = server_choice.ServerChoice(chosen.failure_domain)
+        self._server_choice = server_choice.ServerChoice(chosen.failure_domain)
         bounds = chosen.bounds
         self._budget = repeat_budget.RepeatBudget(
             bounds.repeat_ratio,
@@ -76,8 +76,8 @@
             time,
         )
         self._cache_updates = cache_updates.CacheUpdates()
-        self._measured = route_metrics.RouteMetrics()
-        self._request_log = request_log.RequestLog(time, self._measured)
+        self._metrics = route_metrics.RouteMetrics()
+        self._request_log = request_log.RequestLog(time, self._metrics)
         self._quarantine = quarantine.Quarantine(chosen.quarantine.policy, time)
         self._permission = permission.Permission(self._fleet, self._quarantine)
         self._incarnation = uuid.uuid4().hex
@@ -90,7 +90,7 @@
         self._leader_tasks = leader_tasks.LeaderTasks(
             chosen, self._incarnation, self._fleet, self._peer_table, self._store, time
         )
-        self._prompts = generation.StreamForwarder(
+        self._stream_forwarder = generation.StreamForwarder(
             self._fleet,
             self._client,
             self._budget,
@@ -101,7 +101,7 @@
             self._permission,
             self._leader_tasks.usage,
             self._request_log,
-            self._measured,
+            self._metrics,
         )
         self._face = servers.HttpServer(
             self._route_face(),
@@ -113,7 +113,7 @@
         self._fleet.on_change(self._drop_unlisted)
         self._tasks: list[asyncio.Task[None]] = []
         self._build_peer_parts()
-        self._measured.registry.register(
+        self._metrics.registry.register(
             route_metrics.StateCollector(
                 self._fleet,
                 self._peer_table,
@@ -124,8 +124,8 @@
         )
         self._metrics_server: servers.HttpServer | None = None
         if chosen.metrics is not None:
-            shown = route_metrics.MetricsEndpoint(self._measured)
-            self._metrics_server = servers.HttpServer(shown, chosen.metrics)
+            endpoint = route_metrics.MetricsEndpoint(self._metrics)
+            self._metrics_server = servers.HttpServer(endpoint, chosen.metrics)
 
     @property
     def budget(self) -> repeat_budget.RepeatBudget:
@@ -133,7 +133,7 @@
         return self._budget
 
     @property
-    def known(self) -> fleet_state.FleetState:
+    def fleet(self) -> fleet_state.FleetState:
         """Local fleet state: configuration, servers and engine loads."""
         return self._fleet
 
@@ -160,7 +160,7 @@
             self._cache_updates,
             self._quarantine,
             self._leader_tasks.leadership,
-            self._prompts.demands,
+            self._stream_forwarder.demands,
             time,
             random.Random(),
         )
@@ -194,7 +194,7 @@
             self._peer_table,
             self._leader_tasks.leadership,
             self._client,
-            self._prompts.demand,
+            self._stream_forwarder.demand,
             time,
         )
 
@@ -202,7 +202,7 @@
         plain_requests = plain.PlainForwarder(
             self._fleet,
             self._client,
-            self._choice,
+            self._server_choice,
             self._budget,
             self._quarantine,
             self._permission,
@@ -212,7 +212,7 @@
         )
         return face.RouteFace(
             self._fleet,
-            (plain_requests, self._prompts),
+            (plain_requests, self._stream_forwarder),
             self._budget,
             self._gate,
             self._permission,
@@ -224,7 +224,7 @@
     def _drop_unlisted(self) -> None:
         listed = {server.incarnation for server in self._fleet.servers.all()}
         self._client.retain(listed)
-        self._choice.retain(listed)
+        self._server_choice.retain(listed)
 
     async def _ready(
         self, scope: typing.Any, receive: typing.Any, send: typing.Any
@@ -258,8 +258,8 @@
             self._quarantine.review,
             *self._leader_tasks.runners,
         ):
-            kept = tasks.keep_running(work.__qualname__, work, self._clock)
-            self._tasks.append(asyncio.create_task(kept))
+            supervised = tasks.keep_running(work.__qualname__, work, self._clock)
+            self._tasks.append(asyncio.create_task(supervised))
         if self._metrics_server is not None:
             await self._metrics_server.start()
         await self._readiness.start()
@@ -308,12 +308,12 @@
         self._beacon_exchange.announce_stop()
         await self._clock.sleep(_DRAIN_DELAY)
         grace = datetime.timedelta(seconds=self._settings.bounds.stop_grace_s)
-        left = grace - _DRAIN_DELAY - _ABORT_MARGIN
+        remaining = grace - _DRAIN_DELAY - _ABORT_MARGIN
         # Closes idle connections first, then waits for requests. If requests were
         # counted before that, there might be none, and one that arrived while the
         # connections close would be aborted.
         closing = asyncio.create_task(self._face.stop())
-        await asyncio.wait({closing}, timeout=left.total_seconds())
+        await asyncio.wait({closing}, timeout=remaining.total_seconds())
         if not closing.done():
             _log.warn(
                 "requests aborted at the end of the grace period",
--- a/src/pimentolatch/gateway/quarantine.py
+++ b/src/pimentolatch/gateway/quarantine.py
@@ -29,7 +29,7 @@
 
 
 class Quarantine:
-    """Collects evidence of crashes, decides which requests are quarantined.
+    """Collects evidence of crashes and decides which requests are quarantined.
 
     A quarantined request is not sent to any server.
 
@@ -60,34 +60,36 @@
         """Replace the policy; the evidence stays."""
         self._suspects.policy = policy
 
-    def verdict(self, asked: inbound.Inbound) -> crash_suspects.Verdict | None:
+    def verdict(self, request: inbound.Inbound) -> crash_suspects.Verdict | None:
         """Return why a request is quarantined; None if it may run."""
-        return self._suspects.verdict(asked.digest, self._clock.monotonic())
+        return self._suspects.verdict(request.digest, self._clock.monotonic())
 
-    def is_suspect(self, asked: inbound.Inbound) -> bool:
+    def is_suspect(self, request: inbound.Inbound) -> bool:
         """Tell whether servers have crashed while they ran a request."""
-        return self._suspects.crashes(asked.digest) > 0
+        return self._suspects.crashes(request.digest) > 0
 
     def avoided(
-        self, asked: inbound.Inbound, candidates: typing.Iterable[servers.Server]
+        self, request: inbound.Inbound, candidates: typing.Iterable[servers.Server]
     ) -> frozenset[servers.Incarnation]:
         """Return the servers that are not to run a request while it is a suspect."""
-        crashes = self._suspects.crashes(asked.digest)
+        crashes = self._suspects.crashes(request.digest)
         if not crashes:
             return frozenset()
         found = {server.incarnation for server in candidates}
-        return frozenset(found) - crash_suspects.own_part(asked.digest, crashes, found)
+        return frozenset(found) - crash_suspects.own_part(
+            request.digest, crashes, found
+        )
 
     def record_crash(
         self,
-        asked: inbound.Inbound,
+        request: inbound.Inbound,
         server: servers.Server,
         begun: datetime.timedelta,
     ) -> None:
         """Record that a server's connection ended while it ran a request.
 
         Args:
-            asked: The request.
+            request: The request.
             server: The server.
             begun: When the request was sent. A request that was sent over a pooled
                 connection to a server that had already crashed is not the cause.
@@ -96,7 +98,7 @@
             return
         now = self._clock.monotonic()
         pair = crash_evidence.Suspicion(
-            asked.digest, server.incarnation, False, now, now - begun
+            request.digest, server.incarnation, False, now, now - begun
         )
         known = self._suspects.add(pair, now)
         if known is not None:
@@ -108,19 +110,19 @@
         """Record that a server has answered an exchange that began at `since`."""
         self._enqueue(self._suspects.answered(server.incarnation, since))
 
-    def record_completion(self, asked: inbound.Inbound) -> None:
+    def record_completion(self, request: inbound.Inbound) -> None:
         """Record that a server has completed a request successfully."""
-        self._enqueue(self._suspects.completed(asked.digest))
+        self._enqueue(self._suspects.completed(request.digest))
 
     def take_near(self) -> tuple[beacons.Suspicion, ...]:
         """Return the evidence to send to near peers."""
-        news = self._near.take(_MAX_PAIRS, self._suspects.crashes)
-        return self._rows(news + self._next_serious())
+        evidence = self._near.take(_MAX_PAIRS, self._suspects.crashes)
+        return self._rows(evidence + self._next_serious())
 
     def take_far(self) -> tuple[beacons.Suspicion, ...]:
         """Return the evidence to send to peers in other failure domains."""
-        news = self._far.take(_MAX_PAIRS, self._suspects.crashes)
-        return self._rows(news + self._next_serious())
+        evidence = self._far.take(_MAX_PAIRS, self._suspects.crashes)
+        return self._rows(evidence + self._next_serious())
 
     def receive(self, rows: typing.Iterable[beacons.Suspicion]) -> None:
         """Apply the evidence that a peer has sent."""
--- a/src/pimentolatch/gateway/route_metrics.py
+++ b/src/pimentolatch/gateway/route_metrics.py
@@ -208,13 +208,13 @@
     """ASGI application that answers every request with the metrics."""
 
     def __init__(self, measured: RouteMetrics) -> None:
-        self._measured = measured
+        self._metrics = measured
 
     async def __call__(
         self, scope: typing.Any, receive: typing.Any, send: typing.Any
     ) -> None:
         """Serve one request."""
-        body = self._measured.text()
+        body = self._metrics.text()
         fields = [
             (b"content-type", prometheus_client.CONTENT_TYPE_LATEST.encode()),
             (b"content-length", b"%d" % len(body)),
--- a/src/pimentolatch/gateway/stage_controller.py
+++ b/src/pimentolatch/gateway/stage_controller.py
@@ -49,7 +49,7 @@
         """Order stage changes whose gain exceeds their cost; runs until cancelled."""
         while True:
             await self._clock.sleep(_INTERVAL)
-            if not self._leadership.leads():
+            if not self._leadership.should_lead():
                 continue
             for service in list(self._fleet.loads_by_service()):
                 await self._plan_service(service)
@@ -93,13 +93,13 @@
 
     def _mark_changing(self, change: stage_plan.Change) -> None:
         """Exclude an engine from routing during its change, here and at peers."""
-        engine = self._fleet.engine(change.engine)
+        engine = self._fleet.engine_load(change.engine)
         if engine is None:
             return
         traits = self._fleet.engine_traits(engine.server.service)
         if traits is not None:
-            away = traits.stage_change + stage_plan.STREAMS_END
-            until = self._clock.monotonic() + away
+            absence = traits.stage_change + stage_plan.STREAMS_END
+            until = self._clock.monotonic() + absence
             engine.begin_change(engine_loads.StageChange(change.stage, until))
 
     def _is_outcome_unknown(self, server_id: str, now: datetime.timedelta) -> bool:
--- a/src/pimentolatch/gateway/store_watch.py
+++ b/src/pimentolatch/gateway/store_watch.py
@@ -168,11 +168,11 @@
         self._unusable: set[str] = set()
 
     def _apply_listing(self, listing: store.Listing) -> None:
-        away = self._clock.monotonic() - self._fleet.servers_confirmed_at
+        outage = self._clock.monotonic() - self._fleet.servers_confirmed_at
         self._unusable &= {item.name for item in listing.objects}
         listed = self._decode_usable(listing.objects)
         missing: list[servers.Server] = []
-        if away >= _MIN_EXPIRY and self._fleet.servers_listed:
+        if outage >= _MIN_EXPIRY and self._fleet.servers_listed:
             named = {item.name for item in listing.objects}
             known = self._fleet.servers.all()
             missing = [server for server in known if server.server_id not in named]
--- a/src/pimentolatch/gateway/usage_exchange.py
+++ b/src/pimentolatch/gateway/usage_exchange.py
@@ -35,7 +35,7 @@
     """Counts nothing; used if usage reports are not enabled."""
 
     def record_start(self, customer: str | None, moment: datetime.datetime) -> None:
-        """See `UsageCounter.began`."""
+        """See `UsageCounter.record_start`."""
 
 
 class UsageExchange(datagrams.DatagramSocket):
@@ -64,7 +64,7 @@
         self._clock = time
 
     def record_start(self, customer: str | None, moment: datetime.datetime) -> None:
-        """See `UsageCounter.began`."""
+        """See `UsageCounter.record_start`."""
         if customer is not None and not self._book.began(customer, moment):
             _log.warn(
                 "request not counted: its usage window is closed", customer=customer
@@ -80,12 +80,12 @@
         """Send the counts of this instance, and of terminated ones, once."""
         own = self._book.own_rows(self._clock.now())
         live = self._peers.live()
-        holder = self._leadership.host
+        leader_host = self._leadership.host
         receivers = set(self._backup_hosts(live))
-        if holder is not None and holder != self._address.host:
-            receivers.add(holder)
+        if leader_host is not None and leader_host != self._address.host:
+            receivers.add(leader_host)
             terminated = self._book.rows_of_ended(_names(live))
-            self.send({holder}, _datagrams(terminated))
+            self.send({leader_host}, _datagrams(terminated))
         self.send(receivers, _datagrams(own))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
--- a/src/pimentolatch/gateway/usage_reports.py
+++ b/src/pimentolatch/gateway/usage_reports.py
@@ -43,7 +43,7 @@
     handles idempotently, and never sends different counts for the same window.
 
     Args:
-        holder: Name of this instance.
+        own_name: Name of this instance.
         length: Length of a window.
         book: Counts of this instance and those received from peers.
         peers: The live peers, from which counts are expected.
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        holder: str,
+        own_name: str,
         length: datetime.timedelta,
         book: usage.UsageBook,
         peers: peer_table.PeerTable,
@@ -64,7 +64,7 @@
         receiver: control_api.ControlApi,
         time: clock.Clock,
     ) -> None:
-        self._name = holder
+        self._name = own_name
         self._length = length
         self._book = book
         self._peers = peers
@@ -143,13 +143,13 @@
         """Commit the counts of a window; False if it is not certain that it worked."""
         assert self._record is not None
         windows = self._record.windows | {window: counts}
-        kept = dict(sorted(windows.items())[-_STORED_WINDOWS:])
-        value = {"windows": {str(number): found for number, found in kept.items()}}
+        recent = dict(sorted(windows.items())[-_STORED_WINDOWS:])
+        value = {"windows": {str(number): found for number, found in recent.items()}}
         outcome = await self._store.put(
             _KIND, _NAME, value, if_version=self._record.version
         )
         if isinstance(outcome, store.Written):
-            self._record = _Record(outcome.version, kept)
+            self._record = _Record(outcome.version, recent)
             return True
         # Another instance may have written, or this write may have taken effect after
         # all: the record must be read again.
--- a/src/pimentolatch/gateway/watch_controller.py
+++ b/src/pimentolatch/gateway/watch_controller.py
@@ -84,8 +84,8 @@
             return
         _log.info("started watching the store")
         for watch in self._watches:
-            kept = tasks.keep_running(watch.kind, watch.run, self._clock)
-            self._running.append(asyncio.create_task(kept))
+            supervised = tasks.keep_running(watch.kind, watch.run, self._clock)
+            self._running.append(asyncio.create_task(supervised))
 
     def _stop(self) -> None:
         if not self._running:
--- a/tests/features/steps/customers_steps.py
+++ b/tests/features/steps/customers_steps.py
@@ -39,7 +39,7 @@
 
 async def in_force(context, version, name="one"):
     _, instance = context.world.instances[name]
-    await context.world.until(lambda: instance.known.version == version)
+    await context.world.until(lambda: instance.fleet.version == version)
 
 
 async def ask(context, place, key, request_id="r1", name="one", **fields):
@@ -181,7 +181,7 @@
     _, instance = context.world.instances["one"]
     changed = customers(KEYS | {"north": ["k-north-third"]})
     spec = route_world.configuration(2, ROUTES, changed)
-    store_watch.apply_configuration(instance.known, spec)
+    store_watch.apply_configuration(instance.fleet, spec)
     context.run(in_force(context, 2, "two"))
 
 
@@ -203,7 +203,7 @@
         world = context.world
         _, instance = world.instances["one"]
         await world.drain("d1")
-        await world.until(lambda: instance.known.servers.get("d1").leaving)
+        await world.until(lambda: instance.fleet.servers.get("d1").leaving)
         asked = asyncio.create_task(ask(context, "digest", KEYS["north"][0]))
         await asyncio.sleep(WAIT_S)
         assert not asked.done(), asked.result()
@@ -240,7 +240,7 @@
     async def both():
         await context.world.stop_store()
         _, instance = context.world.instances["one"]
-        await context.world.until(lambda: instance.known.store_unreachable)
+        await context.world.until(lambda: instance.fleet.store_unreachable)
         return await ask(context, "notify", UNKNOWN)
 
     context.reply = context.run(both())
--- a/tests/features/steps/routes_fleet_steps.py
+++ b/tests/features/steps/routes_fleet_steps.py
@@ -412,7 +412,7 @@
 
 
 def known(context, name):
-    return context.world.instances[name][1].known
+    return context.world.instances[name][1].fleet
 
 
 @behave.when("fleet: the instances have settled")
--- a/tests/features/steps/routes_incarnations_steps.py
+++ b/tests/features/steps/routes_incarnations_steps.py
@@ -264,7 +264,7 @@
     async def ask():
         reader.born = 1000
         await world.write("servers", name, reader.entry())
-        known = world.instances["one"][1].known
+        known = world.instances["one"][1].fleet
         await world.until(lambda: known.servers.get(name).born == 1000)
         known.loads("lm").get("d1").reading[0] += 10_000
         reader.faults.append("slow")
--- a/tests/features/steps/routes_serving_steps.py
+++ b/tests/features/steps/routes_serving_steps.py
@@ -37,7 +37,7 @@
 def keep_writers_reading(context):
     """Make it seem that writers read so much that a prompt is read apart."""
     _, instance = context.world.instances["one"]
-    for engine in instance.known.loads("lm").all():
+    for engine in instance.fleet.loads("lm").all():
         if engine.server.stage.value == "decode":
             engine.reading[0] += 5000
 
@@ -59,7 +59,7 @@
 def add_plain(context, name):
     context.run(context.world.add_server(name, "app"))
     _, instance = context.world.instances["one"]
-    known = instance.known
+    known = instance.fleet
     context.run(context.world.until(lambda: known.servers.get(name) is not None))
 
 
@@ -152,7 +152,7 @@
 
 async def listed(context, name):
     _, instance = context.world.instances["one"]
-    await context.world.until(lambda: instance.known.servers.get(name) is not None)
+    await context.world.until(lambda: instance.fleet.servers.get(name) is not None)
 
 
 @behave.given('routes: the next prompt of "{name}" ends by "{fault}"')
@@ -240,7 +240,7 @@
 def queue_elsewhere(context, name, tokens):
     context.run(listed(context, "p2"))
     _, instance = context.world.instances["one"]
-    for engine in instance.known.loads("lm").all():
+    for engine in instance.fleet.loads("lm").all():
         if engine.server.server_id not in (name, "d1", "d2"):
             engine.reading[0] += tokens
 
@@ -291,7 +291,7 @@
     async def begin():
         world = context.world
         await world.add_server("a1", "app")
-        known = world.instances["one"][1].known
+        known = world.instances["one"][1].fleet
         await world.until(lambda: known.servers.get("a1") is not None)
         await world.stop_store()
         seeds = [f"{route_world.HOST}:{world.peer_port}"]
@@ -453,7 +453,7 @@
         world = context.world
         await world.add_instance("two", host="127.0.0.2", time=context.clock)
         instance = world.instances["two"][1]
-        await world.until(lambda: instance.known.servers.get("a1") is not None)
+        await world.until(lambda: instance.fleet.servers.get("a1") is not None)
         context.link = await world.connect("two")
         context.stop = asyncio.create_task(instance.stop())
         await world.until(lambda: context.clock.held)
--- a/tests/features/steps/routes_waiting_steps.py
+++ b/tests/features/steps/routes_waiting_steps.py
@@ -13,7 +13,7 @@
 
 
 def known(context):
-    return context.world.instances["one"][1].known
+    return context.world.instances["one"][1].fleet
 
 
 async def leaves(context, name):
--- a/tests/support/crash_world.py
+++ b/tests/support/crash_world.py
@@ -104,7 +104,7 @@
     def _all_know(self):
         listed = {n for n, s in self.servers.items() if s.state == "ready"}
         for _, instance in self.instances.values():
-            known = instance.known.servers
+            known = instance.fleet.servers
             taking = {
                 server.server_id
                 for service in ("lm", "app")
--- a/tests/support/fleet_world.py
+++ b/tests/support/fleet_world.py
@@ -306,7 +306,7 @@
             engine = self.engines[change.engine.server_id]
             engine.changing = True
             away = fleet_parts.TRAITS.stage_change + stage_plan.STREAMS_END
-            first.known.engine(change.engine).begin_change(
+            first.known.engine_load(change.engine).begin_change(
                 engine_loads.StageChange(change.stage, self.time + away)
             )
             self._end_change(engine, change)
--- a/tests/support/route_world.py
+++ b/tests/support/route_world.py
@@ -268,7 +268,7 @@
 
 def follows(instance):
     """Tell whether an instance hears of changes, from the store or from readers."""
-    return instance.known.watches_store or len(instance.peers.readers()) == 3
+    return instance.fleet.watches_store or len(instance.peers.readers()) == 3
 
 
 def request(place, request_id, body=b"", **fields):
