--- a/src/pimentolatch/gateway/capacity.py
+++ b/src/pimentolatch/gateway/capacity_controller.py
@@ -1,89 +1,98 @@
-"""Orders servers of services that are paid by the second."""
+"""Orders servers for services whose servers are billed by the second."""
 
 import collections
 import datetime
 
 import logbook
 
-from pimentolatch import clock, store
+from pimentolatch import (
+    clock,
+    store,
+)
 from pimentolatch.decisions import server_plan
-from pimentolatch.gateway import knowledge, tenure
-from pimentolatch.platform import control_api, objects
+from pimentolatch.gateway import (
+    fleet_state,
+    leadership,
+)
+from pimentolatch.platform import (
+    control_api,
+    objects,
+)
 from pimentolatch.routes import table
 
-__all__ = ["CapacityKeeper"]
+__all__ = ["CapacityController"]
 
 _log = logbook.Logger("capacity")
 _KIND = "pimentolatch-capacity"
 _INTERVAL = datetime.timedelta(milliseconds=500)
 
 
-class CapacityKeeper:
-    """Carries the plan out while this instance does the duties of one holder.
+class CapacityController:
+    """Plans and orders servers while this instance is the leader.
 
     Args:
         own_name: Name of this instance.
-        known: Services and servers.
-        held: The tenure.
+        fleet: Services and servers.
+        own_leadership: Tells whether this instance is the leader.
         source: The platform's store.
-        receiver: Takes the orders.
-        policy: How servers are to be ordered.
+        receiver: API to which the orders are sent.
+        policy: Rules by which servers are ordered.
         time: Clock of this instance.
     """
 
     def __init__(
         self,
         own_name: str,
-        known: knowledge.Knowledge,
-        held: tenure.Tenure,
+        fleet: fleet_state.FleetState,
+        own_leadership: leadership.Leadership,
         source: objects.ObjectStore,
         receiver: control_api.ControlApi,
         policy: server_plan.Policy,
         time: clock.Clock,
     ) -> None:
         self._name = own_name
-        self._known = known
-        self._tenure = held
+        self._fleet = fleet
+        self._leadership = own_leadership
         self._store = source
         self._receiver = receiver
         self._policy = policy
         self._clock = time
-        self._sizings: dict[str, server_plan.InitialSize] = {}
+        self._initial_sizes: dict[str, server_plan.InitialSize] = {}
         self._planners: dict[str, server_plan.ServerPlanner] = {}
 
     async def run(self) -> None:
-        """Order what is missing and give back what is too much, for ever."""
+        """Order missing servers and return surplus ones; runs until cancelled."""
         while True:
             await self._clock.sleep(_INTERVAL)
-            if self._tenure.active:
-                await self.look()
+            if self._leadership.active:
+                await self.order_due()
             else:
                 self._planners.clear()
-                self._sizings.clear()
+                self._initial_sizes.clear()
 
-    async def look(self) -> None:
+    async def order_due(self) -> None:
         """Send the orders that are due."""
-        configuration = self._known.configuration
-        if configuration is None or not self._known.servers_listed:
+        configuration = self._fleet.configuration
+        if configuration is None or not self._fleet.servers_listed:
             return
         for service in configuration.services.values():
             if service.scaling is not None:
-                await self._look(service.name, service.scaling)
+                await self._order_for_service(service.name, service.scaling)
 
-    async def _look(self, service: str, scaling: table.Scaling) -> None:
+    async def _order_for_service(self, service: str, scaling: table.Scaling) -> None:
         planner = await self._planner(service)
         if planner is None:
             return
-        standing = self._standing(service)
-        for order in planner.plan(scaling, standing, self._clock.monotonic()):
-            if not await self._tenure.acquire() or not self._tenure.valid():
+        server_counts = self._servers_by_domain(service)
+        for order in planner.plan(scaling, server_counts, self._clock.monotonic()):
+            if not await self._leadership.acquire() or not self._leadership.valid():
                 return
             outcome = await self._send(service, order)
-            self._note(planner, order, outcome)
-            if not self._tenure.active:
+            self._record_outcome(planner, order, outcome)
+            if not self._leadership.active:
                 return
 
-    def _note(
+    def _record_outcome(
         self,
         planner: server_plan.ServerPlanner,
         order: server_plan.Order,
@@ -93,12 +102,12 @@
         if isinstance(outcome, control_api.Accepted | control_api.Unanswered):
             planner.sent(order, now)
         elif isinstance(outcome, control_api.FencedOff):
-            self._tenure.fenced_off()
+            self._leadership.fenced_off()
         else:
             planner.refused(order, now)
 
     async def _planner(self, service: str) -> server_plan.ServerPlanner | None:
-        """Return the planner of a service; None before it is known what suffices."""
+        """Return the planner of a service; None until the required size is known."""
         found = self._planners.get(service)
         if found is not None:
             return found
@@ -110,15 +119,17 @@
         return planner
 
     async def _size(self, service: str) -> int | None:
-        """Return how many servers suffice, as the first holder has found.
+        """Return how many servers suffice, as stored by the first leader.
 
-        A later holder finds what was ordered, spare ones included, and would take that
-        for the need.
+        A later leader counts the ordered servers, including spare ones, and would
+        mistake that count for the need.
         """
-        sizing = self._sizings.setdefault(service, server_plan.InitialSize())
-        total = len(self._known.servers.of_service(service))
-        size = sizing.observe(total, self._clock.monotonic())
-        if size is None or not await self._tenure.acquire():
+        initial_size = self._initial_sizes.setdefault(
+            service, server_plan.InitialSize()
+        )
+        total = len(self._fleet.servers.of_service(service))
+        size = initial_size.observe(total, self._clock.monotonic())
+        if size is None or not await self._leadership.acquire():
             return None
         found = await self._store.get(_KIND, service)
         if isinstance(found, store.Found):
@@ -132,11 +143,11 @@
     async def _send(
         self, service: str, order: server_plan.Order
     ) -> control_api.Outcome:
-        holder = control_api.Holder(self._name, self._tenure.fence)
-        told = control_api.ServerOrder(
+        holder = control_api.Holder(self._name, self._leadership.fence)
+        server_order = control_api.ServerOrder(
             service, order.failure_domain, order.count, order.spot
         )
-        outcome = await self._receiver.order_servers(holder, told)
+        outcome = await self._receiver.order_servers(holder, server_order)
         _log.info(
             "servers ordered",
             service=service,
@@ -149,9 +160,9 @@
         )
         return outcome
 
-    def _standing(self, service: str) -> dict[str, server_plan.ServerCounts]:
+    def _servers_by_domain(self, service: str) -> dict[str, server_plan.ServerCounts]:
         counts: dict[str, list[int]] = {}
-        for server in self._known.servers.of_service(service):
+        for server in self._fleet.servers.of_service(service):
             counts.setdefault(server.failure_domain, [0, 0])[server.spot] += 1
         return {
             domain: server_plan.ServerCounts(on_demand, spot)
@@ -161,7 +172,7 @@
     def _stages(self, service: str) -> dict[str, int]:
         stages = (
             server.stage.value
-            for server in self._known.servers.of_service(service)
+            for server in self._fleet.servers.of_service(service)
             if server.stage is not None
         )
         return dict(collections.Counter(stages))
--- a/src/pimentolatch/gateway/decode_client.py
+++ b/src/pimentolatch/gateway/decode_client.py
@@ -146,7 +146,7 @@
         if isinstance(outcome, dispatch.OutcomeUnknown):
             self._count_run(generation)
             if outcome.server_crashed:
-                self._context.crash_quarantine.server_ended(
+                self._context.crash_quarantine.record_crash(
                     request, engine.server, sent_at
                 )
         return False
@@ -181,7 +181,7 @@
             opened.link.close()
             progress.reason = str(error)
             broken = dispatch.OutcomeUnknown(progress.reason, server_crashed=True)
-            self._context.crash_quarantine.server_ended(request, engine.server, sent_at)
+            self._context.crash_quarantine.record_crash(request, engine.server, sent_at)
             self._context.log_sent(
                 request,
                 engine,
@@ -197,8 +197,8 @@
                 return True
             return False
         loads.succeeded(engine, self._context.clock.monotonic())
-        self._context.crash_quarantine.answered(engine.server, sent_at)
-        self._context.crash_quarantine.completed(request)
+        self._context.crash_quarantine.record_response(engine.server, sent_at)
+        self._context.crash_quarantine.record_completion(request)
         return True
 
     async def _failure_response(
@@ -294,7 +294,7 @@
         if not generation.progress.usage_counted:
             generation.progress.usage_counted = True
             name = generation.request.customer_name
-            self._context.usage.began(name, self._context.clock.now())
+            self._context.usage.record_start(name, self._context.clock.now())
 
     def _measure_event(
         self, generation: request_progress.Generation, now: datetime.timedelta
--- a/src/pimentolatch/gateway/dispatch_check.py
+++ b/src/pimentolatch/gateway/dispatch_check.py
@@ -2,7 +2,12 @@
 
 from pimentolatch import results
 from pimentolatch.decisions import access
-from pimentolatch.gateway import client_request, knowledge, quarantine, refusals
+from pimentolatch.gateway import (
+    client_request,
+    fleet_state,
+    quarantine,
+    refusals,
+)
 
 __all__ = ["DispatchCheck"]
 
@@ -18,7 +23,7 @@
     """
 
     def __init__(
-        self, fleet: knowledge.Knowledge, crash_quarantine: quarantine.Quarantine
+        self, fleet: fleet_state.FleetState, crash_quarantine: quarantine.Quarantine
     ) -> None:
         self._fleet = fleet
         self._crash_quarantine = crash_quarantine
--- a/src/pimentolatch/gateway/front_end.py
+++ b/src/pimentolatch/gateway/front_end.py
@@ -7,13 +7,22 @@
 
 import logbook
 
-from pimentolatch import clock, results
-from pimentolatch.decisions import access, repeat_budget
-from pimentolatch.entry import gate, guard
+from pimentolatch import (
+    clock,
+    results,
+)
+from pimentolatch.decisions import (
+    access,
+    repeat_budget,
+)
+from pimentolatch.entry import (
+    gate,
+    guard,
+)
 from pimentolatch.gateway import (
     client_request,
     dispatch_check,
-    knowledge,
+    fleet_state,
     refusals,
     request_log,
 )
@@ -61,7 +70,7 @@
 
     def __init__(
         self,
-        fleet: knowledge.Knowledge,
+        fleet: fleet_state.FleetState,
         forwarders: tuple[Forwarder, Forwarder],
         budget: repeat_budget.RepeatBudget,
         request_gate: gate.Gate,
@@ -140,7 +149,7 @@
         if route is None:
             return refusals.no_route(head.host, path)
         allowed = access.decide(
-            configuration, route, head.keys, current=not self._fleet.store_lost
+            configuration, route, head.keys, current=not self._fleet.store_unreachable
         )
         if isinstance(allowed, access.Denial):
             return _refusal_for(allowed)
--- a/src/pimentolatch/gateway/http_protocol.py
+++ b/src/pimentolatch/gateway/http_protocol.py
@@ -4,7 +4,7 @@
 import typing
 
 from pimentolatch.entry import guard
-from pimentolatch.gateway import knowledge
+from pimentolatch.gateway import fleet_state
 
 __all__ = ["RouteProtocol", "protocol_class"]
 
@@ -13,7 +13,7 @@
     """One client connection; the newest limits apply to each request."""
 
     def __init__(
-        self, *args: typing.Any, fleet: knowledge.Knowledge, **named: typing.Any
+        self, *args: typing.Any, fleet: fleet_state.FleetState, **named: typing.Any
     ) -> None:
         super().__init__(*args, **named)
         self._fleet = fleet
@@ -49,6 +49,6 @@
         super().on_response_complete()
 
 
-def protocol_class(fleet: knowledge.Knowledge) -> typing.Callable[..., typing.Any]:
+def protocol_class(fleet: fleet_state.FleetState) -> typing.Callable[..., typing.Any]:
     """Return the factory of the protocol of each connection."""
     return functools.partial(RouteProtocol, fleet=fleet)
--- /dev/null
+++ b/src/pimentolatch/gateway/peer_snapshots.py
@@ -0,0 +1,200 @@
+"""Fetches configuration and servers from a peer that has a newer version.
+
+An instance that the store rejects still receives its peers' beacons. Without this
+module it would route by an outdated configuration and send to removed servers until
+the store serves it again, and an instance that starts during an outage of the store
+would have no configuration at all.
+"""
+
+import asyncio
+import datetime
+import typing
+from collections import abc
+
+import logbook
+
+from pimentolatch import clock, settings
+from pimentolatch.backend import channel
+from pimentolatch.gateway import expired_entries, fleet_state, peer_table, store_watch
+from pimentolatch.protocol import snapshots
+
+__all__ = ["SnapshotEndpoint", "SnapshotFetcher"]
+
+_log = logbook.Logger("spread")
+_CONFIGURATION = "/v1/configuration"
+_SERVERS = "/v1/servers"
+# Beacons arrive every 250 ms.
+_INTERVAL = datetime.timedelta(milliseconds=100)
+# An instance that watches the store fetches only after a peer has been ahead for this
+# long: a working watch lags by at most this much.
+_MAX_WATCH_LAG = datetime.timedelta(milliseconds=400)
+_FETCH_TIMEOUT = datetime.timedelta(seconds=1)
+
+
+class SnapshotEndpoint:
+    """ASGI application that serves this instance's snapshots to peers."""
+
+    def __init__(
+        self,
+        fleet: fleet_state.FleetState,
+        expired_servers: expired_entries.ExpiredServers,
+    ) -> None:
+        self._fleet = fleet
+        self._expired = expired_servers
+
+    async def __call__(
+        self, scope: typing.Any, receive: typing.Any, send: typing.Any
+    ) -> None:
+        """Serve one request; 404 if there is nothing to serve."""
+        body = self._body(scope["path"])
+        length = (b"content-length", b"%d" % len(body))
+        status = 200 if body else 404
+        start = {"type": "http.response.start", "status": status, "headers": [length]}
+        await send(start)
+        await send({"type": "http.response.body", "body": body})
+
+    def _body(self, path: str) -> bytes:
+        fleet = self._fleet
+        if path == _CONFIGURATION:
+            snapshot = snapshots.Configuration(fleet.configuration_spec)
+            return snapshots.encode_configuration(snapshot)
+        if path == _SERVERS and fleet.servers_listed:
+            listed = tuple(fleet.servers.all())
+            return snapshots.encode_servers(
+                snapshots.Servers(
+                    fleet.servers_revision, listed, self._expired.remaining()
+                )
+            )
+        return b""
+
+
+class SnapshotFetcher:
+    """Fetches snapshots from peers that are ahead of this instance.
+
+    Args:
+        fleet: State that the snapshots are applied to.
+        table: The live peers with their versions and revisions.
+        expired_servers: Receives the servers whose entries have expired at a peer.
+        port: Port on which peers serve snapshots.
+        time: Clock of this instance.
+    """
+
+    def __init__(
+        self,
+        fleet: fleet_state.FleetState,
+        table: peer_table.PeerTable,
+        expired_servers: expired_entries.ExpiredServers,
+        port: int,
+        time: clock.Clock,
+    ) -> None:
+        self._fleet = fleet
+        self._table = table
+        self._expired = expired_servers
+        self._port = port
+        self._clock = time
+        self._pool = channel.ChannelPool(_FETCH_TIMEOUT)
+        self._behind_since: datetime.timedelta | None = None
+
+    async def run(self) -> None:
+        """Fetch from peers that are ahead; runs until cancelled."""
+        while True:
+            await self._clock.sleep(_INTERVAL)
+            newer_configuration, newer_servers = self._ahead()
+            now = self._clock.monotonic()
+            if newer_configuration is None and newer_servers is None:
+                self._behind_since = None
+                continue
+            if self._behind_since is None:
+                self._behind_since = now
+            waits = self._fleet.watches_store and self._fleet.complete
+            if waits and now - self._behind_since < _MAX_WATCH_LAG:
+                continue
+            if newer_configuration is not None:
+                await self._fetch(
+                    newer_configuration, _CONFIGURATION, self._apply_configuration
+                )
+            if newer_servers is not None:
+                await self._fetch(newer_servers, _SERVERS, self._apply_servers)
+
+    def close(self) -> None:
+        """Close the pooled connections."""
+        self._pool.close()
+
+    def _ahead(self) -> tuple[peer_table.Peer | None, peer_table.Peer | None]:
+        """Return peers with a newer configuration and with newer servers, if any."""
+        live = self._table.live()
+        newer_configuration = max(
+            live, key=lambda peer: peer.beacon.configuration, default=None
+        )
+        if (
+            newer_configuration is not None
+            and newer_configuration.beacon.configuration <= self._fleet.version
+        ):
+            newer_configuration = None
+        newer_servers = max(live, key=lambda peer: peer.beacon.servers, default=None)
+        revision = self._fleet.servers_revision
+        if newer_servers is not None and newer_servers.beacon.servers <= revision:
+            newer_servers = None
+        return newer_configuration, newer_servers
+
+    async def _fetch(
+        self,
+        peer: peer_table.Peer,
+        path: str,
+        apply: abc.Callable[[str, bytes], None],
+    ) -> None:
+        name = peer.beacon.instance
+        address = settings.Address(host=peer.host, port=self._port)
+        try:
+            async with asyncio.timeout(_FETCH_TIMEOUT.total_seconds()):
+                apply(name, await self._snapshot(name, address, path))
+        except (
+            channel.ConnectError,
+            channel.BrokenError,
+            TimeoutError,
+        ) as error:
+            _log.warn(
+                "failed to fetch snapshot from peer", peer=name, reason=repr(error)
+            )
+
+    async def _snapshot(self, name: str, address: settings.Address, path: str) -> bytes:
+        connection = await self._pool.take(name, address, self._clock.monotonic())
+        try:
+            host = f"{address.host}:{address.port}".encode()
+            connection.send("GET", path.encode(), [(b"host", host)], b"")
+            await connection.start()
+            content = await connection.read_whole()
+        except BaseException:
+            connection.close()
+            raise
+        self._pool.give_back(name, connection, self._clock.monotonic())
+        return content
+
+    def _apply_configuration(self, name: str, body: bytes) -> None:
+        snapshot = snapshots.decode_configuration(body)
+        if isinstance(snapshot, snapshots.Malformed):
+            _log.warn(
+                "malformed configuration snapshot from peer",
+                peer=name,
+                reason=snapshot.reason,
+            )
+        elif store_watch.apply_configuration(self._fleet, snapshot.spec):
+            _log.info(
+                "configuration fetched from peer",
+                peer=name,
+                version=self._fleet.version,
+            )
+
+    def _apply_servers(self, name: str, body: bytes) -> None:
+        snapshot = snapshots.decode_servers(body)
+        if isinstance(snapshot, snapshots.Malformed):
+            _log.warn(
+                "malformed server snapshot from peer",
+                peer=name,
+                reason=snapshot.reason,
+            )
+        elif self._fleet.replace_servers(snapshot.revision, snapshot.listed):
+            self._expired.replace(snapshot.expired, snapshot.expired)
+            _log.info(
+                "servers fetched from peer", peer=name, revision=snapshot.revision
+            )
--- a/src/pimentolatch/gateway/peer_table.py
+++ b/src/pimentolatch/gateway/peer_table.py
@@ -1,31 +1,35 @@
-"""What an instance knows of the others from their beacons."""
+"""Peers of an instance, as known from their beacons."""
 
 import dataclasses
 import datetime
 import random
 
 from pimentolatch import clock
-from pimentolatch.decisions import demand_rate, neighbours, store_readers
+from pimentolatch.decisions import (
+    demand_rate,
+    neighbours,
+    store_readers,
+)
 from pimentolatch.protocol import beacons
 
 __all__ = ["Peer", "PeerTable"]
 
-# An instance that was not heard for eight beacons has ended or is cut off.
-_SILENCE = datetime.timedelta(seconds=2)
-# Instances that nobody has mentioned for this long are forgotten. Until then they are
-# written to, so that a partition that heals is noticed without the store, and count as
-# part of the fleet, since one that is cut off goes on spending its part of what is
-# shared: failure domains lose each other for minutes.
-_REMEMBERED = datetime.timedelta(minutes=10)
+# An instance that has missed eight beacons has terminated or is partitioned.
+_LIVENESS_TIMEOUT = datetime.timedelta(seconds=2)
+# Instances that no beacon has listed for this long are removed. Until then beacons are
+# still sent to them, so that the end of a partition is noticed without the store. They
+# also still count as members of the fleet, since a partitioned instance goes on using
+# its share of shared limits. Partitions between failure domains last for minutes.
+_RETENTION = datetime.timedelta(minutes=10)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Peer:
-    """What was last heard of an instance."""
+    """Last beacon of an instance, with its sender's host and time of receipt."""
 
     host: str
     beacon: beacons.Beacon
-    heard: datetime.timedelta
+    received_at: datetime.timedelta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -35,12 +39,13 @@
 
 
 class PeerTable:
-    """The instances that are heard, and those that others tell of.
+    """Instances whose beacons are received, and those that peers list as members.
 
     Args:
         own_name: Name of this instance.
-        own_place: Where it stands.
-        chance: Draws whom to tell of.
+        own_place: Host and failure domain of this instance.
+        time: Clock of this instance.
+        rng: Picks the members that a beacon lists.
     """
 
     def __init__(
@@ -48,23 +53,26 @@
         own_name: str,
         own_place: neighbours.Place,
         time: clock.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._own = own_name
         self._place = own_place
         self._clock = time
-        self._chance = chance
+        self._rng = rng
         self._peers: dict[str, Peer] = {}
         self._mentions: dict[str, _Mention] = {}
         self._readers: dict[str, store_readers.Reader] = {}
 
     @property
     def instances(self) -> int:
-        """Instances of the fleet, this one included."""
+        """Number of instances in the fleet, including this one."""
         return 1 + len(self._mentions)
 
-    def heard(self, host: str, beacon: beacons.Beacon) -> bool:
-        """Take a beacon; tells whether its sender was not heard before."""
+    def receive(self, host: str, beacon: beacons.Beacon) -> bool:
+        """Record a beacon; return whether it is its sender's first.
+
+        A new incarnation of an instance counts as a new sender.
+        """
         now = self._clock.monotonic()
         known = self._peers.get(beacon.instance)
         self._peers[beacon.instance] = Peer(host, beacon, now)
@@ -72,51 +80,56 @@
         for member in beacon.members:
             self._mention(neighbours.Place(member.host, member.failure_domain), now)
         if beacon.failure_domain == self._place.failure_domain:
-            self._note_readers(beacon, now)
+            self._update_readers(beacon, now)
         return known is None or known.beacon.life != beacon.life
 
     def forget_old(self) -> None:
-        """Drop instances that nobody has mentioned for long."""
+        """Remove instances that no beacon has listed within the retention time."""
         now = self._clock.monotonic()
         for host in [h for h, m in self._mentions.items() if _is_old(m.at, now)]:
             del self._mentions[host]
-        for name in [n for n, p in self._peers.items() if _is_old(p.heard, now)]:
+        for name in [n for n, p in self._peers.items() if _is_old(p.received_at, now)]:
             del self._peers[name]
             self._readers.pop(name, None)
 
     def live(self) -> list[Peer]:
-        """Return the peers that were heard lately and go on."""
+        """Return the peers with a recent beacon that are not stopping."""
         now = self._clock.monotonic()
         return [
             peer
             for peer in self._peers.values()
-            if now - peer.heard <= _SILENCE and not peer.beacon.stopping
+            if now - peer.received_at <= _LIVENESS_TIMEOUT and not peer.beacon.stopping
         ]
 
     def places(self) -> list[neighbours.Place]:
-        """Return where all other instances stand that are known."""
+        """Return host and failure domain of all other known instances."""
         return [mention.place for mention in self._mentions.values()]
 
-    def some_members(self, most: int) -> tuple[beacons.Member, ...]:
-        """Return some of the instances that are known, others each time."""
+    def sample_members(self, most: int) -> tuple[beacons.Member, ...]:
+        """Return a random sample of the known instances, `most` of them at most."""
         known = self.places()
-        told = self._chance.sample(known, min(most, len(known)))
-        return tuple(beacons.Member(place.host, place.failure_domain) for place in told)
+        sample = self._rng.sample(known, min(most, len(known)))
+        return tuple(
+            beacons.Member(place.host, place.failure_domain) for place in sample
+        )
 
     def weights(self) -> dict[str, float]:
-        """Return for how many instances of its domain each live peer stands."""
-        heard = [
+        """Return the number of instances that a live peer represents, by domain."""
+        live_places = [
             neighbours.Place(peer.host, peer.beacon.failure_domain)
             for peer in self.live()
         ]
-        return neighbours.domain_weights(self.places(), heard)
+        return neighbours.domain_weights(self.places(), live_places)
 
     def readers(self) -> tuple[store_readers.Reader, ...]:
-        """Return who would read the store for this domain, but for this instance."""
+        """Return this domain's candidates for watching the store, without this one."""
         return store_readers.select(self._readers.values(), self._clock.monotonic())
 
     def demand(self, service: str) -> demand_rate.ServiceDemand:
-        """Return what all others are asked of a service, by those that are heard."""
+        """Estimate the demand for a service at all other instances.
+
+        The demand that live peers report is scaled up to the size of the fleet.
+        """
         live = self.live()
         found = [
             demand
@@ -124,17 +137,17 @@
             for demand in peer.beacon.demands
             if demand.service == service
         ]
-        heard_of = max(1.0, (self.instances - 1) / max(1, len(live)))
+        scale = max(1.0, (self.instances - 1) / max(1, len(live)))
         return demand_rate.ServiceDemand(
-            heard_of * sum(demand.reading for demand in found),
-            heard_of * sum(demand.writing for demand in found),
+            scale * sum(demand.reading for demand in found),
+            scale * sum(demand.writing for demand in found),
         )
 
-    def reading_rate(self, service: str) -> float:
-        """Return the fastest reading that a live peer has learned, tokens in a ms.
+    def prefill_rate(self, service: str) -> float:
+        """Return the highest prefill rate that a live peer has learned, in tokens/ms.
 
-        Prompts that waited teach too low a rate and none teaches too high a one, so of
-        several instances the one with the highest is nearest.
+        A prompt that had to wait makes the learned rate too low and none makes it too
+        high, so the highest rate of several instances is the most accurate.
         """
         rates = [
             demand.rate / 1000
@@ -148,18 +161,18 @@
         if place.host != self._place.host:
             self._mentions[place.host] = _Mention(place, now)
 
-    def _note_readers(self, beacon: beacons.Beacon, now: datetime.timedelta) -> None:
+    def _update_readers(self, beacon: beacons.Beacon, now: datetime.timedelta) -> None:
         self._readers.pop(beacon.instance, None)
-        for told in beacon.readers:
-            heard = now - datetime.timedelta(milliseconds=told.age_ms)
-            known = self._readers.get(told.instance)
-            if told.instance != self._own and (
-                known is None or heard > known.last_seen
+        for reported in beacon.readers:
+            last_seen = now - datetime.timedelta(milliseconds=reported.age_ms)
+            known = self._readers.get(reported.instance)
+            if reported.instance != self._own and (
+                known is None or last_seen > known.last_seen
             ):
-                self._readers[told.instance] = store_readers.Reader(
-                    told.instance, heard
+                self._readers[reported.instance] = store_readers.Reader(
+                    reported.instance, last_seen
                 )
 
 
 def _is_old(at: datetime.timedelta, now: datetime.timedelta) -> bool:
-    return now - at > _REMEMBERED
+    return now - at > _RETENTION
--- a/src/pimentolatch/gateway/plain_forwarder.py
+++ b/src/pimentolatch/gateway/plain_forwarder.py
@@ -4,12 +4,15 @@
 import datetime
 
 from pimentolatch import clock
-from pimentolatch.decisions import repeat_budget, server_choice
+from pimentolatch.decisions import (
+    repeat_budget,
+    server_choice,
+)
 from pimentolatch.gateway import (
     client_request,
     dispatch,
     dispatch_check,
-    knowledge,
+    fleet_state,
     quarantine,
     refusals,
     request_log,
@@ -46,7 +49,7 @@
 
     def __init__(
         self,
-        fleet: knowledge.Knowledge,
+        fleet: fleet_state.FleetState,
         client: dispatch.ServerClient,
         choice: server_choice.ServerChoice,
         budget: repeat_budget.RepeatBudget,
@@ -113,7 +116,7 @@
                 continue
             possible_runs += 1
             if possible_runs == 1:
-                self._usage.began(request.customer_name, sent_at)
+                self._usage.record_start(request.customer_name, sent_at)
             if not may_repeat or _final(outcome):
                 break
         await _finish(request, response, last, possible_runs)
@@ -128,11 +131,11 @@
         """Report to quarantine whether a server crashed during a request."""
         if isinstance(outcome, dispatch.OutcomeUnknown):
             if outcome.server_crashed:
-                self._crash_quarantine.server_ended(request, server, begun)
+                self._crash_quarantine.record_crash(request, server, begun)
         elif isinstance(outcome, dispatch.FullResponse | dispatch.Declined):
-            self._crash_quarantine.answered(server, begun)
+            self._crash_quarantine.record_response(server, begun)
             if isinstance(outcome, dispatch.FullResponse) and _successful(outcome):
-                self._crash_quarantine.completed(request)
+                self._crash_quarantine.record_completion(request)
 
     async def _send(
         self,
--- a/src/pimentolatch/gateway/prefill_client.py
+++ b/src/pimentolatch/gateway/prefill_client.py
@@ -82,7 +82,7 @@
             else:
                 loads.failed(engine, now)
             if isinstance(outcome, dispatch.OutcomeUnknown) and outcome.server_crashed:
-                self._context.crash_quarantine.server_ended(
+                self._context.crash_quarantine.record_crash(
                     request, engine.server, sent_at
                 )
             progress.reason = f"prompt not read: {dispatch.describe(outcome)}"
@@ -91,7 +91,7 @@
             progress.dispatches += 1
         progress.prefilled_before = True
         loads.succeeded(engine, now)
-        self._context.crash_quarantine.answered(engine.server, sent_at)
+        self._context.crash_quarantine.record_response(engine.server, sent_at)
         loads.observe_prefill(place.tokens, now - sent_at, ahead)
         self._context.record_cached_prompt(request, engine)
         return prefilled
@@ -126,7 +126,7 @@
 
     def release(self, prefilled: request_progress.PrefilledPrompt) -> None:
         """Release the KV cache of a prompt that no engine will fetch."""
-        if self._context.fleet.has_ended(prefilled.engine.server.incarnation):
+        if self._context.fleet.is_replaced(prefilled.engine.server.incarnation):
             # After a restart the handle may name another request's prompt.
             return
         task = asyncio.create_task(self._release(prefilled))
--- a/src/pimentolatch/gateway/process.py
+++ b/src/pimentolatch/gateway/process.py
@@ -1,4 +1,4 @@
-"""One instance that serves routes: its parts, started and stopped in order."""
+"""One gateway instance: builds its components, starts and stops them in order."""
 
 import asyncio
 import datetime
@@ -10,55 +10,72 @@
 
 import logbook
 
-from pimentolatch import checks, clock, logs, tasks
-from pimentolatch.decisions import neighbours, repeat_budget, server_choice
-from pimentolatch.entry import gate, servers
+from pimentolatch import (
+    checks,
+    clock,
+    logs,
+    tasks,
+)
+from pimentolatch.decisions import (
+    neighbours,
+    repeat_budget,
+    server_choice,
+)
+from pimentolatch.entry import (
+    gate,
+    servers,
+)
 from pimentolatch.gateway import (
+    beacon_exchange,
     cache_updates,
     dispatch,
     dispatch_check,
-    duties,
-    expired,
+    expired_entries,
+    fleet_state,
     front_end,
     http_protocol,
-    knowledge,
-    measuring,
+    leader_tasks,
+    peer_snapshots,
     peer_table,
-    peers,
     plain_forwarder,
     quarantine,
     request_log,
+    route_metrics,
     settings,
-    spread,
-    stages,
-    store_reading,
+    stage_controller,
+    store_watch,
     stream_forwarder,
-    watching,
+    watch_controller,
 )
 from pimentolatch.platform import objects
 
 __all__ = ["GatewayInstance", "reload", "run_until_signal"]
 
 _log = logbook.Logger("gateway")
-# The balancer asks every second and takes an instance out after two misses; until then
-# it goes on sending new connections, which are served.
-_BALANCER_NOTICE = datetime.timedelta(seconds=2.4)
+# The load balancer probes readiness every second and removes an instance after two
+# failures. Until then it still opens new connections, which have to be served.
+_DRAIN_DELAY = datetime.timedelta(seconds=2.4)
 _BUDGET_INTERVAL = datetime.timedelta(seconds=1)
-# What is left of the grace when the last requests are cut, so that the process ends by
-# itself.
-_END_MARGIN = datetime.timedelta(milliseconds=400)
+# The last requests are aborted this long before the grace period ends, so that the
+# process exits before it is killed.
+_ABORT_MARGIN = datetime.timedelta(milliseconds=400)
 
 
 class GatewayInstance:
-    """All parts of an instance."""
+    """A gateway instance with all its components.
+
+    Args:
+        chosen: Settings of the instance.
+        time: Clock of the instance.
+    """
 
     def __init__(self, chosen: settings.GatewaySettings, time: clock.Clock) -> None:
         self._settings = chosen
         self._clock = time
         self._gate = gate.Gate()
-        self._known = knowledge.Knowledge()
+        self._fleet = fleet_state.FleetState()
         self._client = dispatch.ServerClient(time)
-        self._choice = server_choice.ServerChoice(chosen.failure_domain)
+        self._server_choice = server_choice.ServerChoice(chosen.failure_domain)
         bounds = chosen.bounds
         self._budget = repeat_budget.RepeatBudget(
             bounds.repeat_ratio,
@@ -70,137 +87,144 @@
             datetime.timedelta(seconds=chosen.store.call_timeout_s),
             time,
         )
-        self._updates = cache_updates.CacheUpdates()
-        self._measured = measuring.RouteMetrics()
-        self._request_log = request_log.RequestLog(time, self._measured)
+        self._cache_updates = cache_updates.CacheUpdates()
+        self._metrics = route_metrics.RouteMetrics()
+        self._request_log = request_log.RequestLog(time, self._metrics)
         self._quarantine = quarantine.Quarantine(chosen.quarantine.policy, time)
-        self._permission = dispatch_check.DispatchCheck(self._known, self._quarantine)
-        self._life = uuid.uuid4().hex
+        self._permission = dispatch_check.DispatchCheck(self._fleet, self._quarantine)
+        self._incarnation = uuid.uuid4().hex
         self._peer_table = peer_table.PeerTable(
             chosen.instance,
             neighbours.Place(chosen.peers.host, chosen.failure_domain),
             time,
             random.Random(),
         )
-        self._duties = duties.Duties(
-            chosen, self._life, self._known, self._peer_table, self._store, time
+        self._leader_tasks = leader_tasks.LeaderTasks(
+            chosen, self._incarnation, self._fleet, self._peer_table, self._store, time
         )
-        self._prompts = stream_forwarder.StreamForwarder(
-            self._known,
+        self._stream_forwarder = stream_forwarder.StreamForwarder(
+            self._fleet,
             self._client,
             self._budget,
             time,
             chosen.failure_domain,
-            self._updates,
+            self._cache_updates,
             self._quarantine,
             self._permission,
-            self._duties.usage,
+            self._leader_tasks.usage,
             self._request_log,
-            self._measured,
+            self._metrics,
         )
         self._face = servers.HttpServer(
             self._route_face(),
             chosen.clients,
-            http_protocol.protocol_class(self._known),
+            http_protocol.protocol_class(self._fleet),
             datetime.timedelta(seconds=chosen.bounds.stop_grace_s),
         )
         self._readiness = servers.HttpServer(self._ready, chosen.readiness)
-        self._known.on_change(self._drop_unlisted)
+        self._fleet.on_change(self._drop_unlisted)
         self._tasks: list[asyncio.Task[None]] = []
-        self._link_peers()
-        self._measured.registry.register(
-            measuring.StateCollector(
-                self._known,
+        self._build_peer_parts()
+        self._metrics.registry.register(
+            route_metrics.StateCollector(
+                self._fleet,
                 self._peer_table,
                 self._quarantine,
-                self._duties.tenure,
+                self._leader_tasks.leadership,
                 self._gate,
             )
         )
         self._metrics_server: servers.HttpServer | None = None
         if chosen.metrics is not None:
-            shown = measuring.MetricsFace(self._measured)
-            self._metrics_server = servers.HttpServer(shown, chosen.metrics)
+            endpoint = route_metrics.MetricsEndpoint(self._metrics)
+            self._metrics_server = servers.HttpServer(endpoint, chosen.metrics)
 
     @property
     def budget(self) -> repeat_budget.RepeatBudget:
-        """Bounds how often requests are sent to a second server."""
+        """Budget for dispatches to a second server."""
         return self._budget
 
     @property
-    def known(self) -> knowledge.Knowledge:
-        """What the instance knows."""
-        return self._known
+    def fleet(self) -> fleet_state.FleetState:
+        """Local fleet state: configuration, servers and engine loads."""
+        return self._fleet
 
     @property
     def quarantine(self) -> quarantine.Quarantine:
-        """Tells which requests are kept from servers."""
+        """Quarantine of requests that crash servers."""
         return self._quarantine
 
     @property
     def peers(self) -> peer_table.PeerTable:
-        """The other instances that it knows of."""
+        """The known peers of the instance."""
         return self._peer_table
 
-    def _link_peers(self) -> None:
-        chosen, known, time = self._settings, self._known, self._clock
+    def _build_peer_parts(self) -> None:
+        chosen, fleet, time = self._settings, self._fleet, self._clock
         domain = chosen.failure_domain
-        self._peers = peers.Peers(
+        self._beacon_exchange = beacon_exchange.BeaconExchange(
             chosen.peers,
             chosen.instance,
             domain,
-            self._life,
-            known,
+            self._incarnation,
+            fleet,
             self._peer_table,
-            self._updates,
+            self._cache_updates,
             self._quarantine,
-            self._duties.tenure,
-            self._prompts.demands,
+            self._leader_tasks.leadership,
+            self._stream_forwarder.demands,
             time,
             random.Random(),
         )
-        self._expired = expired.ExpiredServers(known, time)
-        self._source = spread.PeerSource(
-            known, self._peer_table, self._expired, chosen.peers.address.port, time
+        self._expired_servers = expired_entries.ExpiredServers(fleet, time)
+        self._snapshot_fetcher = peer_snapshots.SnapshotFetcher(
+            fleet,
+            self._peer_table,
+            self._expired_servers,
+            chosen.peers.address.port,
+            time,
         )
         self._snapshots = servers.HttpServer(
-            spread.SnapshotFace(known, self._expired), chosen.peers.address
+            peer_snapshots.SnapshotEndpoint(fleet, self._expired_servers),
+            chosen.peers.address,
         )
-        self._store_reading = store_reading.StoreReading(
+        self._watch_controller = watch_controller.WatchController(
             chosen.instance,
-            known,
+            fleet,
             self._peer_table,
             (
-                watching.ConfigurationWatch(self._store, known, time),
-                watching.ServerWatch(self._store, known, self._expired, time),
+                store_watch.ConfigurationWatch(self._store, fleet, time),
+                store_watch.ServerWatch(
+                    self._store, fleet, self._expired_servers, time
+                ),
             ),
             time,
         )
-        self._stages = stages.StageKeeper(
+        self._stage_controller = stage_controller.StageController(
             chosen.instance,
-            known,
+            fleet,
             self._peer_table,
-            self._duties.tenure,
+            self._leader_tasks.leadership,
             self._client,
-            self._prompts.demand,
+            self._stream_forwarder.demand,
             time,
         )
 
     def _route_face(self) -> front_end.RouteFrontEnd:
         plain_requests = plain_forwarder.PlainForwarder(
-            self._known,
+            self._fleet,
             self._client,
-            self._choice,
+            self._server_choice,
             self._budget,
             self._quarantine,
             self._permission,
-            self._duties.usage,
+            self._leader_tasks.usage,
             self._request_log,
             self._clock,
         )
         return front_end.RouteFrontEnd(
-            self._known,
-            (plain_requests, self._prompts),
+            self._fleet,
+            (plain_requests, self._stream_forwarder),
             self._budget,
             self._gate,
             self._permission,
@@ -210,14 +234,14 @@
         )
 
     def _drop_unlisted(self) -> None:
-        listed = {server.incarnation for server in self._known.servers.all()}
+        listed = {server.incarnation for server in self._fleet.servers.all()}
         self._client.retain(listed)
-        self._choice.retain(listed)
+        self._server_choice.retain(listed)
 
     async def _ready(
         self, scope: typing.Any, receive: typing.Any, send: typing.Any
     ) -> None:
-        ready = self._gate.ready and self._known.complete
+        ready = self._gate.ready and self._fleet.complete
         await send(
             {
                 "type": "http.response.start",
@@ -228,22 +252,26 @@
         await send({"type": "http.response.body", "body": b""})
 
     async def start(self) -> None:
-        """Start the parts; raises `OSError` if an address can't be had."""
+        """Start the components.
+
+        Raises:
+            OSError: An address can't be bound.
+        """
         await self._snapshots.start()
-        await self._peers.start()
-        await self._duties.start()
+        await self._beacon_exchange.start()
+        await self._leader_tasks.start()
         for work in (
-            self._store_reading.run,
-            self._expired.run,
-            self._peers.run,
-            self._source.run,
-            self._stages.run,
+            self._watch_controller.run,
+            self._expired_servers.run,
+            self._beacon_exchange.run,
+            self._snapshot_fetcher.run,
+            self._stage_controller.run,
             self._share_budget,
             self._quarantine.review,
-            *self._duties.work,
+            *self._leader_tasks.runners,
         ):
-            kept = tasks.keep_running(work.__qualname__, work, self._clock)
-            self._tasks.append(asyncio.create_task(kept))
+            supervised = tasks.keep_running(work.__qualname__, work, self._clock)
+            self._tasks.append(asyncio.create_task(supervised))
         if self._metrics_server is not None:
             await self._metrics_server.start()
         await self._readiness.start()
@@ -251,17 +279,17 @@
         _log.info("started", failure_domain=self._settings.failure_domain)
 
     def apply(self, chosen: settings.GatewaySettings) -> None:
-        """Put new settings in force as far as they can change while requests run.
+        """Apply new settings as far as they can change while requests run.
 
-        Addresses and names stay as they were until the next start: closing a listening
-        socket would cut the requests on their way to it.
+        Changed addresses and names take effect at the next start only: closing a
+        listening socket would abort the requests that are about to reach it.
         """
         changeable = {"bounds", "quarantine", "logs"}
         before, after = self._settings, chosen
         if before.model_dump(exclude=changeable) != after.model_dump(
             exclude=changeable
         ):
-            _log.warn("new addresses are used from the next start on")
+            _log.warn("changed addresses and names take effect after a restart")
         self._settings = before.model_copy(
             update={"bounds": after.bounds, "quarantine": after.quarantine}
         )
@@ -273,38 +301,42 @@
             datetime.timedelta(seconds=bounds.repeat_window_s),
         )
         _log.info(
-            "settings in force",
+            "settings applied",
             bounds=bounds.model_dump(),
             quarantine=after.quarantine.model_dump(),
         )
 
     async def _share_budget(self) -> None:
-        """Divide the common slack of repeats by the instances of the fleet."""
+        """Divide the fleet's slack for retries among its instances, periodically."""
         while True:
             self._budget.share_with(self._peer_table.instances)
             await self._clock.sleep(_BUDGET_INTERVAL)
 
     async def stop(self) -> None:
-        """Stop without cutting a request that ends within the grace."""
+        """Stop gracefully: requests that end within the grace period are completed."""
         _log.info("stopping", in_flight=self._gate.in_flight)
         self._gate.announce_stop()
-        self._duties.tenure.announce_stop()
-        self._peers.announce_stop()
-        await self._clock.sleep(_BALANCER_NOTICE)
+        self._leader_tasks.leadership.announce_stop()
+        self._beacon_exchange.announce_stop()
+        await self._clock.sleep(_DRAIN_DELAY)
         grace = datetime.timedelta(seconds=self._settings.bounds.stop_grace_s)
-        left = grace - _BALANCER_NOTICE - _END_MARGIN
-        # Idle connections are closed first and requests waited for then: counted before
-        # that, there may be none, and one that arrives meanwhile is cut.
+        remaining = grace - _DRAIN_DELAY - _ABORT_MARGIN
+        # Closes idle connections first, then waits for requests. If requests were
+        # counted before that, there might be none, and one that arrived while the
+        # connections close would be aborted.
         closing = asyncio.create_task(self._face.stop())
-        await asyncio.wait({closing}, timeout=left.total_seconds())
+        await asyncio.wait({closing}, timeout=remaining.total_seconds())
         if not closing.done():
-            _log.warn("requests cut at the end of the grace", n=self._gate.in_flight)
+            _log.warn(
+                "requests aborted at the end of the grace period",
+                n=self._gate.in_flight,
+            )
             closing.cancel()
         await self.abort()
         _log.info("stopped")
 
     async def abort(self) -> None:
-        """Stop at once."""
+        """Stop immediately, aborting all requests."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -316,18 +348,21 @@
         ):
             if server is not None:
                 server.abort()
-        self._peers.close()
-        self._duties.close()
-        self._source.close()
+        self._beacon_exchange.close()
+        self._leader_tasks.close()
+        self._snapshot_fetcher.close()
         self._client.close()
         self._store.close()
 
 
 async def run_until_signal(settings_file: pathlib.Path) -> checks.Problems | None:
-    """Run an instance until SIGTERM or SIGINT; SIGHUP has its settings read again.
+    """Run an instance until SIGTERM or SIGINT; SIGHUP reloads its settings.
 
     Returns:
-        What is wrong with the settings file, if the instance could not start with it.
+        The problems of the settings file if it is invalid, else None.
+
+    Raises:
+        OSError: An address can't be bound.
     """
     chosen = checks.read_file(settings.GatewaySettings, settings_file)
     if isinstance(chosen, checks.Problems):
@@ -346,9 +381,11 @@
 
 
 def reload(instance: GatewayInstance, settings_file: pathlib.Path) -> None:
-    """Read the settings again; wrong ones leave the old ones in force."""
+    """Reload the settings; invalid ones are rejected and the current ones stay."""
     chosen = checks.read_file(settings.GatewaySettings, settings_file)
     if isinstance(chosen, checks.Problems):
-        _log.error("settings refused, the old ones stay", reason=str(chosen))
+        _log.error(
+            "invalid settings rejected; keeping the current ones", reason=str(chosen)
+        )
         return
     instance.apply(chosen)
--- a/src/pimentolatch/gateway/request_progress.py
+++ b/src/pimentolatch/gateway/request_progress.py
@@ -19,11 +19,11 @@
     client_request,
     dispatch,
     dispatch_check,
-    knowledge,
-    measuring,
+    fleet_state,
     quarantine,
     refusals,
     request_log,
+    route_metrics,
     stall_checker,
     usage_exchange,
 )
@@ -53,7 +53,7 @@
 class Context:
     """Components that all stream requests of an instance share."""
 
-    fleet: knowledge.Knowledge
+    fleet: fleet_state.FleetState
     client: dispatch.ServerClient
     stall_checks: stall_checker.StallChecker
     updates: cache_updates.CacheUpdates
@@ -61,7 +61,7 @@
     dispatch_check: dispatch_check.DispatchCheck
     usage: usage_exchange.UsageCounter
     log: request_log.RequestLog
-    measured: measuring.RouteMetrics
+    measured: route_metrics.RouteMetrics
     clock: clock.Clock
 
     def record_cached_prompt(
--- a/src/pimentolatch/gateway/measuring.py
+++ b/src/pimentolatch/gateway/route_metrics.py
@@ -1,32 +1,35 @@
-"""Counters and histograms of one instance that serves routes.
+"""Counters and histograms of one gateway instance.
 
-They count what the log tells, so a line that the log's budget drops still counts. No
-label takes values that clients or servers choose.
+They count the events of the request log, including lines that the log's budget drops.
+No label takes values that clients or servers choose, which bounds the cardinality.
 """
 
 import typing
 
 import prometheus_client
-from prometheus_client import core, registry
+from prometheus_client import (
+    core,
+    registry,
+)
 
 from pimentolatch import results
 from pimentolatch.decisions import prompt_sizes
 from pimentolatch.entry import gate
 from pimentolatch.gateway import (
     client_request,
-    knowledge,
+    fleet_state,
+    leadership,
     peer_table,
     quarantine,
     request_log,
-    tenure,
 )
 
-__all__ = ["MetricsFace", "RouteMetrics", "StateCollector"]
+__all__ = ["MetricsEndpoint", "RouteMetrics", "StateCollector"]
 
 _PREFIX = "pimentolatch_"
-# Dense around the targets of today, 0.1 to 1.2 s, and up to the longest deadline.
+# Dense around the usual latency targets, 0.1 to 1.2 s, and up to the longest deadline.
 _SECONDS = (0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.6, 0.8, 1.0, 1.5, 2.5, 5.0, 10.0)
-# Pauses between events: a quarter second is the longest that is on time today.
+# Pauses between events of a stream. The longest usual target is 0.25 s.
 _PAUSES = (0.01, 0.025, 0.05, 0.1, 0.15, 0.2, 0.25, 0.5, 1.0, 2.5)
 _MS_PER_S = 1000.0
 _UNAVAILABLE = 503
@@ -35,7 +38,11 @@
 
 
 class RouteMetrics:
-    """The metrics, in a registry of their own so that tests can hold several."""
+    """Request metrics, in a separate registry so that tests can create several.
+
+    Attributes:
+        registry: The registry, which also holds metrics of the process.
+    """
 
     def __init__(self) -> None:
         self.registry = registry.CollectorRegistry()
@@ -46,7 +53,7 @@
         self._answer_seconds = self._histogram(
             "answer_seconds", "Time from a request to the end of its answer.", _SECONDS
         )
-        self._sendings = self._counter(
+        self._dispatches = self._counter(
             "sendings", "Requests sent to servers, by what was asked.", "what"
         )
         self._quarantined = prometheus_client.Counter(
@@ -54,13 +61,15 @@
             "Requests that were answered at once, since servers ended under them.",
             registry=self.registry,
         )
-        self._placed = self._counter("prompts", "Prompts, by where they are read.")
-        self._ended = self._counter(
+        self._prompts = self._counter("prompts", "Prompts, by where they are read.")
+        self._prompts_ended = self._counter(
             "prompts_ended",
             "Prompts, by how they ended and by size among those of their route.",
             "size",
         )
-        self._doubts = self._counter("doubts", "Silent engines asked, by verdict.")
+        self._stall_checks = self._counter(
+            "doubts", "Silent engines asked, by verdict."
+        )
         self._expected = self._histogram(
             "expected_first_event_seconds",
             "Time to the first event that was expected.",
@@ -74,7 +83,13 @@
         )
 
     def observe(self, event: str, fields: _Fields, *, wrong: bool) -> None:
-        """Count an event of a request."""
+        """Count an event of the request log.
+
+        Args:
+            event: Kind of the event.
+            fields: Fields of its log line.
+            wrong: Whether the event is an error.
+        """
         if event == request_log.ANSWERED:
             by = (
                 "server"
@@ -88,11 +103,11 @@
                 self._answer_seconds.observe(fields["ms"] / _MS_PER_S)
         elif event == request_log.SENT:
             outcome = "failed" if wrong else "answered"
-            self._sendings.labels(outcome, fields["what"]).inc()
+            self._dispatches.labels(outcome, fields["what"]).inc()
         elif event == request_log.DOUBTED:
-            self._doubts.labels(fields["verdict"]).inc()
+            self._stall_checks.labels(fields["verdict"]).inc()
         elif event == request_log.PLACED:
-            self._placed_seen(fields)
+            self._count_placement(fields)
 
     def prompt_ended(
         self, size: prompt_sizes.SizeClass, status: int, *, whole: bool
@@ -100,9 +115,9 @@
         """Count the end of a request with a prompt.
 
         Args:
-            size: How large the prompt is among those of its route.
-            status: Status that the client got; 0 if it left before.
-            whole: A server's answer was passed on to its end.
+            size: Size class of the prompt among those of its route.
+            status: Status sent to the client; 0 if it disconnected before.
+            whole: Whether a server's answer was forwarded completely.
         """
         if whole and 200 <= status < 300:
             outcome = "served"
@@ -110,7 +125,7 @@
             outcome = "refused"
         else:
             outcome = "failed" if status else "client left"
-        self._ended.labels(outcome, size.value).inc()
+        self._prompts_ended.labels(outcome, size.value).inc()
 
     def first_event(self, seconds: float) -> None:
         """Count the first event of a stream."""
@@ -121,15 +136,15 @@
         self._pause.observe(seconds)
 
     def text(self) -> bytes:
-        """Return the metrics in the text format of Prometheus."""
+        """Return the metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
 
-    def _placed_seen(self, fields: _Fields) -> None:
+    def _count_placement(self, fields: _Fields) -> None:
         if "refused_for_ms" in fields:
-            self._placed.labels("refused").inc()
+            self._prompts.labels("refused").inc()
             return
         apart = fields["reader"] != fields["writer"]
-        self._placed.labels("apart" if apart else "in place").inc()
+        self._prompts.labels("apart" if apart else "in place").inc()
         self._expected.observe(fields["expected_ms"] / _MS_PER_S)
 
     def _counter(self, name: str, text: str, *labels: str) -> prometheus_client.Counter:
@@ -150,51 +165,63 @@
 
 
 class StateCollector(registry.Collector):
-    """What an instance holds at the moment it is asked."""
+    """Collects gauges of an instance's current state.
+
+    Args:
+        fleet: Configuration and servers.
+        peers: The live peers.
+        suspects: Requests in quarantine.
+        own_leadership: Tells whether this instance is the leader.
+        request_gate: Counts the requests in flight.
+    """
 
     def __init__(
         self,
-        known: knowledge.Knowledge,
+        fleet: fleet_state.FleetState,
         peers: peer_table.PeerTable,
         suspects: quarantine.Quarantine,
-        held: tenure.Tenure,
-        door: gate.Gate,
+        own_leadership: leadership.Leadership,
+        request_gate: gate.Gate,
     ) -> None:
-        self._known = known
+        self._fleet = fleet
         self._peers = peers
         self._suspects = suspects
-        self._tenure = held
-        self._door = door
+        self._leadership = own_leadership
+        self._gate = request_gate
 
     def collect(self) -> typing.Iterator[core.GaugeMetricFamily]:
         """Yield the gauges."""
-        known = self._known
+        fleet = self._fleet
         for name, text, value in (
-            ("requests_in_flight", "Requests now being served.", self._door.in_flight),
-            ("configuration_version", "Version in force.", known.version),
-            ("servers", "Servers that are listed.", len(known.servers.all())),
-            ("servers_revision", "Revision of the servers.", known.servers_revision),
-            ("reads_store", "Whether it reads the store.", known.reads_store),
-            ("store_lost", "Whether the store does not answer.", known.store_lost),
+            ("requests_in_flight", "Requests now being served.", self._gate.in_flight),
+            ("configuration_version", "Version in force.", fleet.version),
+            ("servers", "Servers that are listed.", len(fleet.servers.all())),
+            ("servers_revision", "Revision of the servers.", fleet.servers_revision),
+            ("reads_store", "Whether it reads the store.", fleet.watches_store),
+            (
+                "store_lost",
+                "Whether the store does not answer.",
+                fleet.store_unreachable,
+            ),
             ("peers_heard", "Peers that were heard lately.", len(self._peers.live())),
             ("fleet_instances", "Instances of the fleet.", self._peers.instances),
             ("quarantined", "Requests kept from servers.", self._suspects.size),
-            ("holds_duties", "Whether it reports and orders.", self._tenure.active),
+            ("holds_duties", "Whether it reports and orders.", self._leadership.active),
         ):
             yield core.GaugeMetricFamily(_PREFIX + name, text, value=float(value))
 
 
-class MetricsFace:
-    """Answers every request with the metrics (ASGI)."""
+class MetricsEndpoint:
+    """ASGI application that answers every request with the metrics."""
 
     def __init__(self, measured: RouteMetrics) -> None:
-        self._measured = measured
+        self._metrics = measured
 
     async def __call__(
         self, scope: typing.Any, receive: typing.Any, send: typing.Any
     ) -> None:
         """Serve one request."""
-        body = self._measured.text()
+        body = self._metrics.text()
         fields = [
             (b"content-type", prometheus_client.CONTENT_TYPE_LATEST.encode()),
             (b"content-length", b"%d" % len(body)),
--- a/src/pimentolatch/gateway/stages.py
+++ b/src/pimentolatch/gateway/stage_controller.py
@@ -1,4 +1,4 @@
-"""Has engines change their stage when the mix of prompts and answers shifts."""
+"""Orders engines to change stage when the ratio of prefill to decode work shifts."""
 
 import datetime
 from collections import abc
@@ -13,9 +13,9 @@
 )
 from pimentolatch.gateway import (
     dispatch,
-    knowledge,
+    fleet_state,
+    leadership,
     peer_table,
-    tenure,
 )
 from pimentolatch.platform import engines
 from pimentolatch.routes import (
@@ -23,63 +23,63 @@
     table,
 )
 
-__all__ = ["StageKeeper"]
+__all__ = ["StageController"]
 
 _log = logbook.Logger("stages")
 _INTERVAL = datetime.timedelta(milliseconds=500)
-_CALL_LIMIT = datetime.timedelta(milliseconds=800)
-# An order that got no answer may still be carried out this much later.
-_UNSETTLED = datetime.timedelta(seconds=13)
+_CALL_TIMEOUT = datetime.timedelta(milliseconds=800)
+# An order that was not answered may still be carried out within this time.
+_UNKNOWN_PERIOD = datetime.timedelta(seconds=13)
 _ACCEPTED = (200, 202)
 _FENCED_OFF = 412
 
 
-class StageKeeper:
-    """Plans stages while this instance does the duties of one holder."""
+class StageController:
+    """Plans and orders stage changes while this instance is the leader."""
 
     def __init__(
         self,
         own_name: str,
-        known: knowledge.Knowledge,
+        fleet: fleet_state.FleetState,
         table_of_peers: peer_table.PeerTable,
-        held: tenure.Tenure,
+        own_leadership: leadership.Leadership,
         client: dispatch.ServerClient,
         own_demand: abc.Callable[[str], demand_rate.ServiceDemand],
         time: clock.Clock,
     ) -> None:
         self._name = own_name
-        self._known = known
+        self._fleet = fleet
         self._peers = table_of_peers
-        self._tenure = held
+        self._leadership = own_leadership
         self._client = client
         self._own_demand = own_demand
         self._clock = time
         self._planners: dict[str, stage_plan.StagePlanner] = {}
-        self._unsettled: dict[str, datetime.timedelta] = {}
+        self._unknown_until: dict[str, datetime.timedelta] = {}
 
     async def run(self) -> None:
-        """Look for changes that are worth their price, for ever."""
+        """Order stage changes whose gain exceeds their cost; runs until cancelled."""
         while True:
             await self._clock.sleep(_INTERVAL)
-            if not self._tenure.leads():
+            if not self._leadership.should_lead():
                 continue
-            for service in list(self._known.all_loads()):
-                await self._look(service)
+            for service in list(self._fleet.loads_by_service()):
+                await self._plan_service(service)
 
-    async def _look(self, service: str) -> None:
-        traits = self._known.engine_traits(service)
-        if traits is None or self._known.configuration is None:
+    async def _plan_service(self, service: str) -> None:
+        traits = self._fleet.engine_traits(service)
+        if traits is None or self._fleet.configuration is None:
             return
-        loads = self._known.loads(service)
+        loads = self._fleet.loads(service)
         planner = self._planners.setdefault(service, stage_plan.StagePlanner())
         now = self._clock.monotonic()
         own, others = self._own_demand(service), self._peers.demand(service)
         changes = planner.plan(
             loads,
             traits,
-            _pause_target(self._known.configuration, service),
+            _pause_target(self._fleet.configuration, service),
             own.prefill + others.prefill,
-            max(loads.prefill_rate, self._peers.reading_rate(service)),
+            max(loads.prefill_rate, self._peers.prefill_rate(service)),
             now,
         )
         for change in changes:
@@ -87,35 +87,35 @@
                 planner.changed(change, self._clock.monotonic())
 
     async def carry_out(self, change: stage_plan.Change) -> bool:
-        """Order a change; tells whether it was or may have been accepted."""
-        if self._is_unsettled(change.engine.server_id, self._clock.monotonic()):
+        """Order a stage change; return whether it was or may have been accepted."""
+        if self._is_outcome_unknown(change.engine.server_id, self._clock.monotonic()):
             return False
-        server = self._known.servers.get(change.engine.server_id)
+        server = self._fleet.servers.get(change.engine.server_id)
         if server is None or server.incarnation != change.engine:
             return False
-        if not await self._tenure.acquire():
+        if not await self._leadership.acquire():
             return False
         async with self._client.session(server) as calls:
             ordered = await self._order(calls, server, change)
-        if ordered and not self._is_unsettled(
+        if ordered and not self._is_outcome_unknown(
             server.server_id, self._clock.monotonic()
         ):
-            self._tell(change)
+            self._mark_changing(change)
         return ordered
 
-    def _tell(self, change: stage_plan.Change) -> None:
-        """Pass over an engine that has accepted an order, and have peers do so."""
-        engine = self._known.engine(change.engine)
+    def _mark_changing(self, change: stage_plan.Change) -> None:
+        """Exclude an engine from routing during its change, here and at peers."""
+        engine = self._fleet.engine_load(change.engine)
         if engine is None:
             return
-        traits = self._known.engine_traits(engine.server.service)
+        traits = self._fleet.engine_traits(engine.server.service)
         if traits is not None:
-            away = traits.stage_change + stage_plan.STREAM_DRAIN_TIME
-            until = self._clock.monotonic() + away
+            absence = traits.stage_change + stage_plan.STREAM_DRAIN_TIME
+            until = self._clock.monotonic() + absence
             engine.begin_change(engine_loads.StageChange(change.stage, until))
 
-    def _is_unsettled(self, server_id: str, now: datetime.timedelta) -> bool:
-        until = self._unsettled.get(server_id)
+    def _is_outcome_unknown(self, server_id: str, now: datetime.timedelta) -> bool:
+        until = self._unknown_until.get(server_id)
         return until is not None and now < until
 
     async def _order(
@@ -126,13 +126,17 @@
     ) -> bool:
         """Send the order.
 
-        The order rests on the number of orders that the report gives, and goes out on
-        the report's connection. An engine that starts again in between counts from
-        nothing: its new life might carry out an order that was meant for the former.
+        The order names the number of orders from the engine's report as a precondition
+        and is sent over the same connection as the report. An engine that restarts
+        counts from zero, so over another connection its new incarnation might carry
+        out an order that was meant for the previous one.
         """
-        report = await calls.call("GET", engines.REPORT_TARGET, limit=_CALL_LIMIT)
+        report = await calls.call("GET", engines.REPORT_TARGET, limit=_CALL_TIMEOUT)
         if not isinstance(report, dispatch.FullResponse):
-            _log.info("no report, no order", server=server.server_id)
+            _log.info(
+                "stage change not ordered: engine sent no report",
+                server=server.server_id,
+            )
             return False
         state = engines.decode_report(report.body)
         if state is None or state.changing or state.stage is change.stage:
@@ -141,25 +145,28 @@
             None,
             change.engine.born,
         ):
-            _log.info("started again, no order", server=server.server_id)
+            _log.info(
+                "stage change not ordered: engine has restarted",
+                server=server.server_id,
+            )
             return False
-        if not self._tenure.valid():
+        if not self._leadership.valid():
             return False
         order = engines.StageOrder(
-            change.stage.value, self._name, self._tenure.fence, state.orders
+            change.stage.value, self._name, self._leadership.fence, state.orders
         )
         answer = await calls.call(
             "POST",
             engines.ORDER_TARGET,
             engines.order_fields(server.server_id),
             engines.encode_stage_order(order),
-            limit=_CALL_LIMIT,
+            limit=_CALL_TIMEOUT,
         )
         _log.info(
-            "stage ordered",
+            "stage change ordered",
             server=server.server_id,
             stage=change.stage.value,
-            fence=self._tenure.fence,
+            fence=self._leadership.fence,
             reading_share=round(change.prefill_share, 2),
             writing_share=round(change.decode_share, 2),
             reading_rate=round(change.prefill_rate, 1),
@@ -168,15 +175,17 @@
         if isinstance(answer, dispatch.NotSent):
             return False
         if isinstance(answer, dispatch.OutcomeUnknown):
-            self._unsettled[server.server_id] = self._clock.monotonic() + _UNSETTLED
+            self._unknown_until[server.server_id] = (
+                self._clock.monotonic() + _UNKNOWN_PERIOD
+            )
             return True
         if answer.status == _FENCED_OFF:
-            self._tenure.fenced_off()
+            self._leadership.fenced_off()
         return answer.status in _ACCEPTED
 
 
 def _pause_target(configuration: table.Configuration, service: str) -> float:
-    """Return the shortest pause target of a service's routes, in milliseconds."""
+    """Return the shortest pause target of a service's routes in ms; 0 if none."""
     targets = [
         route.pause_target / datetime.timedelta(milliseconds=1)
         for route in configuration.routes
--- /dev/null
+++ b/src/pimentolatch/gateway/store_watch.py
@@ -0,0 +1,222 @@
+"""Keeps an instance's configuration and servers in step with the platform's store."""
+
+import datetime
+import random
+import typing
+
+import logbook
+
+from pimentolatch import backoff, clock, store
+from pimentolatch.gateway import expired_entries, fleet_state
+from pimentolatch.platform import configuration, entries, objects
+from pimentolatch.routes import servers
+
+__all__ = [
+    "ConfigurationWatch",
+    "ServerWatch",
+    "apply_configuration",
+]
+
+_log = logbook.Logger("watch")
+# The store answers a watch within this time even if nothing has changed. A dead
+# connection is detected much earlier, by keep-alive probes.
+_WATCH_TIMEOUT = datetime.timedelta(seconds=30)
+_FIRST_PAUSE = datetime.timedelta(milliseconds=100)
+# Bounds the backoff. During an outage of the store every instance of a failure domain
+# retries, on average once a second.
+_LONGEST_PAUSE = datetime.timedelta(seconds=2)
+# Server changes within this interval arrive in one answer. Without it, each store
+# watcher made one call per server while 84 servers registered one after another: half
+# of the 2,038 calls that 195 instances made in 50 s. The delay does no harm: a leaving
+# server accepts requests for seconds, and a crash is noticed by failing requests.
+_COALESCE_INTERVAL = datetime.timedelta(milliseconds=300)
+# An entry expires after three missed heartbeats. An outage of the store that is shorter
+# than this makes no entry of a running server expire.
+_MIN_EXPIRY = datetime.timedelta(seconds=2.5)
+
+
+class _Watch:
+    """Lists a kind, then watches its changes; lists again after an interruption.
+
+    An interrupted watch may have missed changes that the store has since dropped from
+    its history. A watch resumed at the old revision would miss them and receive nothing
+    until the next change, so an interruption is always followed by a listing.
+
+    Attributes:
+        kind: Kind of the watched objects.
+        coalesce_interval: Pause after an answer, in which changes accumulate.
+        unreachable: Whether the last call to the store failed.
+    """
+
+    kind: typing.ClassVar[str]
+    coalesce_interval: typing.ClassVar[datetime.timedelta] = datetime.timedelta()
+
+    def __init__(
+        self,
+        source: objects.ObjectStore,
+        fleet: fleet_state.FleetState,
+        time: clock.Clock,
+    ) -> None:
+        self._store = source
+        self._fleet = fleet
+        self._clock = time
+        self._pause = backoff.Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, random.Random())
+        self._revision: int | None = None
+        self.unreachable = False
+
+    async def catch_up(self) -> None:
+        """List the kind once."""
+        if await self._step() is None:
+            self._on_response()
+
+    async def run(self) -> None:
+        """List, then watch the store; runs until cancelled."""
+        self._revision = None
+        while True:
+            outcome = await self._step()
+            if isinstance(outcome, store.Unavailable):
+                if not self.unreachable:
+                    _log.warn(
+                        "store unreachable; retrying with backoff",
+                        kind=self.kind,
+                        reason=outcome.reason,
+                    )
+                self.unreachable = True
+                self._revision = None
+                await self._clock.sleep(self._pause.next_pause())
+                continue
+            if self.unreachable:
+                _log.info(
+                    "store reachable again", kind=self.kind, revision=self._revision
+                )
+            self.unreachable = False
+            self._on_response()
+            self._pause.reset()
+
+    async def _step(self) -> store.Unavailable | None:
+        if self._revision is None:
+            listing = await self._store.list_objects(self.kind)
+            if isinstance(listing, store.Unavailable):
+                return listing
+            self._revision = listing.revision
+            self._apply_listing(listing)
+            return None
+        outcome = await self._store.watch(
+            self.kind, after=self._revision, wait=_WATCH_TIMEOUT
+        )
+        if isinstance(outcome, store.Unavailable):
+            return outcome
+        if isinstance(outcome, store.HistoryGone):
+            _log.info("store history truncated; listing again", kind=self.kind)
+            self._revision = None
+            return None
+        self._revision = outcome.revision
+        self._apply_changes(outcome)
+        if self.coalesce_interval:
+            await self._clock.sleep(self.coalesce_interval)
+        return None
+
+    def _apply_listing(self, listing: store.Listing) -> None:
+        raise NotImplementedError
+
+    def _apply_changes(self, changes: store.Changes) -> None:
+        raise NotImplementedError
+
+    def _on_response(self) -> None:
+        """Handle a successful call to the store."""
+
+
+class ConfigurationWatch(_Watch):
+    """Watches the operator's configuration."""
+
+    kind = configuration.CONFIGURATION_KIND
+
+    def _apply_listing(self, listing: store.Listing) -> None:
+        self._apply(listing.objects)
+
+    def _apply_changes(self, changes: store.Changes) -> None:
+        self._apply(changes.changed)
+
+    def _apply(self, found: tuple[store.Found, ...]) -> None:
+        for item in found:
+            if item.name == configuration.CONFIGURATION_NAME:
+                apply_configuration(self._fleet, item.value)
+
+
+class ServerWatch(_Watch):
+    """Watches the backend servers.
+
+    Args:
+        source: The platform's store.
+        fleet: State that the servers are applied to.
+        expired_servers: Receives the servers missing from a listing after an outage.
+        time: Clock of this instance.
+    """
+
+    kind = entries.SERVER_KIND
+    coalesce_interval = _COALESCE_INTERVAL
+
+    def __init__(
+        self,
+        source: objects.ObjectStore,
+        fleet: fleet_state.FleetState,
+        expired_servers: expired_entries.ExpiredServers,
+        time: clock.Clock,
+    ) -> None:
+        super().__init__(source, fleet, time)
+        self._expired = expired_servers
+        self._unusable: set[str] = set()
+
+    def _apply_listing(self, listing: store.Listing) -> None:
+        outage = self._clock.monotonic() - self._fleet.servers_confirmed_at
+        self._unusable &= {item.name for item in listing.objects}
+        listed = self._decode_usable(listing.objects)
+        missing: list[servers.Server] = []
+        if outage >= _MIN_EXPIRY and self._fleet.servers_listed:
+            named = {item.name for item in listing.objects}
+            known = self._fleet.servers.all()
+            missing = [server for server in known if server.server_id not in named]
+        self._expired.replace(server.server_id for server in missing)
+        self._fleet.replace_servers(listing.revision, [*listed, *missing])
+
+    def _on_response(self) -> None:
+        self._fleet.servers_confirmed_at = self._clock.monotonic()
+
+    def _apply_changes(self, changes: store.Changes) -> None:
+        self._expired.confirm(changes.removed)
+        self._expired.confirm(item.name for item in changes.changed)
+        self._unusable -= set(changes.removed)
+        usable = self._decode_usable(changes.changed)
+        # An invalid entry supersedes a valid one of the same name: it no longer
+        # describes a server, so the server is removed.
+        named = {server.server_id for server in usable}
+        unusable = [item.name for item in changes.changed if item.name not in named]
+        self._fleet.update_servers(
+            changes.revision, usable, [*changes.removed, *unusable]
+        )
+
+    def _decode_usable(self, found: tuple[store.Found, ...]) -> list[servers.Server]:
+        """Decode the valid entries; log each entry that has become invalid."""
+        usable = []
+        for item in found:
+            decoded = entries.decode(item.name, item.value)
+            if isinstance(decoded, servers.Server):
+                usable.append(decoded)
+                self._unusable.discard(item.name)
+            elif item.name not in self._unusable:
+                self._unusable.add(item.name)
+                _log.warn("entry passed over", name=item.name, reason=decoded.reason)
+        return usable
+
+
+def apply_configuration(fleet: fleet_state.FleetState, spec: typing.Any) -> bool:
+    """Apply a configuration if it is valid and newer; return whether it was applied."""
+    try:
+        decoded = configuration.decode(spec)
+    except configuration.UNREADABLE as error:
+        _log.error("configuration not understood", reason=repr(error))
+        return False
+    if not fleet.configure(decoded, spec):
+        return False
+    _log.info("configuration in force", version=decoded.version)
+    return True
--- a/src/pimentolatch/gateway/stream_forwarder.py
+++ b/src/pimentolatch/gateway/stream_forwarder.py
@@ -17,14 +17,14 @@
     decode_client,
     dispatch,
     dispatch_check,
-    knowledge,
-    measuring,
+    fleet_state,
     prefill_client,
     prompt_placer,
     quarantine,
     refusals,
     request_log,
     request_progress,
+    route_metrics,
     stall_checker,
     usage_exchange,
 )
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        fleet: knowledge.Knowledge,
+        fleet: fleet_state.FleetState,
         client: dispatch.ServerClient,
         budget: repeat_budget.RepeatBudget,
         time: clock.Clock,
@@ -58,7 +58,7 @@
         check: dispatch_check.DispatchCheck,
         usage: usage_exchange.UsageCounter,
         log: request_log.RequestLog,
-        measured: measuring.RouteMetrics,
+        measured: route_metrics.RouteMetrics,
     ) -> None:
         stall_checks = stall_checker.StallChecker(client, log, time)
         self._context = request_progress.Context(
@@ -195,7 +195,7 @@
         prefill.
         """
         for _ in range(_MAX_TRANSFERS):
-            if self._context.fleet.has_ended(prefilled.engine.server.incarnation):
+            if self._context.fleet.is_replaced(prefilled.engine.server.incarnation):
                 progress.reason = "the engine that read the prompt started again"
                 return False
             decode_engine = self._placer.choose_decode_engine(
