--- a/benchmarks/load_fakes.py
+++ b/benchmarks/load_fakes.py
@@ -13,7 +13,7 @@
 
 from pimentolatch import fleet, results
 from pimentolatch.backend import outcomes
-from pimentolatch.decisions import dispatcher, lanes, outstanding, work
+from pimentolatch.decisions import dispatcher, model_queues, outstanding, work
 from pimentolatch.document import schema
 
 __all__ = ["Arrival", "Baseline", "Fleet", "Outcome", "Ours", "document", "run"]
@@ -169,7 +169,7 @@
     """What one instance does with its requests."""
 
     def arrive(
-        self, request: lanes.Request, now: datetime.timedelta
+        self, request: model_queues.Request, now: datetime.timedelta
     ) -> results.Refusal | None:
         """Take a request, or refuse it."""
 
@@ -195,7 +195,7 @@
         self._sent: dict[str, str] = {}
 
     def arrive(
-        self, request: lanes.Request, now: datetime.timedelta
+        self, request: model_queues.Request, now: datetime.timedelta
     ) -> results.Refusal | None:
         """See `Policy.arrive`."""
         self._new.append(request.request_id)
@@ -236,7 +236,7 @@
         self.decisions = dispatcher.Dispatcher(name, "hakodate")
 
     def arrive(
-        self, request: lanes.Request, now: datetime.timedelta
+        self, request: model_queues.Request, now: datetime.timedelta
     ) -> results.Refusal | None:
         """See `Policy.arrive`."""
         answer = self.decisions.arrive(self._view, request, now)
@@ -289,7 +289,7 @@
         prompt = (start + "/").ljust(work.CHARACTERS_PER_TOKEN * arrival.prompt_tokens)
         if arrival.prefix:
             prompt = prompt[: -len(name)] + name
-        request = lanes.Request(
+        request = model_queues.Request(
             name, arrival.caller, MODEL, prompt, 1000, _time(now + arrival.deadline_s)
         )
         self._ids[name] = outcome, own
--- a/benchmarks/slopes_state.py
+++ b/benchmarks/slopes_state.py
@@ -17,7 +17,7 @@
 from benchmarks import fits
 from pimentolatch import clock, fleet, settings
 from pimentolatch.control import heads, keeper, parts
-from pimentolatch.decisions import dispatcher, lanes
+from pimentolatch.decisions import dispatcher, model_queues
 from pimentolatch.document import schema
 from pimentolatch.requests import claims
 from standins import memory_store
@@ -144,7 +144,7 @@
     for number in range(count):
         now = datetime.timedelta(milliseconds=number)
         model = f"model-{number % MODELS}"
-        request = lanes.Request(
+        request = model_queues.Request(
             f"r{number}", f"caller-{number}", model, f"p{number}", 64, now + limit
         )
         decisions.arrive(own_fleet.view, request, now)
--- a/src/pimentolatch/decisions/access.py
+++ b/src/pimentolatch/decisions/access.py
@@ -16,7 +16,7 @@
 
 from pimentolatch.routes import customers, table
 
-__all__ = ["Access", "Denial", "decide", "holds"]
+__all__ = ["Access", "Denial", "authorize", "still_authorized"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     OUT_OF_DATE = "unknown key, while newer ones may exist"
 
 
-def decide(
+def authorize(
     configuration: table.Configuration,
     route: table.Route,
     keys: abc.Sequence[bytes],
@@ -67,7 +67,7 @@
     return Access(customer, rank)
 
 
-def holds(
+def still_authorized(
     configuration: table.Configuration,
     keys: abc.Sequence[bytes],
     customer: customers.Customer | None,
--- a/src/pimentolatch/decisions/admission.py
+++ b/src/pimentolatch/decisions/admission.py
@@ -35,7 +35,7 @@
     "Admitted",
     "DrainRate",
     "Forecast",
-    "ReturnTimes",
+    "RetryTimes",
     "RunCorrection",
     "WaitCorrection",
     "decide",
@@ -44,12 +44,12 @@
 QUEUE_LENGTH_LIMIT = 4096
 _WINDOW_S = 1.0
 _RATE_MEMORY_S = 4.0
-_LONGEST_RETURN = datetime.timedelta(seconds=30)
-_LEAST_CALIBRATED = datetime.timedelta(milliseconds=500)
-_CALIBRATION_MEMORY = 0.05
-_AIMED = 0.7
-_LARGEST_RATIO = 4.0
-_EARLIEST_RETURN = datetime.timedelta(milliseconds=200)
+_MAX_RETRY = datetime.timedelta(seconds=30)
+_MIN_CALIBRATED = datetime.timedelta(milliseconds=500)
+_CALIBRATION_GAIN = 0.05
+_ADMITTED_SHARE = 0.7
+_MAX_RATIO = 4.0
+_MIN_RETRY = datetime.timedelta(milliseconds=200)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -108,8 +108,8 @@
         if waiting and seconds < _WINDOW_S:
             return
         if seconds > 0:
-            trust = 1 - math.exp(-seconds / _RATE_MEMORY_S)
-            self._rate += trust * (self._units / seconds - self._rate)
+            weight = 1 - math.exp(-seconds / _RATE_MEMORY_S)
+            self._rate += weight * (self._units / seconds - self._rate)
         self._since, self._units = (now if waiting else None), 0.0
 
 
@@ -128,15 +128,17 @@
 
     def corrected(self, predicted: datetime.timedelta) -> datetime.timedelta:
         """Return a predicted time by what was learned."""
-        return predicted * min(self._mean + 2 * self._deviation, _LARGEST_RATIO)
+        return predicted * min(self._mean + 2 * self._deviation, _MAX_RATIO)
 
-    def observe(self, predicted: datetime.timedelta, real: datetime.timedelta) -> None:
+    def observe(
+        self, predicted: datetime.timedelta, actual: datetime.timedelta
+    ) -> None:
         """Learn from a time that was predicted; short ones tell nothing."""
-        if predicted < _LEAST_CALIBRATED:
+        if predicted < _MIN_CALIBRATED:
             return
-        error = min(real / predicted, _LARGEST_RATIO) - self._mean
-        self._mean += _CALIBRATION_MEMORY * error
-        self._deviation += _CALIBRATION_MEMORY * (abs(error) - self._deviation)
+        error = min(actual / predicted, _MAX_RATIO) - self._mean
+        self._mean += _CALIBRATION_GAIN * error
+        self._deviation += _CALIBRATION_GAIN * (abs(error) - self._deviation)
 
 
 class RunCorrection:
@@ -157,17 +159,19 @@
         margin = datetime.timedelta(seconds=2 * self._error_s)
         return predicted * self._ratio + margin
 
-    def observe(self, predicted: datetime.timedelta, real: datetime.timedelta) -> None:
+    def observe(
+        self, predicted: datetime.timedelta, actual: datetime.timedelta
+    ) -> None:
         """Learn from a time that was predicted; short ones tell nothing."""
-        if predicted < _LEAST_CALIBRATED:
+        if predicted < _MIN_CALIBRATED:
             return
-        ratio = min(real / predicted, _LARGEST_RATIO)
-        self._ratio += _CALIBRATION_MEMORY * (ratio - self._ratio)
-        error_s = abs((real - predicted * self._ratio).total_seconds())
-        self._error_s += _CALIBRATION_MEMORY * (error_s - self._error_s)
+        ratio = min(actual / predicted, _MAX_RATIO)
+        self._ratio += _CALIBRATION_GAIN * (ratio - self._ratio)
+        error_s = abs((actual - predicted * self._ratio).total_seconds())
+        self._error_s += _CALIBRATION_GAIN * (error_s - self._error_s)
 
 
-class ReturnTimes:
+class RetryTimes:
     """Spreads the times at which refused callers come back."""
 
     def __init__(self) -> None:
@@ -175,20 +179,20 @@
 
     def after(
         self,
-        room: datetime.timedelta,
+        until_capacity: datetime.timedelta,
         work: datetime.timedelta,
         now: datetime.timedelta,
     ) -> datetime.timedelta:
         """Return how long a refused caller should stay away.
 
         Args:
-            room: Time until the queue has room again.
+            until_capacity: Time until the queue has room again.
             work: Time the queue takes to serve this request.
             now: The time.
         """
-        turn = max(self._next, now + room)
-        self._next = min(turn + work, now + _LONGEST_RETURN)
-        return min(max(turn - now, _EARLIEST_RETURN), _LONGEST_RETURN)
+        turn = max(self._next, now + until_capacity)
+        self._next = min(turn + work, now + _MAX_RETRY)
+        return min(max(turn - now, _MIN_RETRY), _MAX_RETRY)
 
 
 def decide(
@@ -203,29 +207,29 @@
     request could not be in time even without a wait.
     """
     limit = datetime.timedelta(seconds=policy.queue_wait_limit_s)
-    spare = deadline - now - forecast.run
-    if spare < datetime.timedelta():
+    slack = deadline - now - forecast.run
+    if slack < datetime.timedelta():
         return _refusal(
             results.ResultCode.DEADLINE_UNREACHABLE,
             f"it takes {forecast.run.total_seconds():.1f} s, longer than its deadline",
             None,
         )
-    if forecast.length >= QUEUE_LENGTH_LIMIT or forecast.wait > _AIMED * limit:
+    if forecast.length >= QUEUE_LENGTH_LIMIT or forecast.wait > _ADMITTED_SHARE * limit:
         return _refusal(
             results.ResultCode.OVERLOADED,
             f"the wait would be {forecast.wait.total_seconds():.1f} s",
-            max(forecast.wait - _AIMED * limit, datetime.timedelta()),
+            max(forecast.wait - _ADMITTED_SHARE * limit, datetime.timedelta()),
         )
-    if forecast.wait > spare:
+    if forecast.wait > slack:
         return _refusal(
             results.ResultCode.DEADLINE_UNREACHABLE,
             f"after {forecast.wait.total_seconds():.1f} s of waiting it would be late",
-            forecast.wait - spare,
+            forecast.wait - slack,
         )
-    return Admitted(now + min(spare, limit))
+    return Admitted(now + min(slack, limit))
 
 
 def _refusal(
-    code: results.ResultCode, message: str, room: datetime.timedelta | None
+    code: results.ResultCode, message: str, until_capacity: datetime.timedelta | None
 ) -> results.Refusal:
-    return results.Refusal(code, message, results.Execution.NOT_RUN, room)
+    return results.Refusal(code, message, results.Execution.NOT_RUN, until_capacity)
--- a/src/pimentolatch/decisions/crash_evidence.py
+++ b/src/pimentolatch/decisions/crash_evidence.py
@@ -26,23 +26,23 @@
 from pimentolatch.requests import digests
 from pimentolatch.routes import servers
 
-__all__ = ["MOST_DOUBTED", "Known", "Suspicion", "is_cause"]
+__all__ = ["MAX_AMBIGUOUS_CRASHES", "CrashRecords", "SuspectedCrash", "is_likely_cause"]
 
 # Ends this close together may have one cause.
-_SAME_CAUSE = datetime.timedelta(seconds=1)
+_COMMON_CAUSE_WINDOW = datetime.timedelta(seconds=1)
 # Sendings this close together may have been begun in either order.
-_SAME_MOMENT = datetime.timedelta(milliseconds=10)
+_TIMING_TOLERANCE = datetime.timedelta(milliseconds=10)
 # The longest time that a request took to end a server, as a multiple of the shortest.
 # One server may be slower than another, or have more work ahead of the request.
-_LARGEST_SPREAD = 3.0
+_MAX_RUN_TIME_RATIO = 3.0
 # Other requests with as many ends from which on none of them is taken for the cause.
-_SHARED_BY = 2
+_MIN_CORRELATED_REQUESTS = 2
 # Servers that may end after the first doubt. The next end is taken for proof.
-MOST_DOUBTED = 2
+MAX_AMBIGUOUS_CRASHES = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Suspicion:
+class SuspectedCrash:
     """A server's connection ended while it ran a request.
 
     Attributes:
@@ -56,54 +56,59 @@
     server: servers.Incarnation
     cleared: bool
     at: datetime.timedelta
-    lasted: datetime.timedelta = datetime.timedelta()
-    server_lives: bool = False
+    ran_for: datetime.timedelta = datetime.timedelta()
+    server_alive: bool = False
 
 
-class Known(typing.Protocol):
+class CrashRecords(typing.Protocol):
     """What an instance knows of servers' ends."""
 
-    def ended_under(self, digest: digests.RequestDigest) -> list[Suspicion]:
+    def crashes_of_request(self, digest: digests.RequestDigest) -> list[SuspectedCrash]:
         """Return the pairs of a request that are not cleared."""
 
-    def victims(self, server: servers.Incarnation) -> list[Suspicion]:
+    def crashes_of_server(self, server: servers.Incarnation) -> list[SuspectedCrash]:
         """Return the pairs of all requests that a server's end broke off."""
 
-    def ended_servers(self) -> abc.Iterable[servers.Incarnation]:
+    def crashed_servers(self) -> abc.Iterable[servers.Incarnation]:
         """Return the servers under whose ends any request is or was suspected."""
 
 
-_Ends = abc.Sequence[Suspicion]
+_Crashes = abc.Sequence[SuspectedCrash]
 
 
-def is_cause(ended: _Ends, known: Known, enough: int) -> bool:
+def is_likely_cause(crashes: _Crashes, records: CrashRecords, threshold: int) -> bool:
     """Tell whether a request is the likely cause of the ends of its servers.
 
     Args:
-        ended: Its pairs that are not cleared, `enough` or more.
-        known: All that is known of ends.
-        enough: Ends from which on a request may be the cause.
+        crashes: Its pairs that are not cleared, `enough` or more.
+        records: All that is known of ends.
+        threshold: Ends from which on a request may be the cause.
     """
     # Two that end servers together would explain each other's ends for ever.
-    if len(ended) >= enough + MOST_DOUBTED:
+    if len(crashes) >= threshold + MAX_AMBIGUOUS_CRASHES:
         return True
-    others = _beside(ended, known)
-    if len(_unexplained(ended, others)) < enough:
+    others = _concurrent_requests(crashes, records)
+    if len(_unexplained_servers(crashes, others)) < threshold:
         return False
-    return not _is_in_doubt(ended, others, known, enough)
+    return not _is_ambiguous(crashes, others, records, threshold)
 
 
-def _beside(ended: _Ends, known: Known) -> list[_Ends]:
+def _concurrent_requests(crashes: _Crashes, records: CrashRecords) -> list[_Crashes]:
     """Return the ends of the requests beside one that have as many."""
-    digest = ended[0].digest
-    victims = (pair for end in ended for pair in known.victims(end.server))
-    beside = {pair.digest for pair in victims} - {digest}
-    found = (known.ended_under(other) for other in beside)
-    return [ends for ends in found if len(ends) >= len(ended)]
+    digest = crashes[0].digest
+    crashes_of_server = (
+        crash for end in crashes for crash in records.crashes_of_server(end.server)
+    )
+    digests_alongside = {crash.digest for crash in crashes_of_server} - {digest}
+    found = (
+        records.crashes_of_request(digest_alongside)
+        for digest_alongside in digests_alongside
+    )
+    return [other for other in found if len(other) >= len(crashes)]
 
 
-def _unexplained(
-    ended: _Ends, others: abc.Iterable[_Ends]
+def _unexplained_servers(
+    crashes: _Crashes, others: abc.Iterable[_Crashes]
 ) -> frozenset[servers.Incarnation]:
     """Return the servers that have ended under a request and under no likelier cause.
 
@@ -111,71 +116,79 @@
     with more ends explains them better.
     """
     likelier = (
-        ends
-        for ends in others
-        if _is_likelier(ends, ended) and (_are_alike(ends) or not _are_alike(ended))
+        other
+        for other in others
+        if _is_likelier(other, crashes)
+        and (_are_similar(other) or not _are_similar(crashes))
     )
-    explained = {pair.server for ends in likelier for pair in ends}
-    return frozenset(pair.server for pair in ended) - explained
+    explained = {crash.server for other in likelier for crash in other}
+    return frozenset(crash.server for crash in crashes) - explained
 
 
-def _is_in_doubt(
-    ended: _Ends, others: abc.Sequence[_Ends], known: Known, enough: int
+def _is_ambiguous(
+    crashes: _Crashes,
+    others: abc.Sequence[_Crashes],
+    records: CrashRecords,
+    threshold: int,
 ) -> bool:
-    if not _are_alike(ended):
+    if not _are_similar(crashes):
         return True
-    if len(ended) == enough and len(others) >= _SHARED_BY:
+    if len(crashes) == threshold and len(others) >= _MIN_CORRELATED_REQUESTS:
         return True
-    if any(_are_alike(ends) and not _is_newer(ended, ends) for ends in others):
+    if any(
+        _are_similar(other) and not _started_later(crashes, other) for other in others
+    ):
         return True
-    return _ended_elsewhere(ended, known, enough) >= len(ended)
+    return _crashed_elsewhere(crashes, records, threshold) >= len(crashes)
 
 
-def _ended_elsewhere(ended: _Ends, known: Known, enough: int) -> int:
+def _crashed_elsewhere(crashes: _Crashes, records: CrashRecords, threshold: int) -> int:
     """Count the servers that ended around the same time and not under a request.
 
     Those under which another request is suspected of as many ends don't count: it is
     another cause of the same kind, and says nothing of this one.
     """
-    own = {pair.server for pair in ended}
+    own_servers = {crash.server for crash in crashes}
     count = 0
-    for server in known.ended_servers():
-        victims = known.victims(server)
-        if server in own or not victims:
+    for server in records.crashed_servers():
+        crashes_of_server = records.crashes_of_server(server)
+        if server in own_servers or not crashes_of_server:
             continue
-        at = min(pair.at for pair in victims)
-        near = any(abs(at - pair.at) <= _SAME_CAUSE for pair in ended)
+        at = min(crash.at for crash in crashes_of_server)
+        near = any(abs(at - crash.at) <= _COMMON_CAUSE_WINDOW for crash in crashes)
         count += near and not any(
-            len(ends) >= enough and _are_alike(ends)
-            for ends in (known.ended_under(pair.digest) for pair in victims)
+            len(other) >= threshold and _are_similar(other)
+            for other in (
+                records.crashes_of_request(crash.digest) for crash in crashes_of_server
+            )
         )
     return count
 
 
-def _is_likelier(ends: _Ends, than: _Ends) -> bool:
+def _is_likelier(crashes: _Crashes, baseline: _Crashes) -> bool:
     """Tell whether a request is the likelier cause than another one."""
-    if len(ends) != len(than):
-        return len(ends) > len(than)
-    return _longest(ends) < _longest(than) - _SAME_MOMENT
+    if len(crashes) != len(baseline):
+        return len(crashes) > len(baseline)
+    return _longest_run(crashes) < _longest_run(baseline) - _TIMING_TOLERANCE
 
 
-def _is_newer(ends: _Ends, than: _Ends) -> bool:
+def _started_later(crashes: _Crashes, baseline: _Crashes) -> bool:
     """Tell whether each server that both lost had had a request clearly shorter."""
-    lasted = {pair.server: pair.lasted for pair in than}
-    return len(ends) >= len(than) and all(
-        pair.lasted < lasted[pair.server] - _SAME_MOMENT
-        for pair in ends
-        if pair.server in lasted
+    ran_for = {crash.server: crash.ran_for for crash in baseline}
+    return len(crashes) >= len(baseline) and all(
+        crash.ran_for < ran_for[crash.server] - _TIMING_TOLERANCE
+        for crash in crashes
+        if crash.server in ran_for
     )
 
 
-def _are_alike(ends: _Ends) -> bool:
+def _are_similar(crashes: _Crashes) -> bool:
     """Tell whether servers ended at about the same time after they had a request."""
-    lasted = [pair.lasted for pair in ends if pair.lasted]
-    if not lasted:
+    ran_for = [crash.ran_for for crash in crashes if crash.ran_for]
+    if not ran_for:
         return True
-    return max(lasted) <= _LARGEST_SPREAD * max(min(lasted), _SAME_MOMENT)
+    return max(ran_for) <= _MAX_RUN_TIME_RATIO * max(min(ran_for), _TIMING_TOLERANCE)
 
 
-def _longest(ends: _Ends) -> datetime.timedelta:
-    return max(pair.lasted for pair in ends)
+def _longest_run(crashes: _Crashes) -> datetime.timedelta:
+    return max(crash.ran_for for crash in crashes)
--- a/src/pimentolatch/decisions/crash_suspects.py
+++ b/src/pimentolatch/decisions/crash_suspects.py
@@ -29,24 +29,24 @@
 from pimentolatch.requests import digests
 from pimentolatch.routes import servers
 
-__all__ = ["CrashSuspects", "Policy", "Verdict", "own_part"]
+__all__ = ["CrashSuspects", "Policy", "Verdict", "suspect_subset"]
 
 # A suspect that does not come back within this is forgotten.
 _SUSPECT_LIFETIME = datetime.timedelta(minutes=10)
 # Digests that are remembered; 600 bytes each.
-MOST_DIGESTS = 4000
+MAX_DIGESTS = 4000
 # Share of them that is dropped at once when there are too many.
-_DROPPED_SHARE = 0.1
+_EVICTED_SHARE = 0.1
 # Crashes from which on a request is told of again and again, since an instance that
 # has just started, or was cut off, has not heard of it.
-_SERIOUS = 2
+_REPEATED = 2
 # News of servers' ends reach a fleet of hundreds within two seconds and most of it in
 # half of that. Until then a request that seems guilty is held off, not judged.
-_SETTLING = datetime.timedelta(milliseconds=1500)
+_DISSEMINATION_TIME = datetime.timedelta(milliseconds=1500)
 # Each end after a quarantine makes the next one so many times longer.
-_GROWTH = 6
+_QUARANTINE_GROWTH = 6
 # Share of the servers that a suspect may use.
-_OWN_SHARE = 0.25
+_SUBSET_SHARE = 0.25
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -61,8 +61,8 @@
     """
 
     crashes: int = 3
-    first: datetime.timedelta = datetime.timedelta(minutes=10)
-    quarantine: datetime.timedelta = datetime.timedelta(days=1)
+    initial_quarantine: datetime.timedelta = datetime.timedelta(minutes=10)
+    max_quarantine: datetime.timedelta = datetime.timedelta(days=1)
     exempt: frozenset[digests.RequestDigest] = frozenset()
 
     def duration(self, ends: int) -> datetime.timedelta:
@@ -72,9 +72,12 @@
         again. One that ends a server each time must soon stop to do so.
         """
         further = ends - self.crashes
-        if further >= crash_evidence.MOST_DOUBTED:
-            return self.quarantine
-        return min(self.quarantine, self.first * math.pow(_GROWTH, further))
+        if further >= crash_evidence.MAX_AMBIGUOUS_CRASHES:
+            return self.max_quarantine
+        return min(
+            self.max_quarantine,
+            self.initial_quarantine * math.pow(_QUARANTINE_GROWTH, further),
+        )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -87,21 +90,21 @@
         settled: It is in quarantine; else what peers have seen may clear it yet.
     """
 
-    ended: tuple[servers.Incarnation, ...]
-    left: datetime.timedelta
-    settled: bool
+    crashed_servers: tuple[servers.Incarnation, ...]
+    remaining: datetime.timedelta
+    confirmed: bool
 
 
 @dataclasses.dataclass(slots=True)
 class _Suspect:
-    crashes: dict[servers.Incarnation, crash_evidence.Suspicion] = dataclasses.field(
-        default_factory=dict
+    crashes: dict[servers.Incarnation, crash_evidence.SuspectedCrash] = (
+        dataclasses.field(default_factory=dict)
     )
 
-    def ended(self) -> list[crash_evidence.Suspicion]:
+    def uncleared(self) -> list[crash_evidence.SuspectedCrash]:
         return [crash for crash in self.crashes.values() if not crash.cleared]
 
-    def last(self) -> datetime.timedelta:
+    def last_crash_at(self) -> datetime.timedelta:
         return max(crash.at for crash in self.crashes.values())
 
 
@@ -120,50 +123,52 @@
         self._repeated: set[digests.RequestDigest] = set()
 
     def add(
-        self, heard: crash_evidence.Suspicion, now: datetime.timedelta
-    ) -> crash_evidence.Suspicion | None:
+        self, received: crash_evidence.SuspectedCrash, now: datetime.timedelta
+    ) -> crash_evidence.SuspectedCrash | None:
         """Take a suspicion, seen here or told by a peer.
 
         Returns:
             What is known now if it differs from what was heard or known before, to be
             told to peers; None if nobody needs to hear of it.
         """
-        suspect = self._suspects.setdefault(heard.digest, _Suspect())
-        known = suspect.crashes.get(heard.server)
-        if known is not None and (known.cleared or not heard.cleared):
+        suspect = self._suspects.setdefault(received.digest, _Suspect())
+        known = suspect.crashes.get(received.server)
+        if known is not None and (known.cleared or not received.cleared):
             # A peer that missed the clearing is told of it again.
-            return known if known.cleared and not heard.cleared else None
-        suspect.crashes[heard.server] = heard
-        self._by_server.setdefault(heard.server, set()).add(heard.digest)
-        if len(suspect.crashes) >= _SERIOUS:
-            self._repeated.add(heard.digest)
-        self._bound(now)
-        return heard
-
-    def has_ended(
+            return known if known.cleared and not received.cleared else None
+        suspect.crashes[received.server] = received
+        self._by_server.setdefault(received.server, set()).add(received.digest)
+        if len(suspect.crashes) >= _REPEATED:
+            self._repeated.add(received.digest)
+        self._limit_memory(now)
+        return received
+
+    def has_crashed(
         self, server: servers.Incarnation, before: datetime.timedelta
     ) -> bool:
         """Tell whether a server seems to have ended before a moment."""
-        return any(crash.at < before for crash in self._ends_of(server))
+        return any(crash.at < before for crash in self._uncleared_crashes_of(server))
 
     def merge(
-        self, told: abc.Iterable[crash_evidence.Suspicion], now: datetime.timedelta
-    ) -> list[crash_evidence.Suspicion]:
+        self,
+        reports: abc.Iterable[crash_evidence.SuspectedCrash],
+        now: datetime.timedelta,
+    ) -> list[crash_evidence.SuspectedCrash]:
         """Take what a peer tells; returns what is to be told to others.
 
         All pairs of a request that is in quarantine come together. What has expired
         by the clock of this instance is dropped again, or it would be told to and fro
         for ever.
         """
-        taken = [self.add(heard, now) for heard in told]
+        taken = [self.add(received, now) for received in reports]
         found = [known for known in taken if known is not None]
-        self._forget_expired({known.digest for known in found}, now)
+        self._remove_expired({known.digest for known in found}, now)
         return [known for known in found if known.digest in self._suspects]
 
-    def crashes(self, digest: digests.RequestDigest) -> int:
+    def crash_count(self, digest: digests.RequestDigest) -> int:
         """Return under how many servers' ends a request is suspected."""
         suspect = self._suspects.get(digest)
-        return 0 if suspect is None else len(suspect.ended())
+        return 0 if suspect is None else len(suspect.uncleared())
 
     def verdict(
         self, digest: digests.RequestDigest, now: datetime.timedelta
@@ -172,30 +177,30 @@
         suspect = self._suspects.get(digest)
         if suspect is None or digest in self.policy.exempt:
             return None
-        ended = suspect.ended()
-        if len(ended) < self.policy.crashes:
+        uncleared = suspect.uncleared()
+        if len(uncleared) < self.policy.crashes:
             return None
-        passed = now - max(crash.at for crash in ended)
-        names = tuple(crash.server for crash in ended)
-        if passed < _SETTLING:
-            return Verdict(names, _SETTLING - passed, settled=False)
-        left = self.policy.duration(len(ended)) - passed
+        elapsed = now - max(crash.at for crash in uncleared)
+        names = tuple(crash.server for crash in uncleared)
+        if elapsed < _DISSEMINATION_TIME:
+            return Verdict(names, _DISSEMINATION_TIME - elapsed, confirmed=False)
+        left = self.policy.duration(len(uncleared)) - elapsed
         if left <= datetime.timedelta():
             return None
-        if not crash_evidence.is_cause(ended, self, self.policy.crashes):
+        if not crash_evidence.is_likely_cause(uncleared, self, self.policy.crashes):
             return None
-        return Verdict(names, left, settled=True)
+        return Verdict(names, left, confirmed=True)
 
     def completed(
         self, digest: digests.RequestDigest
-    ) -> list[crash_evidence.Suspicion]:
+    ) -> list[crash_evidence.SuspectedCrash]:
         """Note that a request ran to its end; returns what that clears."""
         suspect = self._suspects.get(digest)
-        return [] if suspect is None else self._clear(suspect.ended())
+        return [] if suspect is None else self._clear(suspect.uncleared())
 
     def answered(
         self, server: servers.Incarnation, since: datetime.timedelta
-    ) -> list[crash_evidence.Suspicion]:
+    ) -> list[crash_evidence.SuspectedCrash]:
         """Note that a server answered an exchange; returns what that clears.
 
         Args:
@@ -203,32 +208,36 @@
             since: When the exchange began; ends that were seen later stand, since an
                 answer may have been on its way already.
         """
-        found = [crash for crash in self._ends_of(server) if crash.at < since]
-        return self._clear(found, server_lives=True)
+        found = [
+            crash for crash in self._uncleared_crashes_of(server) if crash.at < since
+        ]
+        return self._clear(found, server_alive=True)
 
-    def ended_under(
+    def crashes_of_request(
         self, digest: digests.RequestDigest
-    ) -> list[crash_evidence.Suspicion]:
+    ) -> list[crash_evidence.SuspectedCrash]:
         """Return the pairs of a request that are not cleared."""
         suspect = self._suspects.get(digest)
-        return [] if suspect is None else suspect.ended()
+        return [] if suspect is None else suspect.uncleared()
 
-    def victims(self, server: servers.Incarnation) -> list[crash_evidence.Suspicion]:
+    def crashes_of_server(
+        self, server: servers.Incarnation
+    ) -> list[crash_evidence.SuspectedCrash]:
         """Return the pairs of all requests that a server's end broke off."""
-        pairs = (
+        crashes = (
             self._suspects[digest].crashes[server]
             for digest in self._by_server.get(server, ())
         )
-        return [pair for pair in pairs if not pair.server_lives]
+        return [crash for crash in crashes if not crash.server_alive]
 
-    def ended_servers(self) -> abc.Iterable[servers.Incarnation]:
+    def crashed_servers(self) -> abc.Iterable[servers.Incarnation]:
         """Return the servers under whose ends any request is or was suspected."""
         return self._by_server.keys()
 
-    def serious(self) -> list[list[crash_evidence.Suspicion]]:
+    def repeated_crashes(self) -> list[list[crash_evidence.SuspectedCrash]]:
         """Return the pairs of each request that is in or close to quarantine."""
-        found = (self._suspects[digest].ended() for digest in self._repeated)
-        return [ended for ended in found if len(ended) >= _SERIOUS]
+        found = (self._suspects[digest].uncleared() for digest in self._repeated)
+        return [uncleared for uncleared in found if len(uncleared) >= _REPEATED]
 
     def quarantined(
         self, now: datetime.timedelta
@@ -238,78 +247,80 @@
         return {
             digest: verdict
             for digest, verdict in found.items()
-            if verdict is not None and verdict.settled
+            if verdict is not None and verdict.confirmed
         }
 
-    def forget_old(self, now: datetime.timedelta) -> None:
+    def remove_expired(self, now: datetime.timedelta) -> None:
         """Drop what has expired."""
-        self._forget_expired(list(self._suspects), now)
+        self._remove_expired(list(self._suspects), now)
 
-    def _forget_expired(
+    def _remove_expired(
         self, among: abc.Iterable[digests.RequestDigest], now: datetime.timedelta
     ) -> None:
         for digest in among:
             suspect = self._suspects.get(digest)
             if suspect is None:
                 continue
-            if now - suspect.last() > self._lifetime(len(suspect.ended())):
-                self._drop(digest)
+            if now - suspect.last_crash_at() > self._lifetime(len(suspect.uncleared())):
+                self._remove(digest)
 
-    def _ends_of(self, server: servers.Incarnation) -> list[crash_evidence.Suspicion]:
+    def _uncleared_crashes_of(
+        self, server: servers.Incarnation
+    ) -> list[crash_evidence.SuspectedCrash]:
         """Return the pairs of a server that are not cleared."""
-        pairs = (
+        crashes = (
             self._suspects[digest].crashes[server]
             for digest in self._by_server.get(server, ())
         )
-        return [pair for pair in pairs if not pair.cleared]
+        return [crash for crash in crashes if not crash.cleared]
 
     def _lifetime(self, crashes: int) -> datetime.timedelta:
         if crashes >= self.policy.crashes:
-            return self.policy.quarantine
+            return self.policy.max_quarantine
         return _SUSPECT_LIFETIME
 
     def _clear(
         self,
-        crashes: abc.Iterable[crash_evidence.Suspicion],
+        crashes: abc.Iterable[crash_evidence.SuspectedCrash],
         *,
-        server_lives: bool = False,
-    ) -> list[crash_evidence.Suspicion]:
+        server_alive: bool = False,
+    ) -> list[crash_evidence.SuspectedCrash]:
         cleared = [
-            dataclasses.replace(crash, cleared=True, server_lives=server_lives)
+            dataclasses.replace(crash, cleared=True, server_alive=server_alive)
             for crash in crashes
         ]
         for crash in cleared:
             self._suspects[crash.digest].crashes[crash.server] = crash
         return cleared
 
-    def _bound(self, now: datetime.timedelta) -> None:
+    def _limit_memory(self, now: datetime.timedelta) -> None:
         """Keep the memory bounded; the oldest of the least suspected leave first.
 
         Otherwise whoever sends many requests that break off could have one forgotten
         that has ended servers.
         """
-        if len(self._suspects) <= MOST_DIGESTS:
+        if len(self._suspects) <= MAX_DIGESTS:
             return
-        self.forget_old(now)
+        self.remove_expired(now)
         suspects = self._suspects
 
         def weight(digest: digests.RequestDigest) -> tuple[int, datetime.timedelta]:
-            return len(suspects[digest].ended()), suspects[digest].last()
+            return len(suspects[digest].uncleared()), suspects[digest].last_crash_at()
 
-        over = len(suspects) - math.floor(MOST_DIGESTS * (1 - _DROPPED_SHARE))
-        for digest in sorted(suspects, key=weight)[: max(0, over)]:
-            self._drop(digest)
+        excess = len(suspects) - math.floor(MAX_DIGESTS * (1 - _EVICTED_SHARE))
+        for digest in sorted(suspects, key=weight)[: max(0, excess)]:
+            self._remove(digest)
 
-    def _drop(self, digest: digests.RequestDigest) -> None:
+    def _remove(self, digest: digests.RequestDigest) -> None:
         self._repeated.discard(digest)
         for server in self._suspects.pop(digest).crashes:
-            digests_there = self._by_server[server]
-            digests_there.discard(digest)
-            if not digests_there:
+            remaining_digests = self._by_server[server]
+            remaining_digests.discard(digest)
+            if not remaining_digests:
                 del self._by_server[server]
 
 
-def own_part(
+def suspect_subset(
     digest: digests.RequestDigest,
     crashes: int,
     candidates: abc.Collection[servers.Incarnation],
@@ -321,6 +332,6 @@
         crashes: Under how many servers' ends it is suspected; another part each time.
         candidates: Servers that take requests.
     """
-    lot = f"{digests.digest_text(digest)}/{crashes}"
-    ranked = sorted(candidates, key=lambda server: subset.rank(lot, server.server_id))
-    return frozenset(ranked[: math.ceil(_OWN_SHARE * len(ranked))])
+    key = f"{digests.digest_text(digest)}/{crashes}"
+    ranked = sorted(candidates, key=lambda server: subset.rank(key, server.server_id))
+    return frozenset(ranked[: math.ceil(_SUBSET_SHARE * len(ranked))])
--- a/src/pimentolatch/decisions/dispatcher.py
+++ b/src/pimentolatch/decisions/dispatcher.py
@@ -16,13 +16,12 @@
 from pimentolatch import fleet, results
 from pimentolatch.backend import outcomes
 from pimentolatch.decisions import (
-    accounts,
     admission,
     choice,
     demand,
     dispatches,
     health,
-    lanes,
+    model_queues,
     outstanding,
     prefixes,
     readers,
@@ -30,6 +29,7 @@
     routing,
     shares,
     work,
+    work_accounting,
 )
 from pimentolatch.document import schema
 
@@ -85,7 +85,7 @@
         self.health = health.ServerHealth()
         self.retries = retries.RetryBudget()
         self._prefixes = prefixes.PrefixMemory()
-        self._accounts = accounts.Accounts(self.peers)
+        self._accounts = work_accounting.WorkAccounting(self.peers)
         self._dispatches = dispatches.Dispatches(
             self.outstanding, self.peers, self.health
         )
@@ -99,8 +99,8 @@
         )
         self._demand = demand.Totals(own_instance, "")
         self._readers = readers.Readers(self.outstanding, self.router.load)
-        self._lanes: dict[str, lanes.Lane] = {}
-        self._held: dict[str, lanes.Held] = {}
+        self._lanes: dict[str, model_queues.ModelQueue] = {}
+        self._held: dict[str, model_queues.TrackedRequest] = {}
         self._document: schema.FleetDocument | None = None
 
     @property
@@ -127,7 +127,7 @@
         )
 
     def arrive(
-        self, view: fleet.View, request: lanes.Request, now: datetime.timedelta
+        self, view: fleet.View, request: model_queues.Request, now: datetime.timedelta
     ) -> Queued | results.Refusal:
         """Admit a request to the queue or refuse it."""
         engines = self.router.engines(view, request.model)
@@ -136,19 +136,19 @@
             return _no_engine()
         self._learn_document(document)
         lane = self._lane(request.model, engines)
-        held = self._accounts.expected(request, lane, engines, now)
-        asked = held.asked
+        held = self._accounts.track(request, lane, engines, now)
+        asked = held.expected_work
         self._demand = self._demand.plus(asked.prompt_tokens, asked.output_tokens)
-        if refusal := self._accounts.over_limit(held, now):
+        if refusal := self._accounts.check_limit(held, now):
             return refusal
         found = self.router.candidates(view, request.model, request.prompt, now)
         forecast = lane.forecast(held, found)
         decision = admission.decide(forecast, document.admission, request.deadline, now)
         if isinstance(decision, results.Refusal):
-            return lane.spread(decision, held, now)
+            return lane.with_retry_time(decision, held, now)
         self._accounts.charge(held, held.units, now)
         self._held[request.request_id] = held
-        lane.queue.put(held.waiting(decision.latest_start))
+        lane.queue.put(held.queue_entry(decision.latest_start))
         return Queued()
 
     def start(self, view: fleet.View, now: datetime.timedelta) -> list[Start]:
@@ -175,7 +175,7 @@
                 held = self._held.pop(item.request_id)
                 held.waits.observe(held.predicted_wait, now - held.arrived)
                 self._accounts.charge(held, -held.units, now)
-                gone.append(Expired(item.request_id, lane.late(held, now)))
+                gone.append(Expired(item.request_id, lane.expired_refusal(held, now)))
         return gone
 
     def next_expiry(self) -> datetime.timedelta | None:
@@ -246,7 +246,9 @@
         if lane is not None and lane.queue.remove(request_id):
             self._accounts.charge(held, -held.units, now)
 
-    def _finished(self, held: lanes.Held, tokens: int, now: datetime.timedelta) -> None:
+    def _finished(
+        self, held: model_queues.TrackedRequest, tokens: int, now: datetime.timedelta
+    ) -> None:
         request = held.request
         lane = self._lanes[request.model]
         lane.runs.observe(held.predicted_run, now - held.started)
@@ -259,18 +261,22 @@
             return
         self._document = document
         self._accounts.set_callers(document.callers)
-        self.health.forget({server.name for server in document.backend_servers})
+        self.health.retain({server.name for server in document.backend_servers})
 
-    def _lane(self, model: str, engines: tuple[schema.Engine, ...]) -> lanes.Lane:
+    def _lane(
+        self, model: str, engines: tuple[schema.Engine, ...]
+    ) -> model_queues.ModelQueue:
         if model not in self._lanes:
             rate = sum(engine.prefill_tokens_per_s for engine in engines)
-            self._lanes[model] = lanes.Lane(rate / len(self.router.instances))
+            self._lanes[model] = model_queues.ModelQueue(
+                rate / len(self.router.instances)
+            )
         return self._lanes[model]
 
     def _choose(
         self,
         view: fleet.View,
-        held: lanes.Held,
+        held: model_queues.TrackedRequest,
         now: datetime.timedelta,
         avoid: frozenset[str] = frozenset(),
         *,
@@ -281,12 +287,12 @@
             view, request.model, request.prompt, now, avoid
         )
         left = request.deadline - now
-        return choice.choose(candidates, held.asked, left, must=must)
+        return choice.choose(candidates, held.expected_work, left, must=must)
 
     def _begin(
         self,
         view: fleet.View,
-        held: lanes.Held,
+        held: model_queues.TrackedRequest,
         found: choice.Candidate,
         now: datetime.timedelta,
     ) -> Start:
@@ -295,20 +301,23 @@
         held.started = now
         if found.probe:
             self.health.probed(name, now)
-        left = max(1, held.asked.output_tokens - held.delivered)
-        unread = max(0, held.asked.prompt_tokens - found.cached_tokens)
+        left = max(1, held.expected_work.output_tokens - held.delivered)
+        unread = max(0, held.expected_work.prompt_tokens - found.cached_tokens)
         reader = self._reader(view, held, found)
         if reader is not None:
             self._readers.begin(request.request_id, reader, unread)
             unread = 0
         sent = work.Work(unread, left)
-        first = found.finish(work.Work(held.asked.prompt_tokens, 1))
+        first = found.finish(work.Work(held.expected_work.prompt_tokens, 1))
         self._dispatches.begin(request.request_id, found.engine, sent, first, now)
         self._prefixes.sent(request.prompt, name, now)
         return Start(request.request_id, found.engine, reader)
 
     def _reader(
-        self, view: fleet.View, held: lanes.Held, found: choice.Candidate
+        self,
+        view: fleet.View,
+        held: model_queues.TrackedRequest,
+        found: choice.Candidate,
     ) -> schema.Engine | None:
         document = view.document
         model = held.request.model
@@ -317,7 +326,9 @@
             return None
         role = routing.role_of(view, found.engine)
         answering = self._readers.load_of(found.engine, role, found.cached_tokens)
-        return self._readers.choose(document, model, answering, able, held.asked)
+        return self._readers.choose(
+            document, model, answering, able, held.expected_work
+        )
 
 
 def _no_engine() -> results.Refusal:
--- a/src/pimentolatch/decisions/fairness.py
+++ b/src/pimentolatch/decisions/fair_queue.py
@@ -30,24 +30,24 @@
 import heapq
 import itertools
 
-__all__ = ["FairQueue", "LONGEST_OVERTAKING", "Waiting"]
+__all__ = ["MAX_OVERTAKING", "FairQueue", "QueuedRequest"]
 
 _UNITS_PER_SECOND_OF_HANDICAP = 4000.0
-_LARGEST_HANDICAP_S = 5.0
+_MAX_HANDICAP_S = 5.0
 _PRIORITY_STEP_S = 0.5
 _HIGHEST_PRIORITY = 7
 # With more callers waiting than this, forecasts use a bound instead of a sum.
-_CALLERS_SUMMED = 256
+_MAX_CALLERS_SUMMED = 256
 _CREDIT_UNITS = 40_000.0
 _IDLE_LIMIT = 10_000
 
-LONGEST_OVERTAKING = datetime.timedelta(
-    seconds=_LARGEST_HANDICAP_S + _HIGHEST_PRIORITY * _PRIORITY_STEP_S
+MAX_OVERTAKING = datetime.timedelta(
+    seconds=_MAX_HANDICAP_S + _HIGHEST_PRIORITY * _PRIORITY_STEP_S
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedRequest:
     """A request that waits.
 
     Attributes:
@@ -69,7 +69,7 @@
     @property
     def order(self) -> float:
         """Place among the caller's own requests; the lowest is next."""
-        handicap = min(self.units / _UNITS_PER_SECOND_OF_HANDICAP, _LARGEST_HANDICAP_S)
+        handicap = min(self.units / _UNITS_PER_SECOND_OF_HANDICAP, _MAX_HANDICAP_S)
         priority = min(max(self.priority, 0), _HIGHEST_PRIORITY)
         arrived = self.arrived.total_seconds()
         return arrived + handicap - priority * _PRIORITY_STEP_S
@@ -93,7 +93,7 @@
     def __init__(self) -> None:
         self._count = itertools.count()
         self._virtual_time = 0.0
-        self._waiting: dict[str, Waiting] = {}
+        self._waiting: dict[str, QueuedRequest] = {}
         self._flows: dict[str, _Flow] = {}
         self._turns: list[tuple[float, int, str]] = []
         self._latest: list[tuple[datetime.timedelta, int, str]] = []
@@ -121,7 +121,7 @@
         flow = self._flows.get(caller)
         return 0.0 if flow is None else flow.units
 
-    def put(self, item: Waiting) -> None:
+    def put(self, item: QueuedRequest) -> None:
         """Add a request."""
         flow = self._flows.get(item.caller)
         if flow is None:
@@ -136,12 +136,12 @@
         self._waiting[item.request_id] = item
         self._count_item(flow, item, 1)
 
-    def peek(self) -> Waiting | None:
+    def peek(self) -> QueuedRequest | None:
         """Return the request that `take` would return."""
         caller = self._next_caller()
         return None if caller is None else self._first(self._flows[caller])
 
-    def take(self) -> Waiting | None:
+    def take(self) -> QueuedRequest | None:
         """Remove and return the next request, or None if nothing waits."""
         caller = self._next_caller()
         if caller is None:
@@ -154,24 +154,24 @@
         heapq.heappop(self._turns)
         self._push_turn(caller, flow)
         self._remove(item, flow)
-        self._forget_idle()
+        self._evict_idle()
         return item
 
-    def remove(self, request_id: str) -> Waiting | None:
+    def remove(self, request_id: str) -> QueuedRequest | None:
         """Remove a request whose caller went away."""
         item = self._waiting.get(request_id)
         if item is not None:
             self._remove(item, self._flows[item.caller])
         return item
 
-    def expire(self, now: datetime.timedelta) -> list[Waiting]:
+    def expire(self, now: datetime.timedelta) -> list[QueuedRequest]:
         """Remove and return the requests that are no longer of use to start."""
-        gone = []
+        expired = []
         while self._latest and self._latest[0][0] < now:
             _, _, request_id = heapq.heappop(self._latest)
             if item := self.remove(request_id):
-                gone.append(item)
-        return gone
+                expired.append(item)
+        return expired
 
     def next_expiry(self) -> datetime.timedelta | None:
         """Return when `expire` next has something to return, or None."""
@@ -186,7 +186,7 @@
         elif caller in self._idle:
             self._set_idle(caller, self._idle[caller] + units / weight)
 
-    def units_before(self, item: Waiting) -> float:
+    def units_before(self, item: QueuedRequest) -> float:
         """Return the work that is served before a new request ends its wait.
 
         While the caller's own work ahead of it is served, and until the others have
@@ -198,7 +198,7 @@
         start = self._start(item.caller) if flow is None else flow.start
         lead = max(0.0, start - self._virtual_time)
         share = lead + (own + item.units) / item.weight
-        if len(self._flows) > _CALLERS_SUMMED:
+        if len(self._flows) > _MAX_CALLERS_SUMMED:
             return min(self.units, own + share * self._weight)
         return own + sum(
             min(other.units, share * other.weight)
@@ -219,7 +219,7 @@
             heapq.heappop(self._turns)
         return None
 
-    def _first(self, flow: _Flow) -> Waiting:
+    def _first(self, flow: _Flow) -> QueuedRequest:
         while flow.heap[0][2] not in self._waiting:
             heapq.heappop(flow.heap)
         return self._waiting[flow.heap[0][2]]
@@ -231,7 +231,7 @@
     def _push_turn(self, caller: str, flow: _Flow) -> None:
         heapq.heappush(self._turns, (flow.start, next(self._count), caller))
 
-    def _remove(self, item: Waiting, flow: _Flow) -> None:
+    def _remove(self, item: QueuedRequest, flow: _Flow) -> None:
         del self._waiting[item.request_id]
         self._count_item(flow, item, -1)
         if flow.requests == 0:
@@ -239,7 +239,7 @@
             self._weight -= flow.weight
             self._set_idle(item.caller, flow.start + flow.debt)
 
-    def _count_item(self, flow: _Flow, item: Waiting, sign: int) -> None:
+    def _count_item(self, flow: _Flow, item: QueuedRequest, sign: int) -> None:
         flow.requests += sign
         flow.units += sign * item.units
         self._units += sign * item.units
@@ -248,7 +248,7 @@
         self._idle[caller] = finish
         heapq.heappush(self._idle_order, (finish, caller))
 
-    def _forget_idle(self) -> None:
+    def _evict_idle(self) -> None:
         """Forget idle callers that the others have caught up with.
 
         A caller that sends one request at a time is idle between them. Without its
--- a/src/pimentolatch/decisions/health.py
+++ b/src/pimentolatch/decisions/health.py
@@ -28,24 +28,24 @@
 
 __all__ = ["ServerHealth"]
 
-_MEMORY = 0.3
+_GAIN = 0.3
 _EJECTION_SLOWNESS = 4.0
 _RETURN_SLOWNESS = 2.0
-_LEAST_OBSERVATIONS = 3
-_FAILURES = 3
-_EJECTED_SHARE = 0.5
-_FIRST_PAUSE = datetime.timedelta(seconds=5)
-_LONGEST_PAUSE = datetime.timedelta(seconds=60)
-_SLOWEST = 100.0
+_MIN_OBSERVATIONS = 3
+_EJECTION_FAILURES = 3
+_MAX_EJECTED_SHARE = 0.5
+_INITIAL_PAUSE = datetime.timedelta(seconds=5)
+_MAX_PAUSE = datetime.timedelta(seconds=60)
+_MAX_LATENCY_RATIO = 100.0
 
 
 @dataclasses.dataclass(slots=True)
 class _Server:
-    pace: float = 1.0
+    latency_ratio: float = 1.0
     observations: int = 0
     failures: int = 0
     ejected: bool = False
-    pause: datetime.timedelta = _FIRST_PAUSE
+    pause: datetime.timedelta = _INITIAL_PAUSE
     probe_at: datetime.timedelta = datetime.timedelta()
 
 
@@ -55,21 +55,25 @@
     def __init__(self) -> None:
         self._servers: dict[str, _Server] = {}
 
-    def observe(self, server: str, pace: float, now: datetime.timedelta) -> None:
+    def observe(
+        self, server: str, latency_ratio: float, now: datetime.timedelta
+    ) -> None:
         """Learn from an answer, or a part of one.
 
         Args:
             server: Who gave it.
-            pace: Time it took over the time expected of it.
+            latency_ratio: Time it took over the time expected of it.
             now: The time.
         """
         known = self._servers.setdefault(server, _Server())
-        pace = min(pace, _SLOWEST)
-        if known.observations == 0 or (known.ejected and pace < known.pace):
+        latency_ratio = min(latency_ratio, _MAX_LATENCY_RATIO)
+        if known.observations == 0 or (
+            known.ejected and latency_ratio < known.latency_ratio
+        ):
             # A good probe speaks for itself: the mean still holds the bad time.
-            known.pace = pace
+            known.latency_ratio = latency_ratio
         else:
-            known.pace += _MEMORY * (pace - known.pace)
+            known.latency_ratio += _GAIN * (latency_ratio - known.latency_ratio)
         known.observations += 1
         known.failures = 0
 
@@ -83,33 +87,38 @@
     def slowness(self, server: str, peers: abc.Collection[str]) -> float:
         """Return how many times slower a server is than its peers; at least 1."""
         known = self._servers.get(server)
-        if known is None or known.observations < _LEAST_OBSERVATIONS:
+        if known is None or known.observations < _MIN_OBSERVATIONS:
             return 1.0
-        paces = [
-            self._servers[peer].pace
+        ratios = [
+            self._servers[peer].latency_ratio
             for peer in peers
             if peer in self._servers and self._servers[peer].observations
         ]
-        if len(paces) < 2:
+        if len(ratios) < 2:
             return 1.0
-        return max(1.0, known.pace / max(statistics.median_low(paces), 1e-6))
+        return max(1.0, known.latency_ratio / max(statistics.median_low(ratios), 1e-6))
 
-    def judge(self, servers: abc.Collection[str], now: datetime.timedelta) -> None:
+    def update_ejections(
+        self, servers: abc.Collection[str], now: datetime.timedelta
+    ) -> None:
         """Eject the servers that are slow or fail, and take back those that mended."""
         slowness = {server: self.slowness(server, servers) for server in servers}
-        room = int(_EJECTED_SHARE * len(servers))
-        room -= sum(self.ejected(server) for server in servers)
+        ejections_left = int(_MAX_EJECTED_SHARE * len(servers))
+        ejections_left -= sum(self.ejected(server) for server in servers)
         for server in sorted(servers, key=lambda name: slowness[name], reverse=True):
             known = self._servers.get(server)
             if known is None:
                 continue
-            bad = slowness[server] >= _EJECTION_SLOWNESS or known.failures >= _FAILURES
+            unhealthy = (
+                slowness[server] >= _EJECTION_SLOWNESS
+                or known.failures >= _EJECTION_FAILURES
+            )
             if known.ejected:
                 if slowness[server] < _RETURN_SLOWNESS and known.failures == 0:
                     known.ejected = False
-                    known.pause = _FIRST_PAUSE
-            elif bad and room > 0:
-                room -= 1
+                    known.pause = _INITIAL_PAUSE
+            elif unhealthy and ejections_left > 0:
+                ejections_left -= 1
                 known.ejected = True
                 known.probe_at = now + known.pause
 
@@ -126,11 +135,11 @@
         """Note that a probe is sent; the next one waits longer."""
         self._postpone(self._servers[server], now)
 
-    def forget(self, servers: abc.Set[str]) -> None:
+    def retain(self, servers: abc.Set[str]) -> None:
         """Drop all servers but these, which are the document's."""
         for name in self._servers.keys() - servers:
             del self._servers[name]
 
     def _postpone(self, known: _Server, now: datetime.timedelta) -> None:
         known.probe_at = now + known.pause
-        known.pause = min(2 * known.pause, _LONGEST_PAUSE)
+        known.pause = min(2 * known.pause, _MAX_PAUSE)
--- a/src/pimentolatch/decisions/lanes.py
+++ b/src/pimentolatch/decisions/model_queues.py
@@ -9,10 +9,10 @@
 from collections import abc
 
 from pimentolatch import results
-from pimentolatch.decisions import admission, choice, fairness, work
+from pimentolatch.decisions import admission, choice, fair_queue, work
 from pimentolatch.document import schema
 
-__all__ = ["Held", "Lane", "Request"]
+__all__ = ["ModelQueue", "Request", "TrackedRequest"]
 
 _ZERO = datetime.timedelta()
 
@@ -36,12 +36,12 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Held:
+class TrackedRequest:
     """A request that waits or runs, with the work expected of it."""
 
     request: Request
     caller: schema.Caller | None
-    asked: work.Work
+    expected_work: work.Work
     units: float
     arrived: datetime.timedelta
     waits: admission.WaitCorrection
@@ -56,9 +56,9 @@
         """The caller's share relative to other callers."""
         return 1.0 if self.caller is None else self.caller.weight
 
-    def waiting(self, latest_start: datetime.timedelta) -> fairness.Waiting:
+    def queue_entry(self, latest_start: datetime.timedelta) -> fair_queue.QueuedRequest:
         """Return the request's entry in the queue."""
-        return fairness.Waiting(
+        return fair_queue.QueuedRequest(
             self.request.request_id,
             self.request.caller,
             self.units,
@@ -69,61 +69,68 @@
         )
 
 
-class Lane:
+class ModelQueue:
     """The queue of one model."""
 
     def __init__(self, first_rate: float) -> None:
-        self.queue = fairness.FairQueue()
+        self.queue = fair_queue.FairQueue()
         self.drain = admission.DrainRate(first_rate)
-        self.waits_if_hot = admission.WaitCorrection()
+        self.dominant_caller_waits = admission.WaitCorrection()
         self.waits = admission.WaitCorrection()
         self.runs = admission.RunCorrection()
-        self.returns = admission.ReturnTimes()
+        self.retry_times = admission.RetryTimes()
 
-    def waits_of(self, caller: str) -> admission.WaitCorrection:
+    def wait_correction_for(self, caller: str) -> admission.WaitCorrection:
         """Return how forecasts turn out for callers like this one.
 
         Who holds most of the queue waits for what the others go on sending; the
         others don't wait for what that one sends. One correction for both would
         refuse the others for the errors in its forecasts.
         """
-        hot = self.queue.units_of(caller) > self.queue.units / 2
-        return self.waits_if_hot if hot else self.waits
+        dominant = self.queue.units_of(caller) > self.queue.units / 2
+        return self.dominant_caller_waits if dominant else self.waits
 
     def forecast(
-        self, held: Held, found: abc.Sequence[choice.Candidate]
+        self, tracked: TrackedRequest, found: abc.Sequence[choice.Candidate]
     ) -> admission.Forecast:
         """Predict the wait and the run of a new request.
 
         Args:
-            held: The request; keeps what was predicted of it.
+            tracked: The request; keeps what was predicted of it.
             found: The engines that serve the model.
         """
-        before = self.queue.units_before(held.waiting(held.arrived))
+        before = self.queue.units_before(tracked.queue_entry(tracked.arrived))
         rate = max(1.0, self.drain.units_per_second)
-        held.predicted_wait = datetime.timedelta(seconds=before / rate)
+        tracked.predicted_wait = datetime.timedelta(seconds=before / rate)
         healthy = [one for one in found if not one.ejected] or found
         if len(self.queue):
-            times = [held.asked.run_time(e.engine, e.engine.streams) for e in healthy]
-            held.predicted_run = min(times, default=_ZERO)
-            run = self.runs.corrected(held.predicted_run)
+            times = [
+                tracked.expected_work.run_time(e.engine, e.engine.streams)
+                for e in healthy
+            ]
+            tracked.predicted_run = min(times, default=_ZERO)
+            run = self.runs.corrected(tracked.predicted_run)
         else:
-            run = min((one.finish(held.asked) for one in healthy), default=_ZERO)
-        wait = held.waits.corrected(held.predicted_wait)
+            run = min(
+                (one.finish(tracked.expected_work) for one in healthy), default=_ZERO
+            )
+        wait = tracked.waits.corrected(tracked.predicted_wait)
         return admission.Forecast(wait, run, len(self.queue))
 
-    def spread(
-        self, refusal: results.Refusal, held: Held, now: datetime.timedelta
+    def with_retry_time(
+        self, refusal: results.Refusal, tracked: TrackedRequest, now: datetime.timedelta
     ) -> results.Refusal:
         """Give a refused request its own time to come back."""
         if refusal.retry_after is None:
             return refusal
         rate = max(1.0, self.drain.units_per_second)
-        service = datetime.timedelta(seconds=held.units / rate)
-        after = self.returns.after(refusal.retry_after, service, now)
-        return dataclasses.replace(refusal, retry_after=after)
+        service = datetime.timedelta(seconds=tracked.units / rate)
+        delay = self.retry_times.after(refusal.retry_after, service, now)
+        return dataclasses.replace(refusal, retry_after=delay)
 
-    def late(self, held: Held, now: datetime.timedelta) -> results.Refusal:
+    def expired_refusal(
+        self, tracked: TrackedRequest, now: datetime.timedelta
+    ) -> results.Refusal:
         """Return the final answer of a request that waited in vain."""
         refusal = results.Refusal(
             results.ResultCode.OVERLOADED,
@@ -131,4 +138,4 @@
             results.Execution.NOT_RUN,
             _ZERO,
         )
-        return self.spread(refusal, held, now)
+        return self.with_retry_time(refusal, tracked, now)
--- a/src/pimentolatch/decisions/plain_routing.py
+++ b/src/pimentolatch/decisions/plain_routing.py
@@ -62,7 +62,7 @@
             and server.name not in avoid
         ]
         names = [server.name for server in able]
-        self._health.judge(names, now)
+        self._health.update_ejections(names, now)
         if repeatable and (probe := self._due_probe(able, now)):
             return probe
         return min(
@@ -81,7 +81,7 @@
 
     def forget(self, servers: abc.Set[str]) -> None:
         """Drop all servers but these, which are the document's."""
-        self._health.forget(servers)
+        self._health.retain(servers)
 
     def _due_probe(
         self, able: abc.Sequence[schema.PlainServer], now: datetime.timedelta
--- a/src/pimentolatch/decisions/limits.py
+++ b/src/pimentolatch/decisions/rate_limits.py
@@ -31,10 +31,10 @@
 
 __all__ = ["CallerLimits", "Exceeded", "Granted"]
 
-_EVEN_PART = 0.1
+_EVEN_SHARE = 0.1
 _DEMAND_MEMORY_S = 5.0
-_LEAST_RETRY_S = 0.1
-_SWEEP = datetime.timedelta(seconds=5)
+_MIN_RETRY_S = 0.1
+_SWEEP_INTERVAL = datetime.timedelta(seconds=5)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
         self._peers = peers
         self._instances = 1
         self._buckets: dict[str, _Bucket] = {}
-        self._swept = datetime.timedelta()
+        self._last_sweep = datetime.timedelta()
 
     @property
     def known_callers(self) -> int:
@@ -81,7 +81,7 @@
         """Set how many instances share the limits, this one and unheard ones too."""
         self._instances = max(1, instances)
 
-    def ask(
+    def check(
         self, caller: schema.Caller, units: float, now: datetime.timedelta
     ) -> Granted | Exceeded:
         """Tell whether a caller may bring work now; takes nothing yet."""
@@ -89,7 +89,7 @@
         bucket.demand += units / _DEMAND_MEMORY_S
         if bucket.level > 0:
             return Granted()
-        seconds = max(_LEAST_RETRY_S, -bucket.level / bucket.rate)
+        seconds = max(_MIN_RETRY_S, -bucket.level / bucket.rate)
         return Exceeded(datetime.timedelta(seconds=seconds))
 
     def charge(
@@ -105,20 +105,20 @@
         Callers within the part that everybody has anyway are left out.
         """
         self._sweep(now)
-        told = []
+        reported = []
         for caller, bucket in sorted(self._buckets.items()):
             demand = bucket.demand * _decay(now - bucket.at)
-            if demand > _EVEN_PART * bucket.limit / self._instances:
-                told.append(shares.CallerWork(caller, demand))
-        return tuple(told)
+            if demand > _EVEN_SHARE * bucket.limit / self._instances:
+                reported.append(shares.CallerWork(caller, demand))
+        return tuple(reported)
 
-    def part(self, caller: str, demand: float) -> float:
+    def local_share(self, caller: str, demand: float) -> float:
         """Return this instance's part of a caller's limit, from 0 to 1."""
-        heard = min(self._instances, 1 + self._peers.instances())
-        group = heard / self._instances
-        everywhere = demand + self._peers.caller(caller)
-        by_demand = demand / everywhere if everywhere > 0 else 1 / heard
-        return group * (_EVEN_PART / heard + (1 - _EVEN_PART) * by_demand)
+        reachable = min(self._instances, 1 + self._peers.instances())
+        group = reachable / self._instances
+        total_demand = demand + self._peers.caller(caller)
+        by_demand = demand / total_demand if total_demand > 0 else 1 / reachable
+        return group * (_EVEN_SHARE / reachable + (1 - _EVEN_SHARE) * by_demand)
 
     def _bucket(self, caller: schema.Caller, now: datetime.timedelta) -> _Bucket:
         bucket = self._buckets.get(caller.name)
@@ -128,28 +128,28 @@
             level = caller.burst_tokens / self._instances
             bucket = _Bucket(level, 0.0, now, 1.0, level, caller.tokens_per_second)
             self._buckets[caller.name] = bucket
-        passed = now - bucket.at
+        elapsed = now - bucket.at
         bucket.at = now
-        bucket.demand *= _decay(passed)
-        part = self.part(caller.name, bucket.demand)
+        bucket.demand *= _decay(elapsed)
+        share = self.local_share(caller.name, bucket.demand)
         bucket.limit = caller.tokens_per_second
-        bucket.rate = part * bucket.limit
-        bucket.size = max(part, 1 / self._instances) * caller.burst_tokens
-        filled = bucket.level + bucket.rate * passed.total_seconds()
+        bucket.rate = share * bucket.limit
+        bucket.size = max(share, 1 / self._instances) * caller.burst_tokens
+        filled = bucket.level + bucket.rate * elapsed.total_seconds()
         bucket.level = min(bucket.size, filled)
         return bucket
 
     def _sweep(self, now: datetime.timedelta) -> None:
-        if now - self._swept < _SWEEP:
+        if now - self._last_sweep < _SWEEP_INTERVAL:
             return
-        self._swept = now
+        self._last_sweep = now
         for caller, bucket in list(self._buckets.items()):
-            passed = now - bucket.at
-            filled = bucket.level + bucket.rate * passed.total_seconds()
-            demand = bucket.demand * _decay(passed)
+            elapsed = now - bucket.at
+            filled = bucket.level + bucket.rate * elapsed.total_seconds()
+            demand = bucket.demand * _decay(elapsed)
             if filled >= bucket.size and demand < 1.0:
                 del self._buckets[caller]
 
 
-def _decay(passed: datetime.timedelta) -> float:
-    return math.exp(-passed.total_seconds() / _DEMAND_MEMORY_S)
+def _decay(elapsed: datetime.timedelta) -> float:
+    return math.exp(-elapsed.total_seconds() / _DEMAND_MEMORY_S)
--- a/src/pimentolatch/decisions/repeat_budget.py
+++ b/src/pimentolatch/decisions/repeat_budget.py
@@ -19,7 +19,7 @@
 # may be counted by its server in the next.
 _USED_SHARE = 0.8
 # Instances that are reckoned with before any was heard: fleets of today have eight.
-_FIRST_INSTANCES = 8
+_ASSUMED_INSTANCES = 8
 
 
 class RepeatBudget:
@@ -37,23 +37,23 @@
         self._window = window
         self._requests: dict[str, collections.deque[datetime.timedelta]] = {}
         self._repeats: dict[str, collections.deque[datetime.timedelta]] = {}
-        self._shared_by = _FIRST_INSTANCES
+        self._instances = _ASSUMED_INSTANCES
 
-    def allow(self, ratio: float, slack: float, window: datetime.timedelta) -> None:
+    def configure(self, ratio: float, slack: float, window: datetime.timedelta) -> None:
         """Change the bound; what was counted stays counted."""
         self._ratio = ratio
         self._slack = slack
         self._window = window
 
-    def share_with(self, instances: int) -> None:
+    def set_instances(self, instances: int) -> None:
         """Divide the slack by the instances that live, this one included.
 
         Instances that were heard once count on: one that is cut off spends its part
         all the same.
         """
-        self._shared_by = max(instances, self._shared_by)
+        self._instances = max(instances, self._instances)
 
-    def arrived(self, service: str, now: datetime.timedelta) -> None:
+    def count_request(self, service: str, now: datetime.timedelta) -> None:
         """Count a request for a service."""
         self._recent(self._requests, service, now).append(now)
 
@@ -61,7 +61,7 @@
         """Take one repeat; False if the window holds as many as are allowed."""
         requests = len(self._recent(self._requests, service, now))
         repeats = self._recent(self._repeats, service, now)
-        allowed = self._ratio * requests + self._slack / self._shared_by
+        allowed = self._ratio * requests + self._slack / self._instances
         if len(repeats) + 1 > _USED_SHARE * allowed:
             return False
         repeats.append(now)
@@ -69,11 +69,11 @@
 
     def _recent(
         self,
-        table: dict[str, collections.deque[datetime.timedelta]],
+        times_by_service: dict[str, collections.deque[datetime.timedelta]],
         service: str,
         now: datetime.timedelta,
     ) -> collections.deque[datetime.timedelta]:
-        times = table.setdefault(service, collections.deque())
+        times = times_by_service.setdefault(service, collections.deque())
         while times and now - times[0] > self._window:
             times.popleft()
         return times
--- a/src/pimentolatch/decisions/retries.py
+++ b/src/pimentolatch/decisions/retries.py
@@ -22,23 +22,23 @@
 
 __all__ = ["RetryBudget"]
 
-_SAVED_AT_FIRST = 32.0
-_MOST_SAVED = 100.0
+_INITIAL_BALANCE = 32.0
+_MAX_BALANCE = 100.0
 
 
 class RetryBudget:
     """Retries that may be spent."""
 
     def __init__(self) -> None:
-        self._saved = _SAVED_AT_FIRST
+        self._balance = _INITIAL_BALANCE
 
     def succeeded(self, share: float) -> None:
         """Save the document's share of a retry for a success."""
-        self._saved = min(_MOST_SAVED, self._saved + share)
+        self._balance = min(_MAX_BALANCE, self._balance + share)
 
     def spend(self) -> bool:
         """Take one retry; False if there is none left."""
-        if self._saved < 1:
+        if self._balance < 1:
             return False
-        self._saved -= 1
+        self._balance -= 1
         return True
--- a/src/pimentolatch/decisions/routing.py
+++ b/src/pimentolatch/decisions/routing.py
@@ -116,7 +116,7 @@
         engines = self.engines(view, model)
         whole = [e for e in engines if role_of(view, e) != "prefill"]
         names = [engine.name for engine in whole or engines]
-        self._health.judge(names, now)
+        self._health.update_ejections(names, now)
         cached = self._prefixes.cached_tokens(prompt, now)
         return [
             self._candidate(engine, names, cached.get(engine.name, 0), now)
--- a/src/pimentolatch/decisions/doubt.py
+++ b/src/pimentolatch/decisions/stall_check.py
@@ -18,13 +18,13 @@
 
 from pimentolatch.routes import reports
 
-__all__ = ["ASK_AGAIN", "FRESH", "Verdict", "judge"]
+__all__ = ["MAX_REPORT_AGE", "RECHECK_INTERVAL", "Verdict", "request_status"]
 
 # A request whose engine works on it is looked at again after this; engines' reports are
 # some hundred milliseconds old.
-ASK_AGAIN = datetime.timedelta(milliseconds=900)
+RECHECK_INTERVAL = datetime.timedelta(milliseconds=900)
 # One report serves all requests that doubt the same engine.
-FRESH = datetime.timedelta(milliseconds=300)
+MAX_REPORT_AGE = datetime.timedelta(milliseconds=300)
 
 
 class Verdict(enum.Enum):
@@ -36,7 +36,7 @@
     SILENT = "the engine answers nobody"
 
 
-def judge(
+def request_status(
     report: reports.EngineReport | None, request_id: str, born: int | None = None
 ) -> Verdict:
     """Return what has become of a request that an engine has not answered.
--- a/src/pimentolatch/decisions/urgency.py
+++ b/src/pimentolatch/decisions/urgency.py
@@ -22,9 +22,9 @@
 
 # Engines know ten urgencies, 0 first: three places for each of the first three ranks.
 LEVELS = 10
-_PLACES = 3
-_ON_TIME, _LATE_LARGE, _LATE = range(_PLACES)
-_LATE_SHARE = 0.35
+_LEVELS_PER_RANK = 3
+_ON_TIME, _LATE_LARGE, _LATE = range(_LEVELS_PER_RANK)
+_PROMOTED_SHARE = 0.35
 
 
 def level_of(rank: int, *, late: bool, large: bool, lot: float) -> int:
@@ -38,7 +38,7 @@
             largest would be served least, since their lots went to the others.
         lot: Drawn evenly from 0 to 1 for the request.
     """
-    place = _LATE_LARGE if large else _LATE
-    if not late or (large and lot < _LATE_SHARE):
-        place = _ON_TIME
-    return min(LEVELS - 1, _PLACES * rank + place)
+    offset = _LATE_LARGE if large else _LATE
+    if not late or (large and lot < _PROMOTED_SHARE):
+        offset = _ON_TIME
+    return min(LEVELS - 1, _LEVELS_PER_RANK * rank + offset)
--- a/src/pimentolatch/decisions/usage.py
+++ b/src/pimentolatch/decisions/usage.py
@@ -19,28 +19,28 @@
 from collections import abc
 
 __all__ = [
-    "KEPT_WINDOWS",
+    "RETAINED_WINDOWS",
     "Origin",
     "Row",
     "Total",
-    "UsageBook",
+    "UsageCounter",
     "window_end",
     "window_of",
 ]
 
 # Windows that are remembered: the running one and those whose report may be due yet.
-KEPT_WINDOWS = 4
+RETAINED_WINDOWS = 4
 # A request is counted in the window in which it began, which is known when its server
 # has answered. Nearly all that are answered whole are within this time.
-_SETTLED_AFTER = datetime.timedelta(milliseconds=1800)
+_FINAL_AFTER = datetime.timedelta(milliseconds=1800)
 # How long after its end a window waits for instances that are not heard. Reports are
 # due five seconds after the next window's end; two of them are left to whoever takes
 # over from a reporter that ends.
-_LONGEST_WAIT = datetime.timedelta(seconds=7)
+_MAX_REPORT_DELAY = datetime.timedelta(seconds=7)
 # How long whoever has just begun to report hears the others first, each of which tells
 # its counts every second once it knows the new holder. Taken at once, the few counts
 # that a neighbour of some had kept would pass for those of all.
-_HEARD_ALL = datetime.timedelta(seconds=4)
+_COLLECTION_TIME = datetime.timedelta(seconds=4)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
     """One life of an instance."""
 
     instance: str
-    life: str
+    incarnation: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Heard:
+class _Received:
     final: bool = False
     total: int = 0
     counts: collections.Counter[str] = dataclasses.field(
@@ -112,7 +112,7 @@
     return datetime.datetime.fromtimestamp(seconds, datetime.UTC)
 
 
-class UsageBook:
+class UsageCounter:
     """What one instance has counted, and what it has heard of others.
 
     Args:
@@ -127,11 +127,11 @@
         self._own = own
         self._length = length
         self._first = window_of(now, length)
-        self._windows: dict[int, dict[Origin, _Heard]] = {}
+        self._windows: dict[int, dict[Origin, _Received]] = {}
 
-    def began(self, customer: str, moment: datetime.datetime) -> bool:
+    def count_started(self, customer: str, moment: datetime.datetime) -> bool:
         """Count a request that began; False if its window has settled already."""
-        own = self._heard(window_of(moment, self._length), self._own)
+        own = self._counts_of(window_of(moment, self._length), self._own)
         if own.final:
             return False
         own.counts[customer] += 1
@@ -141,26 +141,28 @@
     def own_rows(self, now: datetime.datetime) -> list[Row]:
         """Return what is to be told of this instance, the newest window first."""
         newest = window_of(now, self._length)
-        self._forget_before(newest - KEPT_WINDOWS + 1)
+        self._remove_before(newest - RETAINED_WINDOWS + 1)
         rows = []
-        for window in range(newest, max(newest - KEPT_WINDOWS, self._first - 1), -1):
-            heard = self._heard(window, self._own)
-            settled = window_end(window, self._length) + _SETTLED_AFTER
-            heard.final = heard.final or now >= settled
-            rows.append(_row(self._own, window, heard))
+        for window in range(
+            newest, max(newest - RETAINED_WINDOWS, self._first - 1), -1
+        ):
+            received = self._counts_of(window, self._own)
+            final_at = window_end(window, self._length) + _FINAL_AFTER
+            received.final = received.final or now >= final_at
+            rows.append(_row(self._own, window, received))
         return rows
 
-    def take(self, row: Row) -> None:
+    def merge(self, row: Row) -> None:
         """Take what an instance tells, of itself or of one that is gone."""
         if row.origin != self._own:
-            self._heard(row.window, row.origin).merge(row)
+            self._counts_of(row.window, row.origin).merge(row)
 
-    def rows_of_ended(self, live: abc.Container[str]) -> list[Row]:
+    def rows_of_terminated(self, live: abc.Container[str]) -> list[Row]:
         """Return what was heard of instances that are no longer."""
         return [
-            _row(origin, window, heard)
-            for window, found in self._windows.items()
-            for origin, heard in found.items()
+            _row(origin, window, received)
+            for window, by_origin in self._windows.items()
+            for origin, received in by_origin.items()
             if origin != self._own and origin.instance not in live
         ]
 
@@ -182,31 +184,33 @@
             since: When this instance began to report.
         """
         end = window_end(window, self._length)
-        heard_from = since + _HEARD_ALL
-        if now < max(end + _SETTLED_AFTER, heard_from):
+        collected_at = since + _COLLECTION_TIME
+        if now < max(end + _FINAL_AFTER, collected_at):
             return None
-        found = self._windows.get(window)
-        if not found:
+        by_origin = self._windows.get(window)
+        if not by_origin:
             return None
         before = self._windows.get(window - 1, {})
-        complete = {o.instance for o, heard in found.items() if heard.complete}
-        expected = {origin.instance for origin in (*found, *before)} | set(live)
+        complete = {
+            o.instance for o, received in by_origin.items() if received.complete
+        }
+        expected = {origin.instance for origin in (*by_origin, *before)} | set(live)
         missing = tuple(sorted(expected - complete))
-        if missing and now < end + _LONGEST_WAIT:
+        if missing and now < end + _MAX_REPORT_DELAY:
             return None
         counts: collections.Counter[str] = collections.Counter()
-        for heard in found.values():
-            counts.update(heard.counts)
+        for received in by_origin.values():
+            counts.update(received.counts)
         return Total(tuple(sorted((+counts).items())), missing)
 
-    def _heard(self, window: int, origin: Origin) -> _Heard:
-        return self._windows.setdefault(window, {}).setdefault(origin, _Heard())
+    def _counts_of(self, window: int, origin: Origin) -> _Received:
+        return self._windows.setdefault(window, {}).setdefault(origin, _Received())
 
-    def _forget_before(self, window: int) -> None:
+    def _remove_before(self, window: int) -> None:
         for number in [n for n in self._windows if n < window]:
             del self._windows[number]
 
 
-def _row(origin: Origin, window: int, heard: _Heard) -> Row:
-    counts = tuple(sorted(heard.counts.items()))
-    return Row(origin, window, heard.final, heard.total, counts)
+def _row(origin: Origin, window: int, received: _Received) -> Row:
+    counts = tuple(sorted(received.counts.items()))
+    return Row(origin, window, received.final, received.total, counts)
--- a/src/pimentolatch/decisions/accounts.py
+++ b/src/pimentolatch/decisions/work_accounting.py
@@ -10,13 +10,13 @@
 from collections import abc
 
 from pimentolatch import results
-from pimentolatch.decisions import lanes, limits, shares, work
+from pimentolatch.decisions import model_queues, rate_limits, shares, work
 from pimentolatch.document import schema
 
-__all__ = ["Accounts"]
+__all__ = ["WorkAccounting"]
 
 
-class Accounts:
+class WorkAccounting:
     """Expected and charged work of callers.
 
     Args:
@@ -24,7 +24,7 @@
     """
 
     def __init__(self, peers: shares.PeerShares) -> None:
-        self._limits = limits.CallerLimits(peers)
+        self._rate_limits = rate_limits.CallerLimits(peers)
         self._estimates = work.OutputEstimates()
         self._callers: dict[str, schema.Caller] = {}
 
@@ -34,64 +34,71 @@
 
     def set_instances(self, instances: int) -> None:
         """Set how many instances share the limits."""
-        self._limits.set_instances(instances)
+        self._rate_limits.set_instances(instances)
 
     def shares(self, now: datetime.timedelta) -> tuple[shares.CallerWork, ...]:
         """Return the demands that peers need to know."""
-        return self._limits.shares(now)
+        return self._rate_limits.shares(now)
 
-    def expected(
+    def track(
         self,
-        request: lanes.Request,
-        lane: lanes.Lane,
+        request: model_queues.Request,
+        queue: model_queues.ModelQueue,
         engines: abc.Sequence[schema.Engine],
         now: datetime.timedelta,
-    ) -> lanes.Held:
+    ) -> model_queues.TrackedRequest:
         """Return a new request with the work expected of it."""
         prompt = work.prompt_tokens(request.prompt)
         output = self._estimates.expected(
             request.caller, request.model, prompt, request.max_tokens
         )
-        asked = work.Work(prompt, output)
-        units = asked.units(work.output_weight(engines))
+        estimate = work.Work(prompt, output)
+        units = estimate.units(work.output_weight(engines))
         caller = self._callers.get(request.caller)
-        waits = lane.waits_of(request.caller)
-        return lanes.Held(request, caller, asked, units, now, waits)
+        correction = queue.wait_correction_for(request.caller)
+        return model_queues.TrackedRequest(
+            request, caller, estimate, units, now, correction
+        )
 
-    def over_limit(
-        self, held: lanes.Held, now: datetime.timedelta
+    def check_limit(
+        self, tracked: model_queues.TrackedRequest, now: datetime.timedelta
     ) -> results.Refusal | None:
         """Return the refusal of a caller that is over its limit, or None."""
-        if held.caller is None:
+        if tracked.caller is None:
             return None
-        answer = self._limits.ask(held.caller, held.units, now)
-        if isinstance(answer, limits.Granted):
+        answer = self._rate_limits.check(tracked.caller, tracked.units, now)
+        if isinstance(answer, rate_limits.Granted):
             return None
         return results.Refusal(
             results.ResultCode.CALLER_LIMIT,
-            f"the caller {held.caller.name} is over its limit",
+            f"the caller {tracked.caller.name} is over its limit",
             results.Execution.NOT_RUN,
             answer.retry_after,
         )
 
-    def charge(self, held: lanes.Held, units: float, now: datetime.timedelta) -> None:
+    def charge(
+        self,
+        tracked: model_queues.TrackedRequest,
+        units: float,
+        now: datetime.timedelta,
+    ) -> None:
         """Charge a caller for work; negative units give some back."""
-        if held.caller is not None:
-            self._limits.charge(held.caller, units, now)
+        if tracked.caller is not None:
+            self._rate_limits.charge(tracked.caller, units, now)
 
     def settle(
         self,
-        held: lanes.Held,
-        lane: lanes.Lane,
+        tracked: model_queues.TrackedRequest,
+        queue: model_queues.ModelQueue,
         tokens: int,
         now: datetime.timedelta,
     ) -> None:
         """Learn from a whole answer and charge what it was beyond expectation."""
-        request, asked = held.request, held.asked
+        request, estimate = tracked.request, tracked.expected_work
         self._estimates.observe(
-            request.caller, request.model, asked.prompt_tokens, tokens
+            request.caller, request.model, estimate.prompt_tokens, tokens
         )
-        weight = (held.units - asked.prompt_tokens) / asked.output_tokens
-        more = weight * (tokens - asked.output_tokens)
-        lane.queue.settle(request.caller, more, held.weight)
-        self.charge(held, more, now)
+        weight = (tracked.units - estimate.prompt_tokens) / estimate.output_tokens
+        difference = weight * (tokens - estimate.output_tokens)
+        queue.queue.settle(request.caller, difference, tracked.weight)
+        self.charge(tracked, difference, now)
--- a/src/pimentolatch/gateway/attempt.py
+++ b/src/pimentolatch/gateway/attempt.py
@@ -4,7 +4,7 @@
 import datetime
 
 from pimentolatch import clock, results, settings
-from pimentolatch.decisions import engine_loads, places, prompt_sizes, waiting
+from pimentolatch.decisions import engine_loads, places, prompt_sizes, wait_policy
 from pimentolatch.gateway import (
     cache_updates,
     doubting,
@@ -207,7 +207,7 @@
     """Return when the client leaves if it sees no further event."""
     since = asked.arrived if progress.event_at is None else progress.event_at
     route = asked.route
-    gap = waiting.client_gap(route.latency_target, route.pause_target)
+    gap = wait_policy.client_timeout(route.latency_target, route.pause_target)
     return min(asked.until, since + gap)
 
 
--- a/src/pimentolatch/gateway/doubting.py
+++ b/src/pimentolatch/gateway/doubting.py
@@ -6,7 +6,7 @@
 from collections import abc
 
 from pimentolatch import clock
-from pimentolatch.decisions import doubt, engine_loads
+from pimentolatch.decisions import engine_loads, stall_check
 from pimentolatch.gateway import request_log, sending
 from pimentolatch.platform import engines
 from pimentolatch.routes import reports, servers
@@ -36,14 +36,14 @@
 
     async def verdict(
         self, engine: engine_loads.EngineLoad, request_id: str
-    ) -> doubt.Verdict:
+    ) -> stall_check.Verdict:
         """Ask an engine what has become of a request."""
         report = await self._report(engine.server)
-        verdict = doubt.judge(report, request_id, engine.server.born)
+        verdict = stall_check.request_status(report, request_id, engine.server.born)
         self._request_log.write(
             request_log.DOUBTED,
             request_id,
-            wrong=verdict is not doubt.Verdict.HAS_IT,
+            wrong=verdict is not stall_check.Verdict.HAS_IT,
             server=engine.server.server_id,
             verdict=verdict.value,
             queued=None if report is None else report.queued,
@@ -68,11 +68,12 @@
                 if task.done():
                     break
                 verdict = await self.verdict(engine, request_id)
-                if verdict is not doubt.Verdict.HAS_IT and not task.done():
+                if verdict is not stall_check.Verdict.HAS_IT and not task.done():
                     return sending.Broken(
-                        verdict.value, server_ended=verdict is not doubt.Verdict.LOST
+                        verdict.value,
+                        server_ended=verdict is not stall_check.Verdict.LOST,
                     )
-                limit = doubt.ASK_AGAIN
+                limit = stall_check.RECHECK_INTERVAL
             return task.result()
         finally:
             task.cancel()
@@ -80,7 +81,7 @@
     async def _report(self, server: servers.Server) -> reports.EngineReport | None:
         now = self._clock.monotonic()
         at, asked = self._asked.get(server.incarnation, (now, None))
-        if asked is None or (asked.done() and now - at > doubt.FRESH):
+        if asked is None or (asked.done() and now - at > stall_check.MAX_REPORT_AGE):
             self._asked = {n: a for n, a in self._asked.items() if not a[1].done()}
             asked = asyncio.create_task(self._ask(server))
             self._asked[server.incarnation] = now, asked
--- a/src/pimentolatch/gateway/duties.py
+++ b/src/pimentolatch/gateway/duties.py
@@ -101,7 +101,7 @@
     ) -> None:
         name, own = self._settings.instance, self._settings.peers
         length = datetime.timedelta(seconds=chosen.usage_window_s)
-        book = usage.UsageBook(usage.Origin(name, life), length, self._clock.now())
+        book = usage.UsageCounter(usage.Origin(name, life), length, self._clock.now())
         self._exchange = usage_exchange.UsageExchange(
             own.usage_address, book, self._peers, self.tenure, self._clock
         )
--- a/src/pimentolatch/gateway/face.py
+++ b/src/pimentolatch/gateway/face.py
@@ -110,7 +110,7 @@
             return
         if asked is None:
             return
-        self._budget.arrived(asked.service.name, arrived)
+        self._budget.count_request(asked.service.name, arrived)
         if (refusal := self._permission.refusal(asked)) is not None:
             await answer.refuse(refusal)
             self._log_answer(asked, answer)
@@ -134,7 +134,7 @@
         route = configuration.select(head.host, path)
         if route is None:
             return refusals.no_route(head.host, path)
-        allowed = access.decide(
+        allowed = access.authorize(
             configuration, route, head.keys, current=not self._known.store_lost
         )
         if isinstance(allowed, access.Denial):
--- a/src/pimentolatch/gateway/generation.py
+++ b/src/pimentolatch/gateway/generation.py
@@ -9,7 +9,7 @@
     places,
     prompt_sizes,
     repeat_budget,
-    waiting,
+    wait_policy,
 )
 from pimentolatch.gateway import (
     attempt,
@@ -125,7 +125,7 @@
             await answer.refuse(refusals.deadline_passed())
         else:
             await answer.refuse(
-                refusals.not_run_in_time(waiting.retry_after(placing.lot(asked)))
+                refusals.not_run_in_time(wait_policy.retry_after(placing.lot(asked)))
             )
 
     async def _try(
@@ -148,7 +148,7 @@
         if source is None:
             return False
         if isinstance(source, sending.TakenBack):
-            progress.wait = waiting.retry_after(placing.lot(asked))
+            progress.wait = wait_policy.retry_after(placing.lot(asked))
             return await self._give_up(answer, progress)
         try:
             return await self._hand_over(asked, answer, progress, place, source)
@@ -179,7 +179,7 @@
             if await self._refused(asked, answer, progress):
                 return True
             if writer is None:
-                progress.wait = waiting.retry_after(placing.lot(asked))
+                progress.wait = wait_policy.retry_after(placing.lot(asked))
             if writer is None or not self._may_send(asked, progress):
                 return await self._give_up(answer, progress)
             chosen = dataclasses.replace(place, engine=writer)
--- a/src/pimentolatch/gateway/permission.py
+++ b/src/pimentolatch/gateway/permission.py
@@ -28,9 +28,9 @@
         """
         verdict = self._suspects.verdict(asked)
         if verdict is not None:
-            return results.quarantined(verdict.left)
+            return results.quarantined(verdict.remaining)
         configuration = self._known.configuration
-        if configuration is None or access.holds(
+        if configuration is None or access.still_authorized(
             configuration, asked.head.keys, asked.access.customer
         ):
             return None
--- a/src/pimentolatch/gateway/placing.py
+++ b/src/pimentolatch/gateway/placing.py
@@ -9,7 +9,7 @@
     places,
     prompt_sizes,
     subset,
-    waiting,
+    wait_policy,
 )
 from pimentolatch.gateway import attempt, inbound, request_log
 from pimentolatch.routes import servers
@@ -51,7 +51,7 @@
         while isinstance(place, places.NoEngine):
             if not listed or not await self.wait(asked, progress):
                 self._log_wait(asked, since, in_vain=True)
-                return places.Hopeless(waiting.retry_after(lot(asked)))
+                return places.Hopeless(wait_policy.retry_after(lot(asked)))
             place = self._choose(asked, progress, self._context.clock.monotonic())
         self._log_wait(asked, since, in_vain=False)
         return place
@@ -74,11 +74,11 @@
     async def wait(self, asked: inbound.Inbound, progress: attempt.Progress) -> bool:
         """Wait before looking for an engine again; False if there is no time left."""
         left = attempt.leaves_at(asked, progress) - self._context.clock.monotonic()
-        if not waiting.may_wait(left, self._waiting):
+        if not wait_policy.may_wait(left, self._waiting):
             return False
         self._waiting += 1
         try:
-            pause = waiting.look_again(asked.rank, lot(asked))
+            pause = wait_policy.recheck_interval(asked.rank, lot(asked))
             await self._context.clock.sleep(pause)
         finally:
             self._waiting -= 1
--- a/src/pimentolatch/gateway/process.py
+++ b/src/pimentolatch/gateway/process.py
@@ -267,7 +267,7 @@
         )
         self._quarantine.apply(after.quarantine.policy)
         bounds = after.bounds
-        self._budget.allow(
+        self._budget.configure(
             bounds.repeat_ratio,
             bounds.repeat_slack,
             datetime.timedelta(seconds=bounds.repeat_window_s),
@@ -281,7 +281,7 @@
     async def _share_budget(self) -> None:
         """Divide the common slack of repeats by the instances of the fleet."""
         while True:
-            self._budget.share_with(self._peer_table.instances)
+            self._budget.set_instances(self._peer_table.instances)
             await self._clock.sleep(_BUDGET_INTERVAL)
 
     async def stop(self) -> None:
--- a/src/pimentolatch/gateway/quarantine.py
+++ b/src/pimentolatch/gateway/quarantine.py
@@ -8,7 +8,7 @@
 import logbook
 
 from pimentolatch import clock
-from pimentolatch.decisions import crash_evidence, crash_news, crash_suspects
+from pimentolatch.decisions import crash_evidence, crash_notices, crash_suspects
 from pimentolatch.gateway import inbound
 from pimentolatch.protocol import beacons
 from pimentolatch.requests import digests
@@ -42,8 +42,8 @@
     def __init__(self, policy: crash_suspects.Policy, time: clock.Clock) -> None:
         self._suspects = crash_suspects.CrashSuspects(policy)
         self._clock = time
-        self._near = crash_news.CrashNews(_TIMES_TOLD)
-        self._far = crash_news.CrashNews(_TIMES_TOLD)
+        self._near = crash_notices.CrashNoticeQueue(_TIMES_TOLD)
+        self._far = crash_notices.CrashNoticeQueue(_TIMES_TOLD)
         self._turn = 0
         self._logged: set[digests.RequestDigest] = set()
         self.partly_heard = False
@@ -63,17 +63,19 @@
 
     def is_suspect(self, asked: inbound.Inbound) -> bool:
         """Tell whether servers have ended under a request."""
-        return self._suspects.crashes(asked.digest) > 0
+        return self._suspects.crash_count(asked.digest) > 0
 
     def avoided(
         self, asked: inbound.Inbound, candidates: typing.Iterable[servers.Server]
     ) -> frozenset[servers.Incarnation]:
         """Return the servers that a request leaves to others while it is a suspect."""
-        crashes = self._suspects.crashes(asked.digest)
+        crashes = self._suspects.crash_count(asked.digest)
         if not crashes:
             return frozenset()
         found = {server.incarnation for server in candidates}
-        return frozenset(found) - crash_suspects.own_part(asked.digest, crashes, found)
+        return frozenset(found) - crash_suspects.suspect_subset(
+            asked.digest, crashes, found
+        )
 
     def server_ended(
         self,
@@ -89,10 +91,10 @@
             begun: When the request was sent there. One that was sent to a server which
                 had ended already, over a kept connection, has not ended it.
         """
-        if self._suspects.has_ended(server.incarnation, begun):
+        if self._suspects.has_crashed(server.incarnation, begun):
             return
         now = self._clock.monotonic()
-        pair = crash_evidence.Suspicion(
+        pair = crash_evidence.SuspectedCrash(
             asked.digest, server.incarnation, False, now, now - begun
         )
         known = self._suspects.add(pair, now)
@@ -109,19 +111,19 @@
 
     def take_near(self) -> tuple[beacons.Suspicion, ...]:
         """Return what near peers are to be told."""
-        news = self._near.take(_TOLD, self._suspects.crashes)
+        news = self._near.take(_TOLD, self._suspects.crash_count)
         return self._rows(news + self._in_turn())
 
     def take_far(self) -> tuple[beacons.Suspicion, ...]:
         """Return what peers of other failure domains are to be told."""
-        news = self._far.take(_TOLD, self._suspects.crashes)
+        news = self._far.take(_TOLD, self._suspects.crash_count)
         return self._rows(news + self._in_turn())
 
     def take(self, told: typing.Iterable[beacons.Suspicion]) -> None:
         """Take what a peer tells."""
         now = self._clock.monotonic()
         pairs = [
-            crash_evidence.Suspicion(
+            crash_evidence.SuspectedCrash(
                 row.digest,
                 row.server,
                 row.cleared,
@@ -146,17 +148,17 @@
     def review_once(self) -> None:
         """Drop what has expired and log what has changed."""
         now = self._clock.monotonic()
-        self._suspects.forget_old(now)
+        self._suspects.remove_expired(now)
         self._log_changes(self._suspects.quarantined(now))
 
-    def _tell(self, pairs: typing.Iterable[crash_evidence.Suspicion]) -> None:
+    def _tell(self, pairs: typing.Iterable[crash_evidence.SuspectedCrash]) -> None:
         for pair in pairs:
             self._near.add(pair)
             self._far.add(pair)
 
-    def _in_turn(self) -> list[crash_evidence.Suspicion]:
+    def _in_turn(self) -> list[crash_evidence.SuspectedCrash]:
         """Return some requests with all their pairs, others each time."""
-        serious = self._suspects.serious()
+        serious = self._suspects.repeated_crashes()
         if not serious:
             return []
         self._turn += _SERIOUS_TOLD
@@ -164,7 +166,7 @@
         return [pair for number in chosen for pair in serious[number]]
 
     def _rows(
-        self, pairs: typing.Iterable[crash_evidence.Suspicion]
+        self, pairs: typing.Iterable[crash_evidence.SuspectedCrash]
     ) -> tuple[beacons.Suspicion, ...]:
         now = self._clock.monotonic()
         # Rounded up: an age that shrank on each way would never expire.
@@ -174,8 +176,8 @@
                 pair.server,
                 pair.cleared,
                 max(0, math.ceil((now - pair.at) / _MILLISECOND)),
-                math.ceil(pair.lasted / _MILLISECOND),
-                pair.server_lives,
+                math.ceil(pair.ran_for / _MILLISECOND),
+                pair.server_alive,
             )
             for pair in pairs
         )
@@ -190,7 +192,7 @@
             _log.warn(
                 "request quarantined",
                 digest=digests.digest_text(digest),
-                servers=[server.server_id for server in verdict.ended],
-                for_s=round(verdict.left.total_seconds()),
+                servers=[server.server_id for server in verdict.crashed_servers],
+                for_s=round(verdict.remaining.total_seconds()),
             )
         self._logged = set(found)
--- a/src/pimentolatch/gateway/reading.py
+++ b/src/pimentolatch/gateway/reading.py
@@ -5,7 +5,7 @@
 
 import logbook
 
-from pimentolatch.decisions import engine_loads, places, waiting
+from pimentolatch.decisions import engine_loads, places, wait_policy
 from pimentolatch.gateway import attempt, inbound, sending
 from pimentolatch.platform import engines, heads
 
@@ -88,7 +88,7 @@
         before, the client has that promise and a time to come back.
         """
         leaves_at = attempt.leaves_at(asked, progress)
-        limit = waiting.refused_at(leaves_at) - self._context.clock.monotonic()
+        limit = wait_policy.refusal_time(leaves_at) - self._context.clock.monotonic()
         try:
             async with asyncio.timeout(limit.total_seconds()):
                 return await self._context.doubts.until_doubtful(
--- a/src/pimentolatch/gateway/usage_exchange.py
+++ b/src/pimentolatch/gateway/usage_exchange.py
@@ -48,7 +48,7 @@
     def __init__(
         self,
         address: settings.Address,
-        book: usage.UsageBook,
+        book: usage.UsageCounter,
         peers: peer_table.PeerTable,
         held: tenure.Tenure,
         time: clock.Clock,
@@ -61,7 +61,7 @@
 
     def began(self, customer: str | None, moment: datetime.datetime) -> None:
         """See `UsageCounter.began`."""
-        if customer is not None and not self._book.began(customer, moment):
+        if customer is not None and not self._book.count_started(customer, moment):
             _log.warn("began in a window that has settled", customer=customer)
 
     async def run(self) -> None:
@@ -78,7 +78,7 @@
         told = set(self._keepers(live))
         if holder is not None and holder != self._address.host:
             told.add(holder)
-            ended = self._book.rows_of_ended(_names(live))
+            ended = self._book.rows_of_terminated(_names(live))
             self.send({holder}, _datagrams(ended))
         self.send(told, _datagrams(own))
 
@@ -88,7 +88,7 @@
         if isinstance(row, usage_rows.Malformed):
             _log.warn("datagram dropped", sender=addr[0], reason=row.reason)
             return
-        self._book.take(row)
+        self._book.merge(row)
 
     def _keepers(self, live: abc.Iterable[peer_table.Peer]) -> list[str]:
         """Return the neighbours that keep this instance's counts."""
--- a/src/pimentolatch/gateway/usage_reports.py
+++ b/src/pimentolatch/gateway/usage_reports.py
@@ -57,7 +57,7 @@
         self,
         holder: str,
         length: datetime.timedelta,
-        book: usage.UsageBook,
+        book: usage.UsageCounter,
         peers: peer_table.PeerTable,
         held: tenure.Tenure,
         source: objects.ObjectStore,
@@ -88,7 +88,7 @@
     async def look(self) -> bool:
         """Report what is complete; False if a call was not accepted."""
         newest = usage.window_of(self._clock.now(), self._length)
-        counted = range(newest - usage.KEPT_WINDOWS + 1, newest)
+        counted = range(newest - usage.RETAINED_WINDOWS + 1, newest)
         oldest = newest - _KEPT + 1
         self._accepted = {window for window in self._accepted if window >= oldest}
         self._unanswered = {window for window in self._unanswered if window >= oldest}
--- a/src/pimentolatch/gateway/writing.py
+++ b/src/pimentolatch/gateway/writing.py
@@ -4,7 +4,7 @@
 import datetime
 
 from pimentolatch.backend import channel
-from pimentolatch.decisions import doubt, places
+from pimentolatch.decisions import places, stall_check
 from pimentolatch.gateway import attempt, events, inbound, sending
 from pimentolatch.platform import heads
 
@@ -211,9 +211,9 @@
                 verdict = await self._context.doubts.verdict(
                     writing.place.engine, asked.request_id
                 )
-            if verdict is not doubt.Verdict.HAS_IT:
+            if verdict is not stall_check.Verdict.HAS_IT:
                 raise channel.BrokenError(f"in its stream, {verdict.value}")
-            limit = doubt.ASK_AGAIN
+            limit = stall_check.RECHECK_INTERVAL
 
     def _learn(self, writing: attempt.Writing, since: datetime.timedelta) -> None:
         """Note the first event, and the pauses after it."""
--- a/src/pimentolatch/protocol/usage_rows.py
+++ b/src/pimentolatch/protocol/usage_rows.py
@@ -50,5 +50,12 @@
 
 def _encode_part(row: usage.Row, counts: abc.Sequence[tuple[str, int]]) -> bytes:
     origin = row.origin
-    head = [_VERSION, origin.instance, origin.life, row.window, row.final, row.total]
+    head = [
+        _VERSION,
+        origin.instance,
+        origin.incarnation,
+        row.window,
+        row.final,
+        row.total,
+    ]
     return cbor2.dumps([*head, [list(pair) for pair in counts]])
--- a/src/pimentolatch/requests/schedule.py
+++ b/src/pimentolatch/requests/schedule.py
@@ -11,7 +11,7 @@
 
 from pimentolatch import clock, fleet, results
 from pimentolatch.backend import outcomes
-from pimentolatch.decisions import dispatcher, lanes
+from pimentolatch.decisions import dispatcher, model_queues
 from pimentolatch.document import schema
 from pimentolatch.requests import stream
 
@@ -64,7 +64,7 @@
         If the caller goes away while it waits, the wait is cancelled and the request
         leaves the queue.
         """
-        request = lanes.Request(
+        request = model_queues.Request(
             completion.request_id,
             completion.caller,
             completion.model,
--- a/src/pimentolatch/requests/stream.py
+++ b/src/pimentolatch/requests/stream.py
@@ -189,7 +189,7 @@
                 break
             if (verdict := self._suspects.verdict(digest)) is not None:
                 if not maybe_ran:
-                    yield results.quarantined(verdict.left)
+                    yield results.quarantined(verdict.remaining)
                     return
                 reason = "engines ended while they ran this completion"
                 break
--- a/src/pimentolatch/requests/suspect_completions.py
+++ b/src/pimentolatch/requests/suspect_completions.py
@@ -6,7 +6,7 @@
 from collections import abc
 
 from pimentolatch import clock
-from pimentolatch.decisions import crash_evidence, crash_news, crash_suspects
+from pimentolatch.decisions import crash_evidence, crash_notices, crash_suspects
 from pimentolatch.protocol import messages
 from pimentolatch.requests import digests
 from pimentolatch.routes import servers
@@ -38,8 +38,8 @@
         self._suspects = crash_suspects.CrashSuspects(crash_suspects.Policy())
         self._clock = time
         self._ends: dict[str, collections.deque[tuple[int, datetime.timedelta]]] = {}
-        self._near = crash_news.CrashNews()
-        self._far = crash_news.CrashNews()
+        self._near = crash_notices.CrashNoticeQueue()
+        self._far = crash_notices.CrashNoticeQueue()
         self._notify: abc.Callable[[], None] | None = None
 
     def on_news(self, notify: abc.Callable[[], None]) -> None:
@@ -62,7 +62,7 @@
         """
         now = self._clock.monotonic()
         ended = self._end_of(engine, now)
-        pair = crash_evidence.Suspicion(digest, ended, False, now, now - begun)
+        pair = crash_evidence.SuspectedCrash(digest, ended, False, now, now - begun)
         known = self._suspects.add(pair, now)
         if known is not None:
             self._tell([known])
@@ -85,11 +85,11 @@
 
     def take_near(self, most: int) -> tuple[messages.EngineEnd, ...]:
         """Return what peers of the own failure domain are to be told."""
-        return self._rows(self._near.take(most, self._suspects.crashes))
+        return self._rows(self._near.take(most, self._suspects.crash_count))
 
     def take_far(self, most: int) -> tuple[messages.EngineEnd, ...]:
         """Return what peers of other failure domains are to be told."""
-        return self._rows(self._far.take(most, self._suspects.crashes))
+        return self._rows(self._far.take(most, self._suspects.crash_count))
 
     def serious(self) -> tuple[messages.EngineEnd, ...]:
         """Return the ends that an instance which has just started has to know.
@@ -97,13 +97,13 @@
         Of very many, those of the completions with the most ends: a notice that is
         larger than a frame would end the link.
         """
-        self._suspects.forget_old(self._clock.monotonic())
-        found = sorted(self._suspects.serious(), key=len, reverse=True)
+        self._suspects.remove_expired(self._clock.monotonic())
+        found = sorted(self._suspects.repeated_crashes(), key=len, reverse=True)
         pairs = [pair for pairs in found for pair in pairs]
         return self._rows(pairs[:_MOST_SERIOUS])
 
     def _tell(
-        self, pairs: abc.Collection[crash_evidence.Suspicion], *, near: bool = True
+        self, pairs: abc.Collection[crash_evidence.SuspectedCrash], *, near: bool = True
     ) -> None:
         for pair in pairs:
             self._far.add(pair)
@@ -114,11 +114,11 @@
 
     def _pair(
         self, end: messages.EngineEnd, now: datetime.timedelta
-    ) -> crash_evidence.Suspicion:
+    ) -> crash_evidence.SuspectedCrash:
         at = now - end.age_ms * _MILLISECOND
         ended = self._end_of(end.engine, at)
         lasted = end.lasted_ms * _MILLISECOND
-        return crash_evidence.Suspicion(end.digest, ended, end.cleared, at, lasted)
+        return crash_evidence.SuspectedCrash(end.digest, ended, end.cleared, at, lasted)
 
     def _end_of(self, engine: str, at: datetime.timedelta) -> servers.Incarnation:
         """Return the end of an engine at a moment, numbered anew if it is not known."""
@@ -131,7 +131,7 @@
         return servers.Incarnation(engine, number)
 
     def _rows(
-        self, pairs: abc.Iterable[crash_evidence.Suspicion]
+        self, pairs: abc.Iterable[crash_evidence.SuspectedCrash]
     ) -> tuple[messages.EngineEnd, ...]:
         now = self._clock.monotonic()
         return tuple(
@@ -140,7 +140,7 @@
                 pair.server.server_id,
                 pair.cleared,
                 max(0, math.ceil((now - pair.at) / _MILLISECOND)),
-                math.ceil(pair.lasted / _MILLISECOND),
+                math.ceil(pair.ran_for / _MILLISECOND),
             )
             for pair in pairs
         )
--- a/tests/features/steps/crash_suspects_steps.py
+++ b/tests/features/steps/crash_suspects_steps.py
@@ -77,7 +77,7 @@
 
 @behave.when("suspects: that time passes")
 def quarantine_passes(context):
-    context.time.advance(context.kept.verdict(REQUEST).left)
+    context.time.advance(context.kept.verdict(REQUEST).remaining)
     context.kept.review_once()
 
 
@@ -95,9 +95,9 @@
 @behave.then("suspects: the request is in quarantine for {minutes:d} minutes")
 def in_quarantine_for(context, minutes):
     verdict = context.kept.verdict(REQUEST)
-    assert verdict.settled
+    assert verdict.confirmed
     whole = datetime.timedelta(minutes=minutes)
-    assert whole - 2 * SETTLED < verdict.left < whole, verdict.left
+    assert whole - 2 * SETTLED < verdict.remaining < whole, verdict.remaining
 
 
 @behave.given(
@@ -218,26 +218,26 @@
 
 @behave.then("suspects: the request is in quarantine")
 def in_quarantine(context):
-    assert context.kept.verdict(REQUEST).settled
+    assert context.kept.verdict(REQUEST).confirmed
     assert context.kept.size == 1
 
 
 @behave.then("suspects: both requests are in quarantine")
 def both_in_quarantine(context):
-    assert context.kept.verdict(REQUEST).settled
-    assert context.kept.verdict(OTHER).settled
+    assert context.kept.verdict(REQUEST).confirmed
+    assert context.kept.verdict(OTHER).confirmed
 
 
 @behave.then("suspects: the request is in quarantine there")
 def in_quarantine_there(context):
-    assert context.other.verdict(REQUEST).settled
+    assert context.other.verdict(REQUEST).confirmed
 
 
 @behave.then("suspects: the request is to come back within two seconds")
 def held_off(context):
     verdict = context.kept.verdict(REQUEST)
-    assert not verdict.settled
-    assert SECOND < verdict.left < 2 * SECOND
+    assert not verdict.confirmed
+    assert SECOND < verdict.remaining < 2 * SECOND
 
 
 @behave.then("suspects: the peers are told that both are cleared")
@@ -248,7 +248,7 @@
 
 @behave.then("suspects: no more are remembered than the bound")
 def bounded(context):
-    assert len(context.kept._suspects._suspects) <= crash_suspects.MOST_DIGESTS
+    assert len(context.kept._suspects._suspects) <= crash_suspects.MAX_DIGESTS
 
 
 @behave.then("suspects: nothing is left to be told")
--- a/tests/features/steps/load_steps.py
+++ b/tests/features/steps/load_steps.py
@@ -18,10 +18,10 @@
 from pimentolatch.decisions import (
     admission,
     dispatcher,
-    fairness,
+    fair_queue,
     health,
-    limits,
     outstanding,
+    rate_limits,
     retries,
     shares,
     subset,
@@ -188,7 +188,9 @@
 
 def waiting(number, caller, units, arrived=0.0, **more):
     at = datetime.timedelta(seconds=arrived)
-    return fairness.Waiting(f"r{number}", caller, units, at, at + SECOND, **more)
+    return fair_queue.QueuedRequest(
+        f"r{number}", caller, units, at, at + SECOND, **more
+    )
 
 
 @behave.then(
@@ -200,7 +202,7 @@
     @REPEATABLE
     @hypothesis.given(sizes, strategies.sampled_from([0.5, 1.0, 3.0]))
     def check(units, weight):
-        queue = fairness.FairQueue()
+        queue = fair_queue.FairQueue()
         weights = {"light": 1.0, "heavy": weight}
         left = {caller: 0 for caller in weights}
         for number, size in enumerate(units):
@@ -234,14 +236,14 @@
     @REPEATABLE
     @hypothesis.given(strategies.lists(one, min_size=2, max_size=30))
     def check(requests):
-        queue = fairness.FairQueue()
+        queue = fair_queue.FairQueue()
         for number, (units, priority, at) in enumerate(requests):
             queue.put(waiting(number, "desk", units, at, priority=priority))
         taken = []
         while item := queue.take():
             for earlier in taken:
                 later = earlier.arrived - item.arrived
-                assert later <= fairness.LONGEST_OVERTAKING, (earlier, item)
+                assert later <= fair_queue.MAX_OVERTAKING, (earlier, item)
             taken.append(item)
         assert len(taken) == len(requests)
 
@@ -252,7 +254,7 @@
     "{count:d} callers that were served are forgotten when others have caught up"
 )
 def served_are_forgotten(context, count):
-    queue = fairness.FairQueue()
+    queue = fair_queue.FairQueue()
     for number in range(count):
         queue.put(waiting(number, f"caller-{number}", 500))
     while queue.take():
@@ -313,7 +315,7 @@
         name="hot", key_sha256="0" * 64, tokens_per_second=10_000, burst_tokens=10_000
     )
     tables = [shares.PeerShares() for _ in range(count)]
-    buckets = [limits.CallerLimits(table) for table in tables]
+    buckets = [rate_limits.CallerLimits(table) for table in tables]
     for bucket in buckets:
         bucket.set_instances(count)
     admitted = 0.0
@@ -321,7 +323,7 @@
         now = step * SECOND / 10
         for bucket in buckets[:asked_at]:
             for _ in range(5):
-                if isinstance(bucket.ask(caller, 2000, now), limits.Granted):
+                if isinstance(bucket.check(caller, 2000, now), rate_limits.Granted):
                     bucket.charge(caller, 2000, now)
                     admitted += 2000
         if see_each_other and step % 10 == 0:
@@ -361,7 +363,7 @@
     for server in context.servers[:bad]:
         for _ in range(5):
             context.health.failed(server, SECOND)
-    context.health.judge(context.servers, SECOND)
+    context.health.update_ejections(context.servers, SECOND)
 
 
 @behave.when("the pause is over and probes succeed")
@@ -371,7 +373,7 @@
             assert not context.health.may_probe(server, 2 * SECOND)
             assert context.health.may_probe(server, 10 * SECOND)
         context.health.observe(server, 1.0, 10 * SECOND)
-    context.health.judge(context.servers, 10 * SECOND)
+    context.health.update_ejections(context.servers, 10 * SECOND)
 
 
 @behave.then("{count:d} of them are ejected")
@@ -389,7 +391,7 @@
     "{count:d} callers refused at once are given {times:d} different times to come back"
 )
 def come_back_apart(context, count, times):
-    turns = admission.ReturnTimes()
+    turns = admission.RetryTimes()
     given = {turns.after(SECOND, SECOND / 10, 5 * SECOND) for _ in range(count)}
     assert len(given) == times, given
     assert min(given) >= SECOND, given
--- a/tests/features/steps/routes_fleet_steps.py
+++ b/tests/features/steps/routes_fleet_steps.py
@@ -5,12 +5,12 @@
 
 from pimentolatch import settings
 from pimentolatch.decisions import (
-    doubt,
     engine_loads,
     neighbours,
     peer_loads,
     placement,
     places,
+    stall_check,
     store_readers,
 )
 from pimentolatch.gateway import cache_updates
@@ -38,7 +38,7 @@
         "only others' runs": report(0, 1, "r2"),
         "no work at all": report(0, 0),
     }[what]
-    assert doubt.judge(found, "r1").value == verdict
+    assert stall_check.request_status(found, "r1").value == verdict
 
 
 @behave.given("a fleet of {count:d} instances in {domains:d} domains")
--- a/tests/features/steps/routes_incarnations_steps.py
+++ b/tests/features/steps/routes_incarnations_steps.py
@@ -7,12 +7,12 @@
 from pimentolatch import clock, settings
 from pimentolatch.decisions import (
     crash_suspects,
-    doubt,
     engine_loads,
     neighbours,
     peer_loads,
     server_choice,
     stage_plan,
+    stall_check,
 )
 from pimentolatch.gateway import (
     cache_updates,
@@ -179,21 +179,21 @@
     report = reports.EngineReport(
         servers.Stage.DECODE, False, 0, queued, len(runs), frozenset(runs), born
     )
-    return doubt.judge(report, "r1", 1000)
+    return stall_check.request_status(report, "r1", 1000)
 
 
 @behave.then(
     "incarnations: a request sent to the life of 1000 is lost when 2000 reports a queue"
 )
 def lost_in_new_life(context):
-    assert verdict(2000, 5) is doubt.Verdict.REBORN
-    assert verdict(2000, 0, ["r1"]) is doubt.Verdict.REBORN
+    assert verdict(2000, 5) is stall_check.Verdict.REBORN
+    assert verdict(2000, 0, ["r1"]) is stall_check.Verdict.REBORN
 
 
 @behave.then("incarnations: it is in the queue when 1000 reports it")
 def in_queue(context):
-    assert verdict(1000, 5) is doubt.Verdict.HAS_IT
-    assert verdict(None, 5) is doubt.Verdict.HAS_IT
+    assert verdict(1000, 5) is stall_check.Verdict.HAS_IT
+    assert verdict(None, 5) is stall_check.Verdict.HAS_IT
 
 
 @behave.given('incarnations: a store, a reading engine "{name}" and a keeper of stages')
--- a/tests/features/steps/routes_logic_steps.py
+++ b/tests/features/steps/routes_logic_steps.py
@@ -99,7 +99,7 @@
     for tick in range(180):
         at = datetime.timedelta(seconds=tick / 3)
         for budget in context.budgets:
-            budget.arrived("s", at)
+            budget.count_request("s", at)
             context.requests.append(at)
             while budget.spend("s", at):
                 context.repeats.append(at)
@@ -126,8 +126,8 @@
 
 @behave.when("one hears 20 instances and then none")
 def hears(context):
-    context.budgets[0].share_with(20)
-    context.budgets[0].share_with(1)
+    context.budgets[0].set_instances(20)
+    context.budgets[0].set_instances(1)
 
 
 @behave.then("it may repeat at most 5 times in a window")
--- a/tests/features/steps/routes_waiting_steps.py
+++ b/tests/features/steps/routes_waiting_steps.py
@@ -4,7 +4,7 @@
 
 import behave
 
-from pimentolatch.decisions import engine_loads, waiting
+from pimentolatch.decisions import engine_loads, wait_policy
 from pimentolatch.routes import servers
 from tests.features.steps import routes_serving_steps
 
@@ -56,8 +56,10 @@
 
 @behave.when('waiting: a client asks for "digest" as "r1" and the pauses are counted')
 def ask_counting_pauses(context):
-    whole = waiting.look_again
-    with mock.patch.object(waiting, "look_again", side_effect=whole) as looked:
+    whole = wait_policy.recheck_interval
+    with mock.patch.object(
+        wait_policy, "recheck_interval", side_effect=whole
+    ) as looked:
         context.reply = context.run(context.world.ask("digest", "r1"))
     context.pauses = looked.call_count
 
@@ -88,20 +90,20 @@
     "waiting: rank 0 looks again sooner than rank 1 and rank 1 sooner than rank 2"
 )
 def sooner(context):
-    pauses = [waiting.look_again(rank, 0.5) for rank in range(3)]
+    pauses = [wait_policy.recheck_interval(rank, 0.5) for rank in range(3)]
     assert pauses == sorted(pauses) and len(set(pauses)) == 3, pauses
 
 
 @behave.then("waiting: with {count:d} requests waiting one more is refused")
 def bounded(context, count):
-    assert waiting.may_wait(SECOND, count - 1)
-    assert not waiting.may_wait(SECOND, count)
+    assert wait_policy.may_wait(SECOND, count - 1)
+    assert not wait_policy.may_wait(SECOND, count)
 
 
 @behave.then("waiting: a request whose client is about to leave is refused")
 def about_to_leave(context):
-    assert not waiting.may_wait(SECOND / 10, 0)
-    assert not waiting.may_wait(-SECOND, 0)
+    assert not wait_policy.may_wait(SECOND / 10, 0)
+    assert not wait_policy.may_wait(-SECOND, 0)
 
 
 def engine(name):
--- a/tests/features/steps/usage_steps.py
+++ b/tests/features/steps/usage_steps.py
@@ -96,14 +96,14 @@
 
 
 def book(name="one"):
-    return usage.UsageBook(usage.Origin(name, f"{name}-life"), WINDOW, START)
+    return usage.UsageCounter(usage.Origin(name, f"{name}-life"), WINDOW, START)
 
 
 @behave.given("usage: an instance that began {count:d} requests of as many customers")
 def many_customers(context, count):
     context.book = book("two")
     for number in range(count):
-        assert context.book.began(f"customer-{number}", START)
+        assert context.book.count_started(f"customer-{number}", START)
 
 
 @behave.when("usage: its rows come twice, the older ones last")
@@ -113,7 +113,7 @@
     final = context.book.own_rows(SETTLED)
     for row in [*final, *final, *older]:
         for datagram in usage_rows.encode(row):
-            context.holder.take(usage_rows.decode(datagram))
+            context.holder.merge(usage_rows.decode(datagram))
     context.holder.own_rows(SETTLED)
 
 
@@ -133,7 +133,7 @@
             assert len(datagrams) > 1
             datagrams = datagrams[1:]
         for datagram in datagrams:
-            context.holder.take(usage_rows.decode(datagram))
+            context.holder.merge(usage_rows.decode(datagram))
     context.holder.own_rows(SETTLED)
 
 
@@ -155,18 +155,18 @@
 def told_neighbour(context, count):
     ended = book("three")
     for _ in range(count):
-        ended.began("north", START)
+        ended.count_started("north", START)
     context.neighbour = book("two")
     for row in ended.own_rows(START):
-        context.neighbour.take(row)
+        context.neighbour.merge(row)
 
 
 @behave.when("usage: the neighbour tells the holder")
 def neighbour_tells(context):
     context.holder = book()
-    assert context.neighbour.rows_of_ended({"one", "three"}) == []
-    for row in context.neighbour.rows_of_ended({"one"}):
-        context.holder.take(row)
+    assert context.neighbour.rows_of_terminated({"one", "three"}) == []
+    for row in context.neighbour.rows_of_terminated({"one"}):
+        context.holder.merge(row)
 
 
 @behave.then("usage: the holder's total has the {count:d} requests")
@@ -181,7 +181,7 @@
 def known_late(context):
     context.book = book()
     context.book.own_rows(SETTLED)
-    assert not context.book.began("north", START)
+    assert not context.book.count_started("north", START)
 
 
 @behave.then("usage: it is in no window's rows")
@@ -207,9 +207,9 @@
     context.holder = book()
     context.told = {name: book(name) for name in ("two", "three")}
     for told in context.told.values():
-        told.began("north", START)
+        told.count_started("north", START)
     for row in context.told["two"].own_rows(SETTLED):
-        context.holder.take(row)
+        context.holder.merge(row)
     context.holder.own_rows(GIVEN_UP)
 
 
@@ -223,7 +223,7 @@
 def others_told(context):
     for told in context.told.values():
         for row in told.own_rows(GIVEN_UP):
-            context.holder.take(row)
+            context.holder.merge(row)
     context.moment = GIVEN_UP + 5 * SECOND
 
 
--- a/tests/support/crash_replay.py
+++ b/tests/support/crash_replay.py
@@ -222,11 +222,11 @@
 
     def _refuse(self, request, verdict):
         """Refuse a request that ends no server; it comes back if it is to be soon."""
-        if verdict.settled:
+        if verdict.confirmed:
             self.result.refused_innocent += 1
             return
         again = Request(request.digest, self._any_instance(), False, returned=True)
-        left = verdict.left.total_seconds()
+        left = verdict.remaining.total_seconds()
         self._at(self._now() + left + self._draw.uniform(0, 0.1), self._ask, again)
 
     def _fail(self, request):
--- a/tests/support/fleet_parts.py
+++ b/tests/support/fleet_parts.py
@@ -12,7 +12,7 @@
     placement,
     places,
     prompt_sizes,
-    waiting,
+    wait_policy,
 )
 from pimentolatch.gateway import cache_updates, knowledge, peer_work
 from pimentolatch.protocol import beacons
@@ -113,7 +113,7 @@
     @property
     def patience_ms(self) -> float:
         """How long from its arrival its client waits for a first event."""
-        gap = waiting.client_gap(self.kind.target_ms * MS, _NO_TIME) / MS
+        gap = wait_policy.client_timeout(self.kind.target_ms * MS, _NO_TIME) / MS
         return min(gap, self.begun + 1000 * self.kind.deadline_s - self.arrived)
 
 
--- a/tests/support/fleet_world.py
+++ b/tests/support/fleet_world.py
@@ -20,7 +20,7 @@
     places,
     prompt_sizes,
     stage_plan,
-    waiting,
+    wait_policy,
 )
 from pimentolatch.protocol import beacons
 from pimentolatch.requests import prompts
@@ -185,7 +185,9 @@
         job.large = size is not prompt_sizes.SizeClass.REST
         leaves_at = self.now + job.patience_ms
         self.at(leaves_at, lambda: self._leave(job))
-        refused_at = waiting.refused_at(leaves_at * fleet_parts.MS) / fleet_parts.MS
+        refused_at = (
+            wait_policy.refusal_time(leaves_at * fleet_parts.MS) / fleet_parts.MS
+        )
         self.at(max(self.now, refused_at), lambda: self._take_back(job))
         self._place(instance, job)
 
@@ -202,7 +204,7 @@
         if job.over or job.prefilled:
             return
         self._forget(job)
-        self._refuse(job, waiting.retry_after(job.lot))
+        self._refuse(job, wait_policy.retry_after(job.lot))
 
     def _forget(self, job: fleet_parts.Job) -> None:
         if job.place is not None:
--- a/tests/support/usage_world.py
+++ b/tests/support/usage_world.py
@@ -112,7 +112,7 @@
         self.host = f"host-{name}"
         self.life = f"{name}-{next(world.lives)}"
         origin = usage.Origin(name, self.life)
-        self.book = usage.UsageBook(origin, WINDOW, world.time.now())
+        self.book = usage.UsageCounter(origin, WINDOW, world.time.now())
         link = memory_store.MemoryStore(
             world.table, time=world.time, link=name, faults=world.faults
         )
@@ -220,7 +220,7 @@
         now = self.time.now()
         for customer in CUSTOMERS:
             for _ in range(self.chance.randrange(4)):
-                if instance.book.began(customer, now):
+                if instance.book.count_started(customer, now):
                     self.truth[usage.window_of(now, WINDOW)][customer] += 1
 
     def _tell(self, running):
@@ -233,12 +233,12 @@
             live = {other.name for other in others}
             rows = [
                 *instance.book.own_rows(self.time.now()),
-                *instance.book.rows_of_ended(live),
+                *instance.book.rows_of_terminated(live),
             ]
             for other in others:
                 for row in rows:
                     if not self._faulty or self.chance.random() < 0.9:
-                        other.book.take(row)
+                        other.book.merge(row)
 
     def _announce(self, instance, running):
         for other in running:
