--- a/src/pimentolatch/decisions/access.py
+++ b/src/pimentolatch/decisions/access.py
@@ -1,13 +1,13 @@
-"""Decides whose request it is, whether it may run and with which rank.
+"""Decides which customer a request belongs to, whether it may run and with which rank.
 
-Load pattern: every request of a fleet with thousands of keys asks, also those that
-somebody sends with guessed keys at a high rate. So the answer is one look-up, before
-the body is read and before any queue, and a key that is not known costs no more than
-one that is.
+Load pattern: every request of a fleet with thousands of API keys is checked, including
+those that somebody sends with guessed keys at a high rate. So the check is one look-up,
+before the body is read and before any queue, and an unknown key costs no more than a
+known one.
 
-An instance that has lost the store may lack a key that was added since. What it knows
-then is not proof that a key is wrong, and a client that hears so never comes back: it
-is asked to come back instead.
+An instance that has lost the store may lack a key that was added since, so it can't
+prove that a key is wrong. A client that is told so never retries; it is asked to retry
+instead.
 """
 
 import dataclasses
@@ -24,8 +24,8 @@
     """A request may run.
 
     Attributes:
-        customer: Whose it is; None for public routes and where nobody has a key.
-        rank: How urgent it is, 0 first.
+        customer: Its customer; None for public routes and where no keys are configured.
+        rank: Priority, 0 first.
     """
 
     customer: customers.Customer | None
@@ -49,10 +49,10 @@
     """Return whether a request may run.
 
     Args:
-        configuration: The one in force.
+        configuration: The configuration in force.
         route: Route of the request.
-        keys: What its header holds as keys; a request bears exactly one.
-        current: Whether this instance would have heard of a newer configuration.
+        keys: API keys in its header; a valid request has exactly one.
+        current: Whether this instance would have received a newer configuration.
     """
     if route.public or configuration.customers is None:
         return Access(None, route.rank)
@@ -72,14 +72,14 @@
     keys: abc.Sequence[bytes],
     customer: customers.Customer | None,
 ) -> bool:
-    """Tell whether a request that was let in may be sent to one more server.
+    """Tell whether an admitted request may be dispatched to one more server.
 
-    A key that was taken away meanwhile starts nothing new; what runs, runs on.
+    A key that was revoked meanwhile starts nothing new; running requests continue.
 
     Args:
-        configuration: The one in force now.
-        keys: Keys of the request.
-        customer: Whose it was when it was let in.
+        configuration: The configuration in force now.
+        keys: API keys of the request.
+        customer: Its customer when it was admitted.
     """
     if customer is None or configuration.customers is None:
         return True
--- a/src/pimentolatch/decisions/crash_evidence.py
+++ b/src/pimentolatch/decisions/crash_evidence.py
@@ -1,21 +1,22 @@
-"""Weighs whether a request is the cause of the ends of the servers that ran it.
+"""Weighs the evidence that a request caused the crashes of the servers that ran it.
 
-Load pattern: servers end under a dozen requests each, and all of these are sent again.
-When half of a fleet is lost within a second, or two requests end servers at once, a
-request can lose three servers in a row and have caused none of these ends. Judged by
-their number alone, it is refused for as long as one that ends every server it reaches.
+Load pattern: servers with a dozen running requests each crash, and all these requests
+are retried. When half of a fleet is lost within a second, or two requests crash servers
+at once, an innocent request can lose three servers in a row. Judged by the number of
+crashes alone, it would be quarantined like a request that crashes every server.
 
-What tells the two apart, all of it known from the ends themselves:
+The records of the crashes themselves tell the two apart:
 
-- A request that ends its servers does so at about the same time after each sending.
-  One that is struck by other causes had run for any time by then.
-- A request that had run clearly longer than another one, on servers that ended under
-  both, is the less likely cause. Ends that a likelier cause explains prove nothing.
-- Ends of as many other servers around the same time have a cause of their own, and so
-  do three ends that several requests share.
+- A request that crashes its servers does so about equally long after each dispatch. A
+  request hit by other causes had run for varying times.
+- Of two requests on the same crashed servers, the one that had run clearly longer is
+  the less likely cause. Crashes that a likelier cause explains are no evidence.
+- Crashes of as many other servers around the same time have a cause of their own, and
+  so do three crashes that several requests share.
 
-A doubt lets a request be sent once more, after which the evidence differs: an innocent
-one runs to its end. Doubts are bounded, since each may cost a server.
+While the evidence is ambiguous the request may be dispatched once more, which gives new
+evidence: an innocent request completes. The number of such dispatches is bounded, since
+each may cost a server.
 """
 
 import dataclasses
@@ -28,28 +29,30 @@
 
 __all__ = ["MAX_AMBIGUOUS_CRASHES", "CrashRecords", "SuspectedCrash", "is_likely_cause"]
 
-# Ends this close together may have one cause.
+# Crashes this close together may have one cause.
 _COMMON_CAUSE_WINDOW = datetime.timedelta(seconds=1)
-# Sendings this close together may have been begun in either order.
+# Dispatches this close together may have started in either order.
 _TIMING_TOLERANCE = datetime.timedelta(milliseconds=10)
-# The longest time that a request took to end a server, as a multiple of the shortest.
-# One server may be slower than another, or have more work ahead of the request.
+# Ratio of the longest to the shortest time that a request takes to crash a server. One
+# server may be slower than another, or have more work queued ahead of the request.
 _MAX_RUN_TIME_RATIO = 3.0
-# Other requests with as many ends from which on none of them is taken for the cause.
+# Number of other requests with as many crashes from which on none of them is taken for
+# the cause.
 _MIN_CORRELATED_REQUESTS = 2
-# Servers that may end after the first doubt. The next end is taken for proof.
+# Crashes allowed beyond the threshold while the evidence is ambiguous. The next one is
+# taken for proof.
 MAX_AMBIGUOUS_CRASHES = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SuspectedCrash:
-    """A server's connection ended while it ran a request.
+    """A server's connection was lost while the server ran a request.
 
     Attributes:
-        cleared: The server lives on, or the request has run to its end since.
-        at: When it ended, as far as this instance knows.
-        lasted: How long the server had had the request by then; zero if not known.
-        server_lives: The server has answered since, so that it has not ended.
+        cleared: The server is alive, or the request has completed since.
+        at: When the connection was lost, as far as this instance knows.
+        ran_for: Time from the dispatch to the crash; zero if not known.
+        server_alive: The server has answered since, so it did not crash.
     """
 
     digest: digests.RequestDigest
@@ -61,30 +64,31 @@
 
 
 class CrashRecords(typing.Protocol):
-    """What an instance knows of servers' ends."""
+    """The suspected crashes that an instance knows of."""
 
     def crashes_of_request(self, digest: digests.RequestDigest) -> list[SuspectedCrash]:
-        """Return the pairs of a request that are not cleared."""
+        """Return the suspected crashes of a request that are not cleared."""
 
     def crashes_of_server(self, server: servers.Incarnation) -> list[SuspectedCrash]:
-        """Return the pairs of all requests that a server's end broke off."""
+        """Return the suspected crashes of all requests that a server ran."""
 
     def crashed_servers(self) -> abc.Iterable[servers.Incarnation]:
-        """Return the servers under whose ends any request is or was suspected."""
+        """Return the servers with a suspected crash, cleared or not."""
 
 
 _Crashes = abc.Sequence[SuspectedCrash]
 
 
 def is_likely_cause(crashes: _Crashes, records: CrashRecords, threshold: int) -> bool:
-    """Tell whether a request is the likely cause of the ends of its servers.
+    """Tell whether a request is the likely cause of the crashes of its servers.
 
     Args:
-        crashes: Its pairs that are not cleared, `enough` or more.
-        records: All that is known of ends.
-        threshold: Ends from which on a request may be the cause.
+        crashes: Its crashes that are not cleared, `threshold` or more.
+        records: All suspected crashes that are known.
+        threshold: Least number of crashes from which on a request can be the cause.
     """
-    # Two that end servers together would explain each other's ends for ever.
+    # Without this, two requests that crash servers together would always explain each
+    # other.
     if len(crashes) >= threshold + MAX_AMBIGUOUS_CRASHES:
         return True
     others = _concurrent_requests(crashes, records)
@@ -94,7 +98,7 @@
 
 
 def _concurrent_requests(crashes: _Crashes, records: CrashRecords) -> list[_Crashes]:
-    """Return the ends of the requests beside one that have as many."""
+    """Return the crashes of each request on the same servers with as many."""
     digest = crashes[0].digest
     crashes_of_server = (
         crash for end in crashes for crash in records.crashes_of_server(end.server)
@@ -110,10 +114,10 @@
 def _unexplained_servers(
     crashes: _Crashes, others: abc.Iterable[_Crashes]
 ) -> frozenset[servers.Incarnation]:
-    """Return the servers that have ended under a request and under no likelier cause.
+    """Return the servers whose crash no likelier cause explains.
 
-    A request whose own ends are unlike each other is hardly a cause, so any request
-    with more ends explains them better.
+    A request whose run times before the crashes differ is hardly their cause, so any
+    request with more crashes explains them better.
     """
     likelier = (
         other
@@ -143,10 +147,10 @@
 
 
 def _crashed_elsewhere(crashes: _Crashes, records: CrashRecords, threshold: int) -> int:
-    """Count the servers that ended around the same time and not under a request.
+    """Count the other servers that crashed around the same time.
 
-    Those under which another request is suspected of as many ends don't count: it is
-    another cause of the same kind, and says nothing of this one.
+    Servers on which another request is suspected of as many crashes don't count: that
+    is another cause of the same kind and is no evidence about this request.
     """
     own_servers = {crash.server for crash in crashes}
     count = 0
@@ -166,14 +170,14 @@
 
 
 def _is_likelier(crashes: _Crashes, baseline: _Crashes) -> bool:
-    """Tell whether a request is the likelier cause than another one."""
+    """Tell whether a request is a likelier cause than another one."""
     if len(crashes) != len(baseline):
         return len(crashes) > len(baseline)
     return _longest_run(crashes) < _longest_run(baseline) - _TIMING_TOLERANCE
 
 
 def _started_later(crashes: _Crashes, baseline: _Crashes) -> bool:
-    """Tell whether each server that both lost had had a request clearly shorter."""
+    """Tell whether a request ran clearly shorter on each server that both lost."""
     ran_for = {crash.server: crash.ran_for for crash in baseline}
     return len(crashes) >= len(baseline) and all(
         crash.ran_for < ran_for[crash.server] - _TIMING_TOLERANCE
@@ -183,7 +187,7 @@
 
 
 def _are_similar(crashes: _Crashes) -> bool:
-    """Tell whether servers ended at about the same time after they had a request."""
+    """Tell whether the run times before the crashes are about the same."""
     ran_for = [crash.ran_for for crash in crashes if crash.ran_for]
     if not ran_for:
         return True
--- a/src/pimentolatch/decisions/crash_notices.py
+++ b/src/pimentolatch/decisions/crash_notices.py
@@ -1,7 +1,8 @@
-"""Chooses which of the news of ended servers peers are told first.
+"""Orders the crash notices that are sent to peers.
 
 Load pattern: after the loss of a failure domain thousands of requests have lost their
-server. Told in order, the one that ends further servers would be among the last.
+server. Sent in order of arrival, the notices about the request that crashes further
+servers would be among the last.
 """
 
 from collections import abc
@@ -12,18 +13,19 @@
 
 __all__ = ["CrashNoticeQueue"]
 
-# Pairs that wait to be told. The newest are kept, since those of a request that comes
-# again are among them.
+# Bound on the queue. The newest are retained, since they include the crashes of a
+# request that is being retried.
 _MAX_QUEUED = 500
 
 _Key = tuple[digests.RequestDigest, servers.Incarnation]
 
 
 class CrashNoticeQueue:
-    """Pairs that some peers have not been told of yet.
+    """Suspected crashes that are still to be sent to some peers.
 
     Args:
-        transmissions: How often each pair is told; more than once where news get lost.
+        transmissions: How often each one is sent; more than once where messages get
+            lost.
     """
 
     def __init__(self, transmissions: int = 1) -> None:
@@ -31,7 +33,7 @@
         self._pending: dict[_Key, tuple[crash_evidence.SuspectedCrash, int]] = {}
 
     def add(self, crash: crash_evidence.SuspectedCrash) -> None:
-        """Note a pair to be told."""
+        """Queue a suspected crash."""
         key = crash.digest, crash.server
         self._pending.pop(key, None)
         self._pending[key] = crash, self._transmissions
@@ -41,11 +43,11 @@
     def take(
         self, limit: int, crash_count: abc.Callable[[digests.RequestDigest], int]
     ) -> list[crash_evidence.SuspectedCrash]:
-        """Return some pairs, those of requests with the most crashes first.
+        """Return some of the queue, requests with the most crashes first.
 
         Args:
-            limit: How many at the most.
-            crash_count: Under how many servers' ends a request is suspected.
+            limit: Largest number to return.
+            crash_count: Returns the number of uncleared crashes of a request.
         """
         newest = reversed(self._pending.values())
         crashes_to_send = [crash for crash, _ in newest]
--- a/src/pimentolatch/decisions/crash_suspects.py
+++ b/src/pimentolatch/decisions/crash_suspects.py
@@ -1,23 +1,23 @@
-"""Tells requests that end the servers that run them from those that run beside them.
-
-Load pattern: a request ends each server that begins to run it and comes back every
-second or two, under another id and at any instance. A dozen other requests lose their
-server with it each time. Forgotten between attempts, it ends servers for as long as it
-comes back. Counted alone, the requests beside it come into the same suspicion: sent
-again at once they meet it on the next server too.
-
-An instance sees only that its connection ended while a server ran a request, and that
-is also how a cut link looks. So a suspicion is a pair of a request's digest and a
-server's incarnation. Pairs are a set, which instances can merge in any order without
-counting a crash twice. A pair is cleared, for good, when that incarnation answers an
-exchange that began later, or when the request runs to its end anywhere: with success,
-since a failure may be answered before it begins, and not for a prompt that was only
-prefilled. A request with three pairs left is in quarantine if it is the likely cause of
-these ends (`crash_evidence`).
-
-Until then a suspect uses only a part of the servers, drawn by its digest and the number
-of its crashes. Two suspects of one crash seldom draw the same part twice, so the ones
-that are innocent run to their end away from the one that is not.
+"""Finds requests that crash the servers that run them and quarantines them.
+
+Load pattern: a request crashes each server that begins to run it and is retried every
+second or two, under another id and at any instance. Each time, a dozen other requests
+lose their server as well. If attempts were not correlated, the request would crash
+servers for as long as it is retried. Counting crashes alone would also suspect the
+requests beside it: retried at once, they meet it on the next server too.
+
+An instance sees only that its connection was lost while a server ran a request, which a
+network fault causes as well. So the record is a suspected crash, identified by the
+request's digest and the server's incarnation. These records form a set, which instances
+can merge in any order without counting a crash twice. A record is cleared permanently
+when that incarnation answers an exchange that began later, or when the request
+completes anywhere. Only success counts, since a failure may be returned before the
+request runs, and a prompt that was only prefilled doesn't count. A request with three
+uncleared crashes is quarantined if it is their likely cause (`crash_evidence`).
+
+Until then a suspect uses only a subset of the servers, drawn by its digest and its
+number of crashes. Two suspects of one crash seldom draw the same subset twice, so the
+innocent ones complete away from the one that is not.
 """
 
 import dataclasses
@@ -31,19 +31,19 @@
 
 __all__ = ["CrashSuspects", "Policy", "Verdict", "suspect_subset"]
 
-# A suspect that does not come back within this is forgotten.
+# Records of a suspect that is not retried within this time expire.
 _SUSPECT_LIFETIME = datetime.timedelta(minutes=10)
-# Digests that are remembered; 600 bytes each.
+# Bound on the digests in memory; each takes 600 bytes.
 MAX_DIGESTS = 4000
-# Share of them that is dropped at once when there are too many.
+# Share of them that is evicted at once when the bound is exceeded.
 _EVICTED_SHARE = 0.1
-# Crashes from which on a request is told of again and again, since an instance that
-# has just started, or was cut off, has not heard of it.
+# Crashes from which on a request is reported to peers repeatedly, since an instance
+# that has just started, or was cut off, has missed the first report.
 _REPEATED = 2
-# News of servers' ends reach a fleet of hundreds within two seconds and most of it in
-# half of that. Until then a request that seems guilty is held off, not judged.
+# Crash notices reach a fleet of hundreds within 2 s, most of it within 1 s. Until then
+# a suspected request is blocked, but not quarantined.
 _DISSEMINATION_TIME = datetime.timedelta(milliseconds=1500)
-# Each end after a quarantine makes the next one so many times longer.
+# Each crash after a quarantine makes the next one longer by this factor.
 _QUARANTINE_GROWTH = 6
 # Share of the servers that a suspect may use.
 _SUBSET_SHARE = 0.25
@@ -51,13 +51,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Policy:
-    """When a request is kept from all servers.
+    """When and for how long a request is quarantined.
 
     Attributes:
-        crashes: Servers that must have ended under it, two or more.
-        first: How long it is kept from servers when it has just been found guilty.
-        quarantine: The same after further servers have ended under it.
-        exempt: Digests that are never kept from servers.
+        crashes: Crashes from which on a request can be quarantined, two or more.
+        initial_quarantine: Duration of the first quarantine.
+        max_quarantine: Longest duration, reached after further crashes.
+        exempt: Digests that are never quarantined.
     """
 
     crashes: int = 3
@@ -66,10 +66,11 @@
     exempt: frozenset[digests.RequestDigest] = frozenset()
 
     def duration(self, ends: int) -> datetime.timedelta:
-        """Return how long a request is kept from servers after its last end.
+        """Return the duration of a quarantine, counted from the request's last crash.
 
-        An innocent request with three ends by coincidence is found out when it may run
-        again. One that ends a server each time must soon stop to do so.
+        An innocent request with three coincident crashes is cleared when it may run
+        again. A request that crashes a server each time must soon be stopped, so the
+        duration grows with each further crash.
         """
         further = ends - self.crashes
         if further >= crash_evidence.MAX_AMBIGUOUS_CRASHES:
@@ -82,12 +83,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """A request is kept from servers.
+    """A request that may not run for now.
 
     Attributes:
-        ended: Servers that ended under it.
-        left: How much longer it is kept from servers.
-        settled: It is in quarantine; else what peers have seen may clear it yet.
+        crashed_servers: Servers that crashed while they ran it.
+        remaining: How much longer it is blocked.
+        confirmed: It is in quarantine; otherwise reports from peers may still clear it.
     """
 
     crashed_servers: tuple[servers.Incarnation, ...]
@@ -109,32 +110,32 @@
 
 
 class CrashSuspects:
-    """The requests under which servers have ended lately, over all instances.
+    """Requests with recent suspected crashes, over all instances.
 
     Args:
-        policy: When a request is kept from servers.
+        policy: When and for how long a request is quarantined.
     """
 
     def __init__(self, policy: Policy) -> None:
         self.policy = policy
         self._suspects: dict[digests.RequestDigest, _Suspect] = {}
         self._by_server: dict[servers.Incarnation, set[digests.RequestDigest]] = {}
-        # The few with more than one pair, which alone can be near quarantine.
+        # The few with more than one crash; only these can be close to quarantine.
         self._repeated: set[digests.RequestDigest] = set()
 
     def add(
         self, received: crash_evidence.SuspectedCrash, now: datetime.timedelta
     ) -> crash_evidence.SuspectedCrash | None:
-        """Take a suspicion, seen here or told by a peer.
+        """Record a suspected crash, seen here or reported by a peer.
 
         Returns:
-            What is known now if it differs from what was heard or known before, to be
-            told to peers; None if nobody needs to hear of it.
+            The record to send to peers if it is new to this instance or to the sender;
+            None if no peer needs it.
         """
         suspect = self._suspects.setdefault(received.digest, _Suspect())
         known = suspect.crashes.get(received.server)
         if known is not None and (known.cleared or not received.cleared):
-            # A peer that missed the clearing is told of it again.
+            # The peer missed the clearing, so it is sent again.
             return known if known.cleared and not received.cleared else None
         suspect.crashes[received.server] = received
         self._by_server.setdefault(received.server, set()).add(received.digest)
@@ -146,7 +147,7 @@
     def has_crashed(
         self, server: servers.Incarnation, before: datetime.timedelta
     ) -> bool:
-        """Tell whether a server seems to have ended before a moment."""
+        """Tell whether a server has an uncleared crash before a moment."""
         return any(crash.at < before for crash in self._uncleared_crashes_of(server))
 
     def merge(
@@ -154,11 +155,11 @@
         reports: abc.Iterable[crash_evidence.SuspectedCrash],
         now: datetime.timedelta,
     ) -> list[crash_evidence.SuspectedCrash]:
-        """Take what a peer tells; returns what is to be told to others.
+        """Merge a peer's reports; returns the records to pass on.
 
-        All pairs of a request that is in quarantine come together. What has expired
-        by the clock of this instance is dropped again, or it would be told to and fro
-        for ever.
+        All crashes of a quarantined request arrive together. Records that have expired
+        by this instance's clock are removed again; otherwise peers would pass them back
+        and forth forever.
         """
         taken = [self.add(received, now) for received in reports]
         found = [known for known in taken if known is not None]
@@ -166,14 +167,14 @@
         return [known for known in found if known.digest in self._suspects]
 
     def crash_count(self, digest: digests.RequestDigest) -> int:
-        """Return under how many servers' ends a request is suspected."""
+        """Return the number of uncleared crashes of a request."""
         suspect = self._suspects.get(digest)
         return 0 if suspect is None else len(suspect.uncleared())
 
     def verdict(
         self, digest: digests.RequestDigest, now: datetime.timedelta
     ) -> Verdict | None:
-        """Return whether a request is in quarantine; None if it may run."""
+        """Return why and how long a request is blocked; None if it may run."""
         suspect = self._suspects.get(digest)
         if suspect is None or digest in self.policy.exempt:
             return None
@@ -194,19 +195,19 @@
     def completed(
         self, digest: digests.RequestDigest
     ) -> list[crash_evidence.SuspectedCrash]:
-        """Note that a request ran to its end; returns what that clears."""
+        """Record that a request completed; returns the crashes that this clears."""
         suspect = self._suspects.get(digest)
         return [] if suspect is None else self._clear(suspect.uncleared())
 
     def answered(
         self, server: servers.Incarnation, since: datetime.timedelta
     ) -> list[crash_evidence.SuspectedCrash]:
-        """Note that a server answered an exchange; returns what that clears.
+        """Record that a server answered an exchange; returns the cleared crashes.
 
         Args:
             server: The incarnation that answered.
-            since: When the exchange began; ends that were seen later stand, since an
-                answer may have been on its way already.
+            since: When the exchange began. Crashes seen later stand, since the
+                answer may already have been in transit.
         """
         found = [
             crash for crash in self._uncleared_crashes_of(server) if crash.at < since
@@ -216,14 +217,14 @@
     def crashes_of_request(
         self, digest: digests.RequestDigest
     ) -> list[crash_evidence.SuspectedCrash]:
-        """Return the pairs of a request that are not cleared."""
+        """Return the suspected crashes of a request that are not cleared."""
         suspect = self._suspects.get(digest)
         return [] if suspect is None else suspect.uncleared()
 
     def crashes_of_server(
         self, server: servers.Incarnation
     ) -> list[crash_evidence.SuspectedCrash]:
-        """Return the pairs of all requests that a server's end broke off."""
+        """Return the suspected crashes of all requests that a server ran."""
         crashes = (
             self._suspects[digest].crashes[server]
             for digest in self._by_server.get(server, ())
@@ -231,11 +232,11 @@
         return [crash for crash in crashes if not crash.server_alive]
 
     def crashed_servers(self) -> abc.Iterable[servers.Incarnation]:
-        """Return the servers under whose ends any request is or was suspected."""
+        """Return the servers with a suspected crash, cleared or not."""
         return self._by_server.keys()
 
     def repeated_crashes(self) -> list[list[crash_evidence.SuspectedCrash]]:
-        """Return the pairs of each request that is in or close to quarantine."""
+        """Return the crashes of each request that is in or close to quarantine."""
         found = (self._suspects[digest].uncleared() for digest in self._repeated)
         return [uncleared for uncleared in found if len(uncleared) >= _REPEATED]
 
@@ -251,7 +252,7 @@
         }
 
     def remove_expired(self, now: datetime.timedelta) -> None:
-        """Drop what has expired."""
+        """Remove expired records."""
         self._remove_expired(list(self._suspects), now)
 
     def _remove_expired(
@@ -267,7 +268,7 @@
     def _uncleared_crashes_of(
         self, server: servers.Incarnation
     ) -> list[crash_evidence.SuspectedCrash]:
-        """Return the pairs of a server that are not cleared."""
+        """Return the suspected crashes of a server that are not cleared."""
         crashes = (
             self._suspects[digest].crashes[server]
             for digest in self._by_server.get(server, ())
@@ -294,10 +295,10 @@
         return cleared
 
     def _limit_memory(self, now: datetime.timedelta) -> None:
-        """Keep the memory bounded; the oldest of the least suspected leave first.
+        """Evict requests above the bound, the fewest and oldest crashes first.
 
-        Otherwise whoever sends many requests that break off could have one forgotten
-        that has ended servers.
+        Evicting by age alone would let a sender of many interrupted requests push out
+        the record of one that crashes servers.
         """
         if len(self._suspects) <= MAX_DIGESTS:
             return
@@ -325,11 +326,11 @@
     crashes: int,
     candidates: abc.Collection[servers.Incarnation],
 ) -> frozenset[servers.Incarnation]:
-    """Return the servers that a suspect may use, alike at every instance.
+    """Return the servers that a suspect may use, the same at every instance.
 
     Args:
         digest: The suspect.
-        crashes: Under how many servers' ends it is suspected; another part each time.
+        crashes: Its number of crashes; each number gives another subset.
         candidates: Servers that take requests.
     """
     key = f"{digests.digest_text(digest)}/{crashes}"
--- a/src/pimentolatch/decisions/stall_check.py
+++ b/src/pimentolatch/decisions/stall_check.py
@@ -1,16 +1,16 @@
-"""Judges an engine that has not answered a request in the time that was expected.
-
-Load pattern: for some seconds more prompts arrive than engines read, so requests wait
-in the engines' queues for longer than expected. Given up there and sent to a second
-engine, each starts at the end of a queue again, and what it sends again is load as
-well: with 85 instances 763 repeats in ten seconds, where 743 were allowed. Silence
-alone does not tell such an engine from one that has stopped, and an instance that
-seldom sends to an engine can't tell by what the engine answers to others.
-
-So the engine is asked. One that does not answer has stopped. One that answers, has an
-empty queue and does not run the request has lost it, and so has one that has started
-again since, whatever it is busy with. In all other cases the request
-stays: nowhere else would it be done sooner.
+"""Checks whether an engine that has not answered in the expected time has stalled.
+
+Load pattern: for some seconds more prompts arrive than the engines can prefill, so
+requests wait in the engines' queues longer than expected. If they were abandoned there
+and retried at a second engine, each would start at the end of another queue and the
+retries would add load: with 85 instances, 763 retries in 10 s where 743 were allowed. A
+missing answer alone does not tell an overloaded engine from a stopped one, and an
+instance that rarely uses an engine can't judge by that engine's other answers.
+
+So the engine is asked for a report. If it doesn't answer, it has stopped. If it answers
+with an empty queue and doesn't run the request, it has lost the request; so has an
+engine that has restarted since, whatever it runs now. In all other cases the request
+stays, since no other engine would finish it sooner.
 """
 
 import datetime
@@ -20,15 +20,15 @@
 
 __all__ = ["MAX_REPORT_AGE", "RECHECK_INTERVAL", "Verdict", "request_status"]
 
-# A request whose engine works on it is looked at again after this; engines' reports are
+# Interval between checks of a request that the engine still has; engines' reports are
 # some hundred milliseconds old.
 RECHECK_INTERVAL = datetime.timedelta(milliseconds=900)
-# One report serves all requests that doubt the same engine.
+# A report this recent serves all requests that check the same engine.
 MAX_REPORT_AGE = datetime.timedelta(milliseconds=300)
 
 
 class Verdict(enum.Enum):
-    """What has become of a request, in words for the log."""
+    """State of a request at an engine; the values are written to the log."""
 
     HAS_IT = "the engine has it"
     LOST = "the engine has lost it"
@@ -39,12 +39,12 @@
 def request_status(
     report: reports.EngineReport | None, request_id: str, born: int | None = None
 ) -> Verdict:
-    """Return what has become of a request that an engine has not answered.
+    """Return the state of a request that an engine has not answered.
 
     Args:
-        report: The engine's report, asked for just now; None if it did not answer.
-        request_id: The request; it was sent longer ago than reports are old.
-        born: Start of the engine's life to which the request was sent, if known.
+        report: The engine's current report; None if it did not answer.
+        request_id: The request; it was dispatched before the report was made.
+        born: Start of the incarnation that the request was sent to, if known.
     """
     if report is None:
         return Verdict.SILENT
@@ -52,7 +52,7 @@
         return Verdict.REBORN
     if report.queued or request_id in report.runs:
         return Verdict.HAS_IT
-    # Prompts that are only read run without being listed.
+    # Prefill-only requests run without being listed.
     if report.running > len(report.runs):
         return Verdict.HAS_IT
     return Verdict.LOST
--- a/src/pimentolatch/decisions/work_accounting.py
+++ b/src/pimentolatch/decisions/work_accounting.py
@@ -1,9 +1,9 @@
-"""Keeps the callers' accounts: what a request is expected to cost, and what it did.
+"""Charges callers for the expected and the actual work of their requests.
 
-Load pattern: a caller states the longest answer it allows for every request and gets
-short ones, or the other way round. Charged by what it states, it would lose its share
-or take the others'. It is charged what is expected at arrival, and the difference when
-the answer has ended.
+Load pattern: a caller sets the largest allowed `max_tokens` on every request and gets
+short answers, or the other way round. Charged by that limit, it would lose its share or
+take that of others. So it is charged the expected work at arrival, and the difference
+when the answer is complete.
 """
 
 import datetime
@@ -20,7 +20,7 @@
     """Expected and charged work of callers.
 
     Args:
-        peers: What the other instances reported of the callers' demand.
+        peers: The callers' demand as reported by the other instances.
     """
 
     def __init__(self, peers: shares.PeerShares) -> None:
@@ -37,7 +37,7 @@
         self._rate_limits.set_instances(instances)
 
     def shares(self, now: datetime.timedelta) -> tuple[shares.CallerWork, ...]:
-        """Return the demands that peers need to know."""
+        """Return the demands to report to peers."""
         return self._rate_limits.shares(now)
 
     def track(
@@ -47,7 +47,7 @@
         engines: abc.Sequence[schema.Engine],
         now: datetime.timedelta,
     ) -> model_queues.TrackedRequest:
-        """Return a new request with the work expected of it."""
+        """Return a new request with its expected work."""
         prompt = work.prompt_tokens(request.prompt)
         output = self._estimates.expected(
             request.caller, request.model, prompt, request.max_tokens
@@ -63,7 +63,7 @@
     def check_limit(
         self, tracked: model_queues.TrackedRequest, now: datetime.timedelta
     ) -> results.Refusal | None:
-        """Return the refusal of a caller that is over its limit, or None."""
+        """Return the refusal if the caller is over its limit, else None."""
         if tracked.caller is None:
             return None
         answer = self._rate_limits.check(tracked.caller, tracked.units, now)
@@ -82,7 +82,7 @@
         units: float,
         now: datetime.timedelta,
     ) -> None:
-        """Charge a caller for work; negative units give some back."""
+        """Charge a caller for work; negative units are credited."""
         if tracked.caller is not None:
             self._rate_limits.charge(tracked.caller, units, now)
 
@@ -93,7 +93,7 @@
         tokens: int,
         now: datetime.timedelta,
     ) -> None:
-        """Learn from a whole answer and charge what it was beyond expectation."""
+        """Learn from a complete answer and charge the difference to the estimate."""
         request, estimate = tracked.request, tracked.expected_work
         self._estimates.observe(
             request.caller, request.model, estimate.prompt_tokens, tokens
