--- a/src/pimentolatch/decisions/health.py
+++ b/src/pimentolatch/decisions/health.py
@@ -1,24 +1,24 @@
-"""Finds slow and failing backend servers by their answers.
+"""Detects slow and failing backend servers by their answers.
 
 Load pattern: one engine runs at a tenth of its speed, because of heat, a bad link or a
-neighbour. It still answers, so no health check finds it. Spread evenly, its share of
-all answers is late; chosen by outstanding work alone, it still holds a full batch of
-requests, each ten times as long.
-
-Each answer gives a pace: the time it took over the time that was expected of it. A
-server's slowness is its mean pace over the median of its peers, so that a fault of
-everybody (or of the expectation) condemns nobody. Its share falls with its slowness.
-From four times as slow, or after three failures in a row, it is ejected: it gets one
-request at a time, as a probe, and only after a pause. The pause doubles up to a minute
-while probes are bad.
-
-At most half of the servers are ejected. Beyond that the fault is more likely ours or
-the network's, and the rest would fall under the load of all.
-
-Grounds: an engine that also reads prompts writes at half its rate, and how much faster
-a small batch runs is not known, which leaves another factor of two; so equal engines
-may differ by four at the extremes, and routing keeps them from these. Three
-observations are what a stream gives within its first 50 tokens.
+noisy neighbour. It still answers, so no health check finds it. With even load balancing
+its share of all answers is late; with least outstanding work it still holds a full
+batch of requests, each taking ten times as long.
+
+Each answer gives a latency ratio: the time it took over the expected time. A server's
+slowness is its mean ratio over the median of its peers, so that a fault common to all
+(or a wrong expectation) ejects none. Its share of the load falls with its slowness.
+When it is four times as slow, or after three failures in a row, it is ejected: it gets
+one request at a time, as a probe, and only after a pause. The pause doubles up to a
+minute while probes fail.
+
+At most half of the servers are ejected. Beyond that the fault is more likely local or
+in the network, and the remaining servers would fail under the whole load.
+
+Grounds: an engine that also prefills decodes at half its rate, and the speed-up of
+small batches is not known, which leaves another factor of two; so equal engines may
+differ by four at the extremes, and routing keeps them from these. Three observations
+are what a stream gives within its first 50 tokens.
 """
 
 import dataclasses
@@ -50,7 +50,7 @@
 
 
 class ServerHealth:
-    """Paces and failures of the servers that this instance sends to."""
+    """Latency ratios and failures of the servers that this instance uses."""
 
     def __init__(self) -> None:
         self._servers: dict[str, _Server] = {}
@@ -58,11 +58,11 @@
     def observe(
         self, server: str, latency_ratio: float, now: datetime.timedelta
     ) -> None:
-        """Learn from an answer, or a part of one.
+        """Record an answer, or a part of one.
 
         Args:
-            server: Who gave it.
-            latency_ratio: Time it took over the time expected of it.
+            server: The server that answered.
+            latency_ratio: Time it took over the expected time.
             now: The time.
         """
         known = self._servers.setdefault(server, _Server())
@@ -70,7 +70,7 @@
         if known.observations == 0 or (
             known.ejected and latency_ratio < known.latency_ratio
         ):
-            # A good probe speaks for itself: the mean still holds the bad time.
+            # A fast probe replaces the mean, which still contains the slow period.
             known.latency_ratio = latency_ratio
         else:
             known.latency_ratio += _GAIN * (latency_ratio - known.latency_ratio)
@@ -78,7 +78,7 @@
         known.failures = 0
 
     def failed(self, server: str, now: datetime.timedelta) -> None:
-        """Learn of an answer that broke off or never began."""
+        """Record an answer that broke off or never began."""
         known = self._servers.setdefault(server, _Server())
         known.failures += 1
         if known.ejected:
@@ -101,7 +101,7 @@
     def update_ejections(
         self, servers: abc.Collection[str], now: datetime.timedelta
     ) -> None:
-        """Eject the servers that are slow or fail, and take back those that mended."""
+        """Eject slow and failing servers and readmit those that recovered."""
         slowness = {server: self.slowness(server, servers) for server in servers}
         ejections_left = int(_MAX_EJECTED_SHARE * len(servers))
         ejections_left -= sum(self.ejected(server) for server in servers)
@@ -132,11 +132,11 @@
         return now >= self._servers[server].probe_at
 
     def probed(self, server: str, now: datetime.timedelta) -> None:
-        """Note that a probe is sent; the next one waits longer."""
+        """Record that a probe is sent; the next one waits longer."""
         self._postpone(self._servers[server], now)
 
     def retain(self, servers: abc.Set[str]) -> None:
-        """Drop all servers but these, which are the document's."""
+        """Remove all servers but these, which are the document's."""
         for name in self._servers.keys() - servers:
             del self._servers[name]
 
--- a/src/pimentolatch/decisions/rate_limits.py
+++ b/src/pimentolatch/decisions/rate_limits.py
@@ -1,25 +1,25 @@
-"""Holds each caller to its limit over all instances, without asking anybody.
+"""Enforces callers' rate limits over all instances, without a central service.
 
-Load pattern: a caller's loop goes wrong and sends without end through every instance
-at once. Without a limit its work fills the queues of all of them; with a full limit at
-each, it gets as many times its limit as there are instances; with an equal part at
-each, a caller whose balancer prefers one instance gets only a fraction of its due.
+Load pattern: a faulty loop of a caller sends without end through every instance at
+once. Without a limit its work fills the queues of all of them. With the full limit at
+each, it gets its limit times the number of instances. With an equal share at each, a
+caller whose balancer prefers one instance gets only a fraction of its limit.
 
-Each instance refills a bucket at its part of the caller's limit. A tenth of the limit
-is divided evenly, the rest by demand: what this instance is asked, against what the
-peers last reported. The parts add up to one, so at rest the total is the limit. The
+Each instance refills a token bucket at its share of the caller's limit. A tenth of the
+limit is divided evenly, the rest by demand: local demand against what the peers last
+reported. The shares add up to one, so in a steady state the total is the limit. The
 even tenth lets a caller that moves to another instance start there at once; the rest
-follows with the next report. It is also what a caller loses that uses one instance
-only, which is why it is not more.
+follows with the next report. A caller that uses one instance only loses that tenth,
+which is why it is not larger.
 
-Instances that can't see each other: those that are heard divide only `heard / all` of
-the limit among them. Every group does the same, so the total stays at the limit
-however the fleet is split, and nobody's part falls to nothing. What goes above it is
-bounded: by the burst once, by one request for each instance (a bucket above zero
-admits a request of any size, or a long one never could run), and by the limit times
-the age of the reports when demand moves.
+In a network partition, the instances that reach each other divide only `reachable /
+all` of the limit among them. Every group does the same, so the total stays at the limit
+however the fleet is split, and no share falls to zero. The excess is bounded: by the
+burst once, by one request per instance (a bucket above zero admits a request of any
+size; otherwise a long one could never run), and by the limit times the age of the
+reports when demand moves.
 
-A caller takes up state while its bucket is not full or its demand is not forgotten.
+A caller takes up state while its bucket is not full or its demand has not decayed.
 """
 
 import dataclasses
@@ -63,7 +63,7 @@
     """Token buckets of callers, in units of work.
 
     Args:
-        peers: What the other instances reported.
+        peers: Demand that the other instances reported.
     """
 
     def __init__(self, peers: shares.PeerShares) -> None:
@@ -74,17 +74,17 @@
 
     @property
     def known_callers(self) -> int:
-        """Callers that take up state."""
+        """Number of callers that take up state."""
         return len(self._buckets)
 
     def set_instances(self, instances: int) -> None:
-        """Set how many instances share the limits, this one and unheard ones too."""
+        """Set how many instances share the limits, including unreachable ones."""
         self._instances = max(1, instances)
 
     def check(
         self, caller: schema.Caller, units: float, now: datetime.timedelta
     ) -> Granted | Exceeded:
-        """Tell whether a caller may bring work now; takes nothing yet."""
+        """Tell whether a caller may bring work now; charges nothing yet."""
         bucket = self._bucket(caller, now)
         bucket.demand += units / _DEMAND_MEMORY_S
         if bucket.level > 0:
@@ -95,14 +95,14 @@
     def charge(
         self, caller: schema.Caller, units: float, now: datetime.timedelta
     ) -> None:
-        """Take work that was admitted; negative units give some back."""
+        """Charge admitted work; negative units are credited."""
         bucket = self._bucket(caller, now)
         bucket.level = min(bucket.size, bucket.level - units)
 
     def shares(self, now: datetime.timedelta) -> tuple[shares.CallerWork, ...]:
-        """Return the demands that peers need to know.
+        """Return the demands to report to peers.
 
-        Callers within the part that everybody has anyway are left out.
+        Callers whose demand is within the even share are left out.
         """
         self._sweep(now)
         reported = []
@@ -113,7 +113,7 @@
         return tuple(reported)
 
     def local_share(self, caller: str, demand: float) -> float:
-        """Return this instance's part of a caller's limit, from 0 to 1."""
+        """Return this instance's share of a caller's limit, from 0 to 1."""
         reachable = min(self._instances, 1 + self._peers.instances())
         group = reachable / self._instances
         total_demand = demand + self._peers.caller(caller)
@@ -124,7 +124,8 @@
         bucket = self._buckets.get(caller.name)
         if bucket is None:
             self._sweep(now)
-            # The other instances may be meeting this caller at the same moment.
+            # The other instances may see this caller for the first time at the same
+            # moment.
             level = caller.burst_tokens / self._instances
             bucket = _Bucket(level, 0.0, now, 1.0, level, caller.tokens_per_second)
             self._buckets[caller.name] = bucket
--- a/src/pimentolatch/decisions/repeat_budget.py
+++ b/src/pimentolatch/decisions/repeat_budget.py
@@ -1,13 +1,13 @@
 """Bounds how often requests are sent to a second server, over all instances.
 
 Load pattern: a third of the servers fail part of their requests. If every instance
-sends each of these again, and again, the sound servers take twice their load and fail
-too; that state stays after the fault is over.
+retries each of these repeatedly, the healthy servers take twice their load and fail
+too; that state persists after the fault is over.
 
-The operator bounds the repeats for each service: a share of the requests in a sliding
-window and a fixed slack, summed over all instances. Each instance works with the share
-of its own requests and its part of the slack, so the sum stays within the bound
-without a message between them, also when they are cut off from each other.
+The operator bounds the repeats of each service: a share of the requests in a sliding
+window plus a fixed slack, summed over all instances. Each instance uses the share of
+its own requests and its part of the slack, so the sum stays within the bound without
+coordination, also during a network partition.
 """
 
 import collections
@@ -15,10 +15,10 @@
 
 __all__ = ["RepeatBudget"]
 
-# The bound is kept with a margin: a request that arrived here at the end of one window
-# may be counted by its server in the next.
+# Safety margin: a request that arrived here at the end of one window may be counted by
+# its server in the next.
 _USED_SHARE = 0.8
-# Instances that are reckoned with before any was heard: fleets of today have eight.
+# Instances assumed before any was discovered; a usual fleet has eight.
 _ASSUMED_INSTANCES = 8
 
 
@@ -27,7 +27,7 @@
 
     Args:
         ratio: Repeats allowed for each request in a window.
-        slack: Repeats that all instances together may make besides.
+        slack: Additional repeats allowed to all instances together.
         window: Length of the sliding window.
     """
 
@@ -40,16 +40,15 @@
         self._instances = _ASSUMED_INSTANCES
 
     def configure(self, ratio: float, slack: float, window: datetime.timedelta) -> None:
-        """Change the bound; what was counted stays counted."""
+        """Change the bound; earlier counts remain."""
         self._ratio = ratio
         self._slack = slack
         self._window = window
 
     def set_instances(self, instances: int) -> None:
-        """Divide the slack by the instances that live, this one included.
+        """Divide the slack by the live instances, this one included.
 
-        Instances that were heard once count on: one that is cut off spends its part
-        all the same.
+        The number never falls: an instance that is cut off still spends its part.
         """
         self._instances = max(instances, self._instances)
 
@@ -58,7 +57,7 @@
         self._recent(self._requests, service, now).append(now)
 
     def spend(self, service: str, now: datetime.timedelta) -> bool:
-        """Take one repeat; False if the window holds as many as are allowed."""
+        """Spend one repeat; False if the window holds as many as are allowed."""
         requests = len(self._recent(self._requests, service, now))
         repeats = self._recent(self._repeats, service, now)
         allowed = self._ratio * requests + self._slack / self._instances
--- a/src/pimentolatch/decisions/retries.py
+++ b/src/pimentolatch/decisions/retries.py
@@ -1,23 +1,23 @@
-"""Decides whether a failed dispatch may be tried again.
+"""Decides whether a failed dispatch may be retried.
 
-Load pattern: a short fault fails a part of all dispatches. If each is tried three
-times at once, and callers try again on top, the load grows when the capacity is gone,
-and stays after the fault is over: a metastable failure.
+Load pattern: a short fault fails a part of all dispatches. If each is retried three
+times at once, and callers retry on top, the load grows while capacity is down and stays
+high after the fault is over: a metastable failure.
 
 Only this layer retries; clients of backend servers never do. Retries are paid from a
 budget that successes fill, so they add at most the document's share to the load, even
-if everything fails. Two kinds are free: a stream that already gave tokens is resumed,
-since dropping it would waste them, and a server that certainly did not run the
-request cost no engine time. Both are bounded by the attempts of one request.
-`requests.stream` draws the pauses in between.
-
-A request that may not be repeated is never tried again once a byte of it was sent; the
-request layer decides that, before it asks here.
-
-Grounds: a tenth of the successes (the document's default) covers the loss of one
-engine of ten. At first there are 32, one engine's batch, so that the loss of an engine
-in a quiet hour finds enough saved. The budget holds no more than a hundred, so that a
-quiet day does not pay for a storm.
+if everything fails. Two kinds are free: resuming a stream that already sent tokens,
+since dropping it would waste them, and retrying a request that its server certainly did
+not run, since it cost no engine time. Both are bounded by the request's attempts.
+`requests.stream` adds the backoff in between.
+
+A non-idempotent request is never retried once a byte of it was sent; the request layer
+decides that before it asks this one.
+
+Grounds: a tenth of the successes (the document's default) covers the loss of one engine
+of ten. The initial balance of 32, one engine's batch, covers the loss of an engine at
+low load. The balance is at most a hundred, so that a quiet day does not pay for a retry
+storm.
 """
 
 __all__ = ["RetryBudget"]
@@ -27,17 +27,17 @@
 
 
 class RetryBudget:
-    """Retries that may be spent."""
+    """Balance of retries that may be spent."""
 
     def __init__(self) -> None:
         self._balance = _INITIAL_BALANCE
 
     def succeeded(self, share: float) -> None:
-        """Save the document's share of a retry for a success."""
+        """Add the document's share of a retry for a success."""
         self._balance = min(_MAX_BALANCE, self._balance + share)
 
     def spend(self) -> bool:
-        """Take one retry; False if there is none left."""
+        """Spend one retry; False if the balance is below one."""
         if self._balance < 1:
             return False
         self._balance -= 1
--- a/src/pimentolatch/decisions/usage.py
+++ b/src/pimentolatch/decisions/usage.py
@@ -1,16 +1,16 @@
-"""Counts what customers' requests began to run, window by window, over a fleet.
-
-Load pattern: thousands of requests a second begin at hundreds of instances, of which
-any may end at any moment, while the platform takes one report a window and never a
-second one that differs. Asked one by one when a window has ended, the instances that
-ended since would be missing with all that they began.
-
-So each instance tells its counts of a window again and again while it lasts, as sums
-from its beginning: a lost or repeated message changes nothing, and the larger of two
-sums is the later one. Besides whoever reports, two neighbours hear them, which pass
-them on once the instance is no longer heard. A window is complete when every instance
-that is expected has told its last count of it; what is still missing when the report is
-due is named, and nothing is put in its place.
+"""Counts the requests of customers that started, per window and over the whole fleet.
+
+Load pattern: thousands of requests a second start at hundreds of instances, any of
+which may terminate at any moment, while the platform accepts one report per window and
+never a second one that differs. If the instances were polled after the end of a window,
+those that terminated since would be missing with all their counts.
+
+So each instance sends its counts of the running window repeatedly, as sums from its
+start: a lost or repeated message changes nothing, and the larger of two sums is the
+later one. Besides the reporting instance, two neighbours receive them and pass them on
+once the instance no longer responds. A window is complete when every expected instance
+has sent its final count of it. Instances that are still missing when the report is due
+are named, and nothing is estimated in their place.
 """
 
 import collections
@@ -28,24 +28,24 @@
     "window_of",
 ]
 
-# Windows that are remembered: the running one and those whose report may be due yet.
+# Windows in memory: the running one and those whose report may still be due.
 RETAINED_WINDOWS = 4
-# A request is counted in the window in which it began, which is known when its server
-# has answered. Nearly all that are answered whole are within this time.
+# A request is counted in the window in which it started, which is known when its server
+# has answered. Nearly all complete answers arrive within this time.
 _FINAL_AFTER = datetime.timedelta(milliseconds=1800)
-# How long after its end a window waits for instances that are not heard. Reports are
-# due five seconds after the next window's end; two of them are left to whoever takes
-# over from a reporter that ends.
+# How long after its end a window waits for instances that don't respond. Reports are
+# due 5 s after the end of the next window; 2 s of that are left to the successor of a
+# reporter that terminates.
 _MAX_REPORT_DELAY = datetime.timedelta(seconds=7)
-# How long whoever has just begun to report hears the others first, each of which tells
-# its counts every second once it knows the new holder. Taken at once, the few counts
-# that a neighbour of some had kept would pass for those of all.
+# How long a new reporter first receives the counts of the others, each of which sends
+# them every second once it knows the new reporter. Without this, the few counts that a
+# neighbour of some had cached would pass for those of all.
 _COLLECTION_TIME = datetime.timedelta(seconds=4)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Origin:
-    """One life of an instance."""
+    """One incarnation of an instance."""
 
     instance: str
     incarnation: str
@@ -53,13 +53,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """What one life of an instance has counted in a window, or a part of it.
+    """Counts of one incarnation of an instance in a window, or a part of them.
 
     Attributes:
         window: Number of the window.
         final: Nothing will be added.
-        total: Sum over all customers, those in other parts included.
-        counts: Requests that began, by customer.
+        total: Sum over all customers, including those in other parts.
+        counts: Requests that started, by customer.
     """
 
     origin: Origin
@@ -71,11 +71,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Total:
-    """What is to be reported of a window.
+    """Report of a window.
 
     Attributes:
-        counts: Requests that began, by customer; customers without one are left out.
-        missing: Instances whose last count was not heard.
+        counts: Requests that started, by customer; customers without any are left out.
+        missing: Instances whose final count was not received.
     """
 
     counts: tuple[tuple[str, int], ...]
@@ -113,12 +113,12 @@
 
 
 class UsageCounter:
-    """What one instance has counted, and what it has heard of others.
+    """Counts of one instance, and the counts received from others.
 
     Args:
-        own: This life of this instance.
+        own: This incarnation of this instance.
         length: Length of a window.
-        now: When this instance began to count; of windows before it knows nothing.
+        now: When this instance began to count; it knows nothing of earlier windows.
     """
 
     def __init__(
@@ -130,7 +130,7 @@
         self._windows: dict[int, dict[Origin, _Received]] = {}
 
     def count_started(self, customer: str, moment: datetime.datetime) -> bool:
-        """Count a request that began; False if its window has settled already."""
+        """Count a request that started; False if its window is already final."""
         own = self._counts_of(window_of(moment, self._length), self._own)
         if own.final:
             return False
@@ -139,7 +139,7 @@
         return True
 
     def own_rows(self, now: datetime.datetime) -> list[Row]:
-        """Return what is to be told of this instance, the newest window first."""
+        """Return the counts of this instance to send, the newest window first."""
         newest = window_of(now, self._length)
         self._remove_before(newest - RETAINED_WINDOWS + 1)
         rows = []
@@ -153,12 +153,12 @@
         return rows
 
     def merge(self, row: Row) -> None:
-        """Take what an instance tells, of itself or of one that is gone."""
+        """Merge counts of another instance, sent by itself or by a neighbour."""
         if row.origin != self._own:
             self._counts_of(row.window, row.origin).merge(row)
 
     def rows_of_terminated(self, live: abc.Container[str]) -> list[Row]:
-        """Return what was heard of instances that are no longer."""
+        """Return the counts received from instances that are no longer live."""
         return [
             _row(origin, window, received)
             for window, by_origin in self._windows.items()
@@ -173,13 +173,13 @@
         now: datetime.datetime,
         since: datetime.datetime,
     ) -> Total | None:
-        """Return what is to be reported of a window.
+        """Return the report of a window.
 
-        None while it is not complete, and where nobody has told anything of it.
+        None while it is not complete, and if no counts of it were received.
 
         Args:
             window: Its number.
-            live: Other instances that are expected to tell of it.
+            live: Other instances that are expected to send counts.
             now: The time.
             since: When this instance began to report.
         """
