--- a/src/pimentolatch/decisions/admission.py
+++ b/src/pimentolatch/decisions/admission.py
@@ -1,27 +1,27 @@
 """Decides at arrival whether a request can still be answered in time.
 
-Load pattern: twice the work that the engines can do, for minutes. Without a decision
-at arrival the queue grows until every answer is late: all engines are busy and nobody
-is served, and callers that time out and ask again keep it so after the load has gone
-(a metastable failure). A refusal costs nothing when it comes at once; after a wait it
-has cost the caller that wait.
+Load pattern: twice the work that the engines can do, for minutes. Without admission
+control the queue grows until every answer is late: all engines are busy, no request is
+served in time, and callers that time out and retry keep it so after the load has
+dropped (a metastable failure). A refusal at arrival costs the caller nothing; after a
+wait it has cost that wait.
 
 A request is admitted if its predicted wait is within the document's bound and its
 predicted finish within its deadline. The wait is the work that fair queueing serves
-before it, divided by the rate at which this queue was drained lately. That rate is
-measured, so it contains what other instances take from the same engines. Because the
-wait is bounded, so is the queue; the bound on its length only holds against requests
-without work.
-
-Refused requests are told when to come back: when the queue is predicted to have room,
-each one after the work of those refused before it. Told the same second, they would
-all come back in it and be refused again.
-
-Grounds: requests are admitted up to 0.7 of the wait bound; the rest is for what the
-forecast can't know, so that few are refused only after they waited. A window of one
-second is long against a dispatch (milliseconds) and short against the default wait
-bound (10 s). Times to come back end at 30 s: a swing of the load takes minutes, but a
-caller with a person waiting does not come back later.
+before it, divided by the rate at which this queue drained recently. That rate is
+measured, so it includes the load of other instances on the same engines. Bounding the
+wait bounds the queue; the limit on its length only guards against requests without
+work.
+
+Refused requests get a retry time: when the queue is predicted to have capacity, each
+one after the work of those refused before it. With the same retry time, all would
+return in the same second and be refused again.
+
+Grounds: requests are admitted up to 0.7 of the wait bound; the rest covers forecast
+errors, so that few are refused after they waited. A window of one second is long
+against a dispatch (milliseconds) and short against the default wait bound (10 s). Retry
+times are at most 30 s: a swing of the load takes minutes, but a caller with a person
+waiting does not retry later.
 """
 
 import dataclasses
@@ -54,19 +54,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request may wait; `latest_start` is when it no longer may."""
+    """The request may wait until `latest_start`."""
 
     latest_start: datetime.timedelta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forecast:
-    """What is predicted of a request.
+    """Prediction for a request.
 
     Attributes:
         wait: Time until an engine starts it.
         run: Time from then to the end of its answer.
-        length: Requests that wait now.
+        length: Number of requests in the queue now.
     """
 
     wait: datetime.timedelta
@@ -88,16 +88,16 @@
 
     @property
     def units_per_second(self) -> float:
-        """The rate of late."""
+        """The recent rate."""
         return self._rate
 
     def drained(self, units: float, now: datetime.timedelta, waiting: int) -> None:
-        """Count work that left; `waiting` requests stay behind it.
+        """Count work that left the queue; `waiting` requests remain in it.
 
-        Time in which nothing waits says how much was asked, not how much could have
-        been done, so it is left out. The last part of a busy time counts by its
-        length: without it, only the time in which engines are full would be measured,
-        and not the time in which they drain the queue.
+        Time with an empty queue shows the demand, not the capacity, so it is left out.
+        The last part of a busy period is weighted by its length; without it, the rate
+        would cover only the time in which engines are full, not that in which they
+        drain the queue.
         """
         if self._since is None:
             if waiting:
@@ -114,12 +114,12 @@
 
 
 class WaitCorrection:
-    """Learns how predicted waits turn out, and adds a margin for their spread.
+    """Corrects predicted waits by earlier errors and adds a margin for their spread.
 
-    A predicted wait knows what waits now, not what will overtake the request. Without
-    a correction requests are admitted that are refused after the whole wait. The
+    A predicted wait covers the present queue, not the requests that will overtake this
+    one. Uncorrected, requests are admitted that are refused after the whole wait. The
     errors grow with the wait, so the margin is a factor: twice the mean deviation, as
-    in a retransmission timer.
+    in a TCP retransmission timer.
     """
 
     def __init__(self) -> None:
@@ -127,13 +127,13 @@
         self._deviation = 0.0
 
     def corrected(self, predicted: datetime.timedelta) -> datetime.timedelta:
-        """Return a predicted time by what was learned."""
+        """Return the corrected prediction."""
         return predicted * min(self._mean + 2 * self._deviation, _MAX_RATIO)
 
     def observe(
         self, predicted: datetime.timedelta, actual: datetime.timedelta
     ) -> None:
-        """Learn from a time that was predicted; short ones tell nothing."""
+        """Learn from an actual time; short predictions are ignored."""
         if predicted < _MIN_CALIBRATED:
             return
         error = min(actual / predicted, _MAX_RATIO) - self._mean
@@ -142,12 +142,12 @@
 
 
 class RunCorrection:
-    """Learns how predicted runs turn out, and adds a margin for their spread.
+    """Corrects predicted run times by earlier errors and adds a margin for spread.
 
-    A predicted run knows the mean length of answers, not this one's. Without a
-    correction requests are admitted that are cut at their deadline. The errors come
-    from the batch more than from the length, so the margin is a time; as a factor it
-    would refuse requests that would have been in time.
+    A predicted run uses the mean length of answers, not this one's. Uncorrected,
+    requests are admitted that are cut at their deadline. The errors come from the batch
+    more than from the length, so the margin is a time; a factor would refuse requests
+    that would have been in time.
     """
 
     def __init__(self) -> None:
@@ -155,14 +155,14 @@
         self._error_s = 0.0
 
     def corrected(self, predicted: datetime.timedelta) -> datetime.timedelta:
-        """Return a predicted time by what was learned."""
+        """Return the corrected prediction."""
         margin = datetime.timedelta(seconds=2 * self._error_s)
         return predicted * self._ratio + margin
 
     def observe(
         self, predicted: datetime.timedelta, actual: datetime.timedelta
     ) -> None:
-        """Learn from a time that was predicted; short ones tell nothing."""
+        """Learn from an actual time; short predictions are ignored."""
         if predicted < _MIN_CALIBRATED:
             return
         ratio = min(actual / predicted, _MAX_RATIO)
@@ -172,7 +172,7 @@
 
 
 class RetryTimes:
-    """Spreads the times at which refused callers come back."""
+    """Spreads the retry times of refused requests."""
 
     def __init__(self) -> None:
         self._next = datetime.timedelta()
@@ -183,10 +183,10 @@
         work: datetime.timedelta,
         now: datetime.timedelta,
     ) -> datetime.timedelta:
-        """Return how long a refused caller should stay away.
+        """Return how long a refused caller should wait before it retries.
 
         Args:
-            until_capacity: Time until the queue has room again.
+            until_capacity: Time until the queue has capacity again.
             work: Time the queue takes to serve this request.
             now: The time.
         """
@@ -203,8 +203,8 @@
 ) -> Admitted | results.Refusal:
     """Admit a request or refuse it.
 
-    The refusal's `retry_after` is the time until the queue has room; None if the
-    request could not be in time even without a wait.
+    The refusal's `retry_after` is the time until the queue has capacity; None if the
+    request would miss its deadline even without a wait.
     """
     limit = datetime.timedelta(seconds=policy.queue_wait_limit_s)
     slack = deadline - now - forecast.run
--- a/src/pimentolatch/decisions/fair_queue.py
+++ b/src/pimentolatch/decisions/fair_queue.py
@@ -1,28 +1,28 @@
-"""Decides which waiting request is next.
+"""Fair queue that decides which waiting request is served next.
 
-Load pattern: one caller sends ten times what all others send; briefings of seconds
-stand among drafts of milliseconds; everything is marked urgent. First come, first
-served then makes everybody wait behind the hot caller and every draft behind the
-briefings.
+Load pattern: one caller sends ten times as much as all others; briefings that take
+seconds are mixed with drafts that take milliseconds; every request is marked urgent.
+In first-come, first-served order all callers wait behind the hot caller and every draft
+behind the briefings.
 
 Between callers: start-time fair queueing, which gives each waiting caller engine time
-by its weight. It was preferred to deficit round robin: with requests from 200 to
-100,000 units no quantum fits, and either a round serves one caller for seconds or
-thousands of rounds are walked before somebody may be served. Two callers that both
-wait are never further apart than one request of each, whatever the sizes.
-
-Within a caller: by arrival, with a head start that short and urgent requests get.
-Ordering by `arrival + handicap` is shortest-first with ageing, at the price of a heap:
-a request can only be overtaken by those that arrive within its own handicap. Work adds
-a second for each 4,000 units, so a draft of 600 gets past a briefing of 20,000 that
-came up to 5 s earlier; the cap of 5 s is half of the default wait limit. A step of
-priority is worth half a second. So nobody is overtaken by what comes more than 8.5 s
-later. Priority counts among the requests of one caller only: across callers it would
-be a way to take the others' share.
-
-An operation costs O(log n) in the waiting callers and requests; a forecast also walks
-the caller's own requests and, up to 256, the waiting callers. A caller without
-waiting requests is forgotten as soon as the others have caught up with it.
+by its weight. Deficit round robin does not fit: with requests from 200 to 100,000 units
+there is no good quantum, and either a round serves one caller for seconds or thousands
+of rounds pass before any request is served. The service of two waiting callers never
+differs by more than one request of each, whatever the sizes.
+
+Within a caller: by arrival, with a head start for short and urgent requests. Ordering
+by `arrival + handicap` is shortest-first with ageing, at the cost of a heap: a request
+can only be overtaken by those that arrive within its own handicap. Work adds a second
+for each 4,000 units, so a draft of 600 overtakes a briefing of 20,000 that arrived up
+to 5 s earlier; the cap of 5 s is half of the default wait limit. A step of priority is
+worth half a second. So no request is overtaken by one that arrives more than 8.5 s
+later. Priority counts only among the requests of one caller: across callers it could be
+used to take the others' share.
+
+An operation costs O(log n) in the waiting callers and requests; a forecast also visits
+the caller's own requests and, up to 256, the waiting callers. A caller without waiting
+requests is evicted as soon as the others have caught up with it.
 """
 
 import dataclasses
@@ -53,9 +53,9 @@
     Attributes:
         units: Expected work, in units.
         weight: The caller's share relative to other callers.
-        priority: 0 to 7; higher goes first among the caller's own.
-        arrived: When it came, on the monotonic clock.
-        latest_start: After this it is no longer of use to start it.
+        priority: 0 to 7; higher goes first among the caller's own requests.
+        arrived: Arrival time on the monotonic clock.
+        latest_start: After this it is too late to start the request.
     """
 
     request_id: str
@@ -68,7 +68,7 @@
 
     @property
     def order(self) -> float:
-        """Place among the caller's own requests; the lowest is next."""
+        """Sort key among the caller's own requests; the lowest is next."""
         handicap = min(self.units / _UNITS_PER_SECOND_OF_HANDICAP, _MAX_HANDICAP_S)
         priority = min(max(self.priority, 0), _HIGHEST_PRIORITY)
         arrived = self.arrived.total_seconds()
@@ -97,7 +97,7 @@
         self._flows: dict[str, _Flow] = {}
         self._turns: list[tuple[float, int, str]] = []
         self._latest: list[tuple[datetime.timedelta, int, str]] = []
-        # Where callers without waiting requests stood; see `_forget_idle`.
+        # Finish tags of callers without waiting requests; see `_evict_idle`.
         self._idle: dict[str, float] = {}
         self._idle_order: list[tuple[float, str]] = []
         self._units = 0.0
@@ -113,7 +113,7 @@
 
     @property
     def known_callers(self) -> int:
-        """Callers that take up state."""
+        """Number of callers that take up state."""
         return len(self._flows) + len(self._idle)
 
     def units_of(self, caller: str) -> float:
@@ -158,14 +158,14 @@
         return item
 
     def remove(self, request_id: str) -> QueuedRequest | None:
-        """Remove a request whose caller went away."""
+        """Remove a request whose caller disconnected."""
         item = self._waiting.get(request_id)
         if item is not None:
             self._remove(item, self._flows[item.caller])
         return item
 
     def expire(self, now: datetime.timedelta) -> list[QueuedRequest]:
-        """Remove and return the requests that are no longer of use to start."""
+        """Remove and return the requests that are too late to start."""
         expired = []
         while self._latest and self._latest[0][0] < now:
             _, _, request_id = heapq.heappop(self._latest)
@@ -180,18 +180,18 @@
         return self._latest[0][0] if self._latest else None
 
     def settle(self, caller: str, units: float, weight: float) -> None:
-        """Charge a caller for work above (or below) what was expected of it."""
+        """Charge a caller for work above (or below) the expected work."""
         if flow := self._flows.get(caller):
             flow.debt += units / weight
         elif caller in self._idle:
             self._set_idle(caller, self._idle[caller] + units / weight)
 
     def units_before(self, item: QueuedRequest) -> float:
-        """Return the work that is served before a new request ends its wait.
+        """Return the work that is served before a new request would start.
 
-        While the caller's own work ahead of it is served, and until the others have
-        caught up with what it was served before, every other caller gets at most its
-        share by weight, and no more than it has waiting.
+        While the caller's own earlier work is served, and until the others have caught
+        up with its earlier service, every other caller gets at most its share by
+        weight, and no more than it has waiting.
         """
         flow = self._flows.get(item.caller)
         own = 0.0 if flow is None else self._units_ahead(flow, item.order)
@@ -249,10 +249,10 @@
         heapq.heappush(self._idle_order, (finish, caller))
 
     def _evict_idle(self) -> None:
-        """Forget idle callers that the others have caught up with.
+        """Evict idle callers that the others have caught up with.
 
         A caller that sends one request at a time is idle between them. Without its
-        finish tag it would start anew each time and pass those who wait.
+        finish tag it would start afresh each time and overtake those that wait.
         """
         while self._idle_order:
             finish, caller = self._idle_order[0]
--- a/src/pimentolatch/decisions/model_queues.py
+++ b/src/pimentolatch/decisions/model_queues.py
@@ -1,7 +1,7 @@
-"""The queue of one model, and what is remembered of its requests.
+"""The queue of one model with its drain rate and forecast corrections.
 
-Load pattern: two models on different engines, one of them full. In one queue its
-requests would stand before those that could start at once.
+Load pattern: two models on different engines, one of them full. In a shared queue its
+requests would block those that could start at once (head-of-line blocking).
 """
 
 import dataclasses
@@ -19,11 +19,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """What the decisions need to know of a completion.
+    """The attributes of a completion that decisions depend on.
 
     Attributes:
         deadline: On the monotonic clock.
-        priority: 0 to 7; higher goes first among the caller's own.
+        priority: 0 to 7; higher goes first among the caller's own requests.
     """
 
     request_id: str
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TrackedRequest:
-    """A request that waits or runs, with the work expected of it."""
+    """A request that waits or runs, with its expected work."""
 
     request: Request
     caller: schema.Caller | None
@@ -81,11 +81,11 @@
         self.retry_times = admission.RetryTimes()
 
     def wait_correction_for(self, caller: str) -> admission.WaitCorrection:
-        """Return how forecasts turn out for callers like this one.
+        """Return the wait correction for callers like this one.
 
-        Who holds most of the queue waits for what the others go on sending; the
-        others don't wait for what that one sends. One correction for both would
-        refuse the others for the errors in its forecasts.
+        A caller with most of the queued work waits for what the others keep sending;
+        the others don't wait for its requests. One correction for both would refuse the
+        others for the errors in its forecasts.
         """
         dominant = self.queue.units_of(caller) > self.queue.units / 2
         return self.dominant_caller_waits if dominant else self.waits
@@ -93,10 +93,10 @@
     def forecast(
         self, tracked: TrackedRequest, found: abc.Sequence[choice.Candidate]
     ) -> admission.Forecast:
-        """Predict the wait and the run of a new request.
+        """Predict the wait and the run time of a new request.
 
         Args:
-            tracked: The request; keeps what was predicted of it.
+            tracked: The request; the predictions are stored in it.
             found: The engines that serve the model.
         """
         before = self.queue.units_before(tracked.queue_entry(tracked.arrived))
@@ -120,7 +120,7 @@
     def with_retry_time(
         self, refusal: results.Refusal, tracked: TrackedRequest, now: datetime.timedelta
     ) -> results.Refusal:
-        """Give a refused request its own time to come back."""
+        """Give a refused request its own retry time."""
         if refusal.retry_after is None:
             return refusal
         rate = max(1.0, self.drain.units_per_second)
@@ -131,7 +131,7 @@
     def expired_refusal(
         self, tracked: TrackedRequest, now: datetime.timedelta
     ) -> results.Refusal:
-        """Return the final answer of a request that waited in vain."""
+        """Return the refusal of a request that no engine could start in time."""
         refusal = results.Refusal(
             results.ResultCode.OVERLOADED,
             "no engine was free in time",
--- a/src/pimentolatch/decisions/urgency.py
+++ b/src/pimentolatch/decisions/urgency.py
@@ -1,26 +1,26 @@
-"""Ranks requests in the engines' own queues.
+"""Assigns requests a priority level in the engines' own queues.
 
-Load pattern: more prompts arrive than can be read for some seconds. Served first come,
-first served, every request waits as long as the queue: soon all are late, and the
-urgent ones, which have the least time, fail first. The largest prompts of a route fail
-next, since their own reading takes most of the time that they have.
+Load pattern: for some seconds more prompts arrive than the engines can prefill. In
+first-come, first-served order every request waits as long as the queue: soon all are
+late, and the urgent ones, which have the least time, fail first. The largest prompts of
+a route fail next, since their own prefill takes most of their time.
 
-The route's rank goes first. Within a rank a request that can still be on time goes
-before one that can't. So the engines' time goes to requests that are on time, as many
-as there is time for, instead of making all of them late.
+The route's rank comes first. Within a rank, requests that can still be on time go
+before those that can't, so the engines' time goes to as many on-time requests as
+possible instead of making all of them late.
 
-What is left for late ones is nothing as long as the load lasts. So a share of them,
-drawn by lot, waits among those that are on time, and of the others the large prompts go
-first. Without that the largest tenth of a route, which is hardly ever on time, was
-served less than half as often as the whole. The share is what that takes; more would
-make on-time requests late for the sake of late ones.
+Late requests get nothing while the load lasts. So a random share of the large ones is
+queued with those that are on time, and of the others the large prompts go first.
+Without that, the largest tenth of a route, which is hardly ever on time, was served
+less than half as often as the whole. The share is the least that avoids this; more
+would make on-time requests late for the sake of late ones.
 
-No rank is put behind what is late in a lower one.
+No rank is queued behind late requests of a lower one.
 """
 
 __all__ = ["LEVELS", "level_of"]
 
-# Engines know ten urgencies, 0 first: three places for each of the first three ranks.
+# Engines have ten levels, 0 first: three for each of the first three ranks.
 LEVELS = 10
 _LEVELS_PER_RANK = 3
 _ON_TIME, _LATE_LARGE, _LATE = range(_LEVELS_PER_RANK)
@@ -28,15 +28,16 @@
 
 
 def level_of(rank: int, *, late: bool, large: bool, lot: float) -> int:
-    """Return the urgency of a request, 0 first.
+    """Return the priority level of a request, 0 first.
 
     Args:
         rank: Rank of its route, 0 first.
         late: Its first event can't be on time.
-        large: It is large among the prompts of its route. A bound on the time of its
-            own prefill would take all for large while engines keep nothing, and the
-            largest would be served least, since their lots went to the others.
-        lot: Drawn evenly from 0 to 1 for the request.
+        large: It is large among the prompts of its route. A bound on its own prefill
+        time
+            would make all prompts large while engines have empty prefix caches, and the
+            largest would be served least, since others would be promoted instead.
+        lot: Uniform random number from 0 to 1 of the request.
     """
     offset = _LATE_LARGE if large else _LATE
     if not late or (large and lot < _PROMOTED_SHARE):
