--- a/src/pimentolatch/decisions/admission.py
+++ b/src/pimentolatch/decisions/admission.py
@@ -211,19 +211,19 @@
     if slack < datetime.timedelta():
         return _refusal(
             results.ResultCode.DEADLINE_UNREACHABLE,
-            f"it takes {forecast.run.total_seconds():.1f} s, longer than its deadline",
+            f"run of {forecast.run.total_seconds():.1f} s would exceed the deadline",
             None,
         )
     if forecast.length >= QUEUE_LENGTH_LIMIT or forecast.wait > _ADMITTED_SHARE * limit:
         return _refusal(
             results.ResultCode.OVERLOADED,
-            f"the wait would be {forecast.wait.total_seconds():.1f} s",
+            f"queue wait of {forecast.wait.total_seconds():.1f} s is too long",
             max(forecast.wait - _ADMITTED_SHARE * limit, datetime.timedelta()),
         )
     if forecast.wait > slack:
         return _refusal(
             results.ResultCode.DEADLINE_UNREACHABLE,
-            f"after {forecast.wait.total_seconds():.1f} s of waiting it would be late",
+            f"{forecast.wait.total_seconds():.1f} s in queue would exceed the deadline",
             forecast.wait - slack,
         )
     return Admitted(now + min(slack, limit))
--- a/src/pimentolatch/decisions/model_queues.py
+++ b/src/pimentolatch/decisions/model_queues.py
@@ -134,7 +134,7 @@
         """Return the refusal of a request that no engine could start in time."""
         refusal = results.Refusal(
             results.ResultCode.OVERLOADED,
-            "no engine was free in time",
+            "no engine had capacity before the latest start of the request",
             results.Execution.NOT_RUN,
             _ZERO,
         )
--- a/src/pimentolatch/decisions/work_accounting.py
+++ b/src/pimentolatch/decisions/work_accounting.py
@@ -71,7 +71,7 @@
             return None
         return results.Refusal(
             results.ResultCode.CALLER_LIMIT,
-            f"the caller {tracked.caller.name} is over its limit",
+            f"caller {tracked.caller.name} is over its rate limit",
             results.Execution.NOT_RUN,
             answer.retry_after,
         )
