--- a/benchmarks/load_fakes.py
+++ b/benchmarks/load_fakes.py
@@ -11,9 +11,17 @@
 import statistics
 import typing
 
-from pimentolatch import fleet, results
+from pimentolatch import (
+    fleet,
+    results,
+)
 from pimentolatch.backend import outcomes
-from pimentolatch.decisions import dispatcher, lanes, outstanding_work, request_work
+from pimentolatch.decisions import (
+    dispatcher,
+    model_queues,
+    outstanding_work,
+    request_work,
+)
 from pimentolatch.document import schema
 
 __all__ = ["Arrival", "Baseline", "Fleet", "Outcome", "Ours", "document", "run"]
@@ -169,7 +177,7 @@
     """What one instance does with its requests."""
 
     def arrive(
-        self, request: lanes.Request, now: datetime.timedelta
+        self, request: model_queues.Request, now: datetime.timedelta
     ) -> results.Refusal | None:
         """Take a request, or refuse it."""
 
@@ -195,7 +203,7 @@
         self._sent: dict[str, str] = {}
 
     def arrive(
-        self, request: lanes.Request, now: datetime.timedelta
+        self, request: model_queues.Request, now: datetime.timedelta
     ) -> results.Refusal | None:
         """See `Policy.arrive`."""
         self._new.append(request.request_id)
@@ -236,7 +244,7 @@
         self.decisions = dispatcher.Dispatcher(name, "hakodate")
 
     def arrive(
-        self, request: lanes.Request, now: datetime.timedelta
+        self, request: model_queues.Request, now: datetime.timedelta
     ) -> results.Refusal | None:
         """See `Policy.arrive`."""
         answer = self.decisions.arrive(self._view, request, now)
@@ -291,7 +299,7 @@
         )
         if arrival.prefix:
             prompt = prompt[: -len(name)] + name
-        request = lanes.Request(
+        request = model_queues.Request(
             name, arrival.caller, MODEL, prompt, 1000, _time(now + arrival.deadline_s)
         )
         self._ids[name] = outcome, own
--- a/src/pimentolatch/decisions/crash_evidence.py
+++ b/src/pimentolatch/decisions/crash_evidence.py
@@ -1,21 +1,22 @@
-"""Weighs whether a request is the cause of the ends of the servers that ran it.
+"""Weighs the evidence that a request caused the crashes of the servers that ran it.
 
-Load pattern: servers end under a dozen requests each, and all of these are sent again.
-When half of a fleet is lost within a second, or two requests end servers at once, a
-request can lose three servers in a row and have caused none of these ends. Judged by
-their number alone, it is refused for as long as one that ends every server it reaches.
+Load pattern: servers with a dozen running requests each crash, and all these requests
+are retried. When half of a fleet is lost within a second, or two requests crash servers
+at once, an innocent request can lose three servers in a row. Judged by the number of
+crashes alone, it would be quarantined like a request that crashes every server.
 
-What tells the two apart, all of it known from the ends themselves:
+The records of the crashes themselves tell the two apart:
 
-- A request that ends its servers does so at about the same time after each sending.
-  One that is struck by other causes had run for any time by then.
-- A request that had run clearly longer than another one, on servers that ended under
-  both, is the less likely cause. Ends that a likelier cause explains prove nothing.
-- Ends of as many other servers around the same time have a cause of their own, and so
-  do three ends that several requests share.
+- A request that crashes its servers does so about equally long after each dispatch. A
+  request hit by other causes had run for varying times.
+- Of two requests on the same crashed servers, the one that had run clearly longer is
+  the less likely cause. Crashes that a likelier cause explains are no evidence.
+- Crashes of as many other servers around the same time have a cause of their own, and
+  so do three crashes that several requests share.
 
-A doubt lets a request be sent once more, after which the evidence differs: an innocent
-one runs to its end. Doubts are bounded, since each may cost a server.
+While the evidence is ambiguous the request may be dispatched once more, which gives new
+evidence: an innocent request completes. The number of such dispatches is bounded, since
+each may cost a server.
 """
 
 import dataclasses
@@ -26,156 +27,172 @@
 from pimentolatch.requests import digests
 from pimentolatch.routes import servers
 
-__all__ = ["MOST_DOUBTED", "Known", "Suspicion", "is_cause"]
+__all__ = ["MAX_AMBIGUOUS_CRASHES", "CrashRecords", "SuspectedCrash", "is_likely_cause"]
 
-# Ends this close together may have one cause.
-_SAME_CAUSE = datetime.timedelta(seconds=1)
-# Sendings this close together may have been begun in either order.
-_SAME_MOMENT = datetime.timedelta(milliseconds=10)
-# The longest time that a request took to end a server, as a multiple of the shortest.
-# One server may be slower than another, or have more work ahead of the request.
-_LARGEST_SPREAD = 3.0
-# Other requests with as many ends from which on none of them is taken for the cause.
-_SHARED_BY = 2
-# Servers that may end after the first doubt. The next end is taken for proof.
-MOST_DOUBTED = 2
+# Crashes this close together may have one cause.
+_COMMON_CAUSE_WINDOW = datetime.timedelta(seconds=1)
+# Dispatches this close together may have started in either order.
+_TIMING_TOLERANCE = datetime.timedelta(milliseconds=10)
+# Ratio of the longest to the shortest time that a request takes to crash a server. One
+# server may be slower than another, or have more work queued ahead of the request.
+_MAX_RUN_TIME_RATIO = 3.0
+# Number of other requests with as many crashes from which on none of them is taken for
+# the cause.
+_MIN_CORRELATED_REQUESTS = 2
+# Crashes allowed beyond the threshold while the evidence is ambiguous. The next one is
+# taken for proof.
+MAX_AMBIGUOUS_CRASHES = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Suspicion:
-    """A server's connection ended while it ran a request.
+class SuspectedCrash:
+    """A server's connection was lost while the server ran a request.
 
     Attributes:
-        cleared: The server lives on, or the request has run to its end since.
-        at: When it ended, as far as this instance knows.
-        lasted: How long the server had had the request by then; zero if not known.
-        server_lives: The server has answered since, so that it has not ended.
+        cleared: The server is alive, or the request has completed since.
+        at: When the connection was lost, as far as this instance knows.
+        ran_for: Time from the dispatch to the crash; zero if not known.
+        server_alive: The server has answered since, so it did not crash.
     """
 
     digest: digests.RequestDigest
     server: servers.Incarnation
     cleared: bool
     at: datetime.timedelta
-    lasted: datetime.timedelta = datetime.timedelta()
-    server_lives: bool = False
+    ran_for: datetime.timedelta = datetime.timedelta()
+    server_alive: bool = False
 
 
-class Known(typing.Protocol):
-    """What an instance knows of servers' ends."""
+class CrashRecords(typing.Protocol):
+    """The suspected crashes that an instance knows of."""
 
-    def ended_under(self, digest: digests.RequestDigest) -> list[Suspicion]:
-        """Return the pairs of a request that are not cleared."""
+    def crashes_of_request(self, digest: digests.RequestDigest) -> list[SuspectedCrash]:
+        """Return the suspected crashes of a request that are not cleared."""
 
-    def victims(self, server: servers.Incarnation) -> list[Suspicion]:
-        """Return the pairs of all requests that a server's end broke off."""
+    def crashes_of_server(self, server: servers.Incarnation) -> list[SuspectedCrash]:
+        """Return the suspected crashes of all requests that a server ran."""
 
-    def ended_servers(self) -> abc.Iterable[servers.Incarnation]:
-        """Return the servers under whose ends any request is or was suspected."""
+    def crashed_servers(self) -> abc.Iterable[servers.Incarnation]:
+        """Return the servers with a suspected crash, cleared or not."""
 
 
-_Ends = abc.Sequence[Suspicion]
+_Crashes = abc.Sequence[SuspectedCrash]
 
 
-def is_cause(ended: _Ends, known: Known, enough: int) -> bool:
-    """Tell whether a request is the likely cause of the ends of its servers.
+def is_likely_cause(crashes: _Crashes, records: CrashRecords, threshold: int) -> bool:
+    """Tell whether a request is the likely cause of the crashes of its servers.
 
     Args:
-        ended: Its pairs that are not cleared, `enough` or more.
-        known: All that is known of ends.
-        enough: Ends from which on a request may be the cause.
+        crashes: Its crashes that are not cleared, `threshold` or more.
+        records: All suspected crashes that are known.
+        threshold: Least number of crashes from which on a request can be the cause.
     """
-    # Two that end servers together would explain each other's ends for ever.
-    if len(ended) >= enough + MOST_DOUBTED:
+    # Without this, two requests that crash servers together would always explain each
+    # other.
+    if len(crashes) >= threshold + MAX_AMBIGUOUS_CRASHES:
         return True
-    others = _beside(ended, known)
-    if len(_unexplained(ended, others)) < enough:
+    others = _concurrent_requests(crashes, records)
+    if len(_unexplained_servers(crashes, others)) < threshold:
         return False
-    return not _is_in_doubt(ended, others, known, enough)
+    return not _is_ambiguous(crashes, others, records, threshold)
 
 
-def _beside(ended: _Ends, known: Known) -> list[_Ends]:
-    """Return the ends of the requests beside one that have as many."""
-    digest = ended[0].digest
-    victims = (pair for end in ended for pair in known.victims(end.server))
-    beside = {pair.digest for pair in victims} - {digest}
-    found = (known.ended_under(other) for other in beside)
-    return [ends for ends in found if len(ends) >= len(ended)]
+def _concurrent_requests(crashes: _Crashes, records: CrashRecords) -> list[_Crashes]:
+    """Return the crashes of each request on the same servers with as many."""
+    digest = crashes[0].digest
+    crashes_of_server = (
+        crash for end in crashes for crash in records.crashes_of_server(end.server)
+    )
+    digests_alongside = {crash.digest for crash in crashes_of_server} - {digest}
+    found = (
+        records.crashes_of_request(digest_alongside)
+        for digest_alongside in digests_alongside
+    )
+    return [other for other in found if len(other) >= len(crashes)]
 
 
-def _unexplained(
-    ended: _Ends, others: abc.Iterable[_Ends]
+def _unexplained_servers(
+    crashes: _Crashes, others: abc.Iterable[_Crashes]
 ) -> frozenset[servers.Incarnation]:
-    """Return the servers that have ended under a request and under no likelier cause.
+    """Return the servers whose crash no likelier cause explains.
 
-    A request whose own ends are unlike each other is hardly a cause, so any request
-    with more ends explains them better.
+    A request whose run times before the crashes differ is hardly their cause, so any
+    request with more crashes explains them better.
     """
     likelier = (
-        ends
-        for ends in others
-        if _is_likelier(ends, ended) and (_are_alike(ends) or not _are_alike(ended))
+        other
+        for other in others
+        if _is_likelier(other, crashes)
+        and (_are_similar(other) or not _are_similar(crashes))
     )
-    explained = {pair.server for ends in likelier for pair in ends}
-    return frozenset(pair.server for pair in ended) - explained
+    explained = {crash.server for other in likelier for crash in other}
+    return frozenset(crash.server for crash in crashes) - explained
 
 
-def _is_in_doubt(
-    ended: _Ends, others: abc.Sequence[_Ends], known: Known, enough: int
+def _is_ambiguous(
+    crashes: _Crashes,
+    others: abc.Sequence[_Crashes],
+    records: CrashRecords,
+    threshold: int,
 ) -> bool:
-    if not _are_alike(ended):
+    if not _are_similar(crashes):
         return True
-    if len(ended) == enough and len(others) >= _SHARED_BY:
+    if len(crashes) == threshold and len(others) >= _MIN_CORRELATED_REQUESTS:
         return True
-    if any(_are_alike(ends) and not _is_newer(ended, ends) for ends in others):
+    if any(
+        _are_similar(other) and not _started_later(crashes, other) for other in others
+    ):
         return True
-    return _ended_elsewhere(ended, known, enough) >= len(ended)
+    return _crashed_elsewhere(crashes, records, threshold) >= len(crashes)
 
 
-def _ended_elsewhere(ended: _Ends, known: Known, enough: int) -> int:
-    """Count the servers that ended around the same time and not under a request.
+def _crashed_elsewhere(crashes: _Crashes, records: CrashRecords, threshold: int) -> int:
+    """Count the other servers that crashed around the same time.
 
-    Those under which another request is suspected of as many ends don't count: it is
-    another cause of the same kind, and says nothing of this one.
+    Servers on which another request is suspected of as many crashes don't count: that
+    is another cause of the same kind and is no evidence about this request.
     """
-    own = {pair.server for pair in ended}
+    own_servers = {crash.server for crash in crashes}
     count = 0
-    for server in known.ended_servers():
-        victims = known.victims(server)
-        if server in own or not victims:
+    for server in records.crashed_servers():
+        crashes_of_server = records.crashes_of_server(server)
+        if server in own_servers or not crashes_of_server:
             continue
-        at = min(pair.at for pair in victims)
-        near = any(abs(at - pair.at) <= _SAME_CAUSE for pair in ended)
+        at = min(crash.at for crash in crashes_of_server)
+        near = any(abs(at - crash.at) <= _COMMON_CAUSE_WINDOW for crash in crashes)
         count += near and not any(
-            len(ends) >= enough and _are_alike(ends)
-            for ends in (known.ended_under(pair.digest) for pair in victims)
+            len(other) >= threshold and _are_similar(other)
+            for other in (
+                records.crashes_of_request(crash.digest) for crash in crashes_of_server
+            )
         )
     return count
 
 
-def _is_likelier(ends: _Ends, than: _Ends) -> bool:
-    """Tell whether a request is the likelier cause than another one."""
-    if len(ends) != len(than):
-        return len(ends) > len(than)
-    return _longest(ends) < _longest(than) - _SAME_MOMENT
+def _is_likelier(crashes: _Crashes, baseline: _Crashes) -> bool:
+    """Tell whether a request is a likelier cause than another one."""
+    if len(crashes) != len(baseline):
+        return len(crashes) > len(baseline)
+    return _longest_run(crashes) < _longest_run(baseline) - _TIMING_TOLERANCE
 
 
-def _is_newer(ends: _Ends, than: _Ends) -> bool:
-    """Tell whether each server that both lost had had a request clearly shorter."""
-    lasted = {pair.server: pair.lasted for pair in than}
-    return len(ends) >= len(than) and all(
-        pair.lasted < lasted[pair.server] - _SAME_MOMENT
-        for pair in ends
-        if pair.server in lasted
+def _started_later(crashes: _Crashes, baseline: _Crashes) -> bool:
+    """Tell whether a request ran clearly shorter on each server that both lost."""
+    ran_for = {crash.server: crash.ran_for for crash in baseline}
+    return len(crashes) >= len(baseline) and all(
+        crash.ran_for < ran_for[crash.server] - _TIMING_TOLERANCE
+        for crash in crashes
+        if crash.server in ran_for
     )
 
 
-def _are_alike(ends: _Ends) -> bool:
-    """Tell whether servers ended at about the same time after they had a request."""
-    lasted = [pair.lasted for pair in ends if pair.lasted]
-    if not lasted:
+def _are_similar(crashes: _Crashes) -> bool:
+    """Tell whether the run times before the crashes are about the same."""
+    ran_for = [crash.ran_for for crash in crashes if crash.ran_for]
+    if not ran_for:
         return True
-    return max(lasted) <= _LARGEST_SPREAD * max(min(lasted), _SAME_MOMENT)
+    return max(ran_for) <= _MAX_RUN_TIME_RATIO * max(min(ran_for), _TIMING_TOLERANCE)
 
 
-def _longest(ends: _Ends) -> datetime.timedelta:
-    return max(pair.lasted for pair in ends)
+def _longest_run(crashes: _Crashes) -> datetime.timedelta:
+    return max(crash.ran_for for crash in crashes)
--- a/src/pimentolatch/decisions/dispatcher.py
+++ b/src/pimentolatch/decisions/dispatcher.py
@@ -20,19 +20,19 @@
 )
 from pimentolatch.backend import outcomes
 from pimentolatch.decisions import (
-    accounts,
     admission,
     demand,
     dispatches,
     engine_selection,
     health,
-    lanes,
+    model_queues,
     outstanding_work,
     prefill_dispatches,
     recent_prefixes,
     request_work,
     retries,
     routing,
+    work_accounting,
     work_reports,
 )
 from pimentolatch.document import schema
@@ -91,7 +91,7 @@
         self.health = health.ServerHealth()
         self.retries = retries.RetryBudget()
         self._prefixes = recent_prefixes.RecentPrefixes()
-        self._accounts = accounts.Accounts(self.peers)
+        self._accounts = work_accounting.WorkAccounting(self.peers)
         self._dispatches = dispatches.Dispatches(
             self.outstanding, self.peers, self.health
         )
@@ -107,8 +107,8 @@
         self._prefills = prefill_dispatches.PrefillDispatches(
             self.outstanding, self.router.load
         )
-        self._lanes: dict[str, lanes.Lane] = {}
-        self._held: dict[str, lanes.Held] = {}
+        self._lanes: dict[str, model_queues.ModelQueue] = {}
+        self._held: dict[str, model_queues.TrackedRequest] = {}
         self._document: schema.FleetDocument | None = None
 
     @property
@@ -135,7 +135,7 @@
         )
 
     def arrive(
-        self, view: fleet.View, request: lanes.Request, now: datetime.timedelta
+        self, view: fleet.View, request: model_queues.Request, now: datetime.timedelta
     ) -> Queued | results.Refusal:
         """Admit a request to the queue or refuse it."""
         engines = self.router.engines(view, request.model)
@@ -144,19 +144,19 @@
             return _no_engine()
         self._learn_document(document)
         lane = self._lane(request.model, engines)
-        held = self._accounts.expected(request, lane, engines, now)
-        work = held.asked
+        held = self._accounts.track(request, lane, engines, now)
+        work = held.expected_work
         self._demand = self._demand.plus(work.prompt_tokens, work.output_tokens)
-        if refusal := self._accounts.over_limit(held, now):
+        if refusal := self._accounts.check_limit(held, now):
             return refusal
         found = self.router.candidates(view, request.model, request.prompt, now)
         forecast = lane.forecast(held, found)
         decision = admission.decide(forecast, document.admission, request.deadline, now)
         if isinstance(decision, results.Refusal):
-            return lane.spread(decision, held, now)
+            return lane.with_retry_time(decision, held, now)
         self._accounts.charge(held, held.units, now)
         self._held[request.request_id] = held
-        lane.queue.put(held.waiting(decision.latest_start))
+        lane.queue.put(held.queue_entry(decision.latest_start))
         return Queued()
 
     def start(self, view: fleet.View, now: datetime.timedelta) -> list[Start]:
@@ -183,7 +183,9 @@
                 held = self._held.pop(item.request_id)
                 held.waits.observe(held.predicted_wait, now - held.arrived)
                 self._accounts.charge(held, -held.units, now)
-                expired.append(Expired(item.request_id, lane.late(held, now)))
+                expired.append(
+                    Expired(item.request_id, lane.expired_refusal(held, now))
+                )
         return expired
 
     def next_expiry(self) -> datetime.timedelta | None:
@@ -254,7 +256,9 @@
         if lane is not None and lane.queue.remove(request_id):
             self._accounts.charge(held, -held.units, now)
 
-    def _finished(self, held: lanes.Held, tokens: int, now: datetime.timedelta) -> None:
+    def _finished(
+        self, held: model_queues.TrackedRequest, tokens: int, now: datetime.timedelta
+    ) -> None:
         request = held.request
         lane = self._lanes[request.model]
         lane.runs.observe(held.predicted_run, now - held.started)
@@ -267,18 +271,22 @@
             return
         self._document = document
         self._accounts.set_callers(document.callers)
-        self.health.forget({server.name for server in document.backend_servers})
+        self.health.retain({server.name for server in document.backend_servers})
 
-    def _lane(self, model: str, engines: tuple[schema.Engine, ...]) -> lanes.Lane:
+    def _lane(
+        self, model: str, engines: tuple[schema.Engine, ...]
+    ) -> model_queues.ModelQueue:
         if model not in self._lanes:
             rate = sum(engine.prefill_tokens_per_s for engine in engines)
-            self._lanes[model] = lanes.Lane(rate / len(self.router.instances))
+            self._lanes[model] = model_queues.ModelQueue(
+                rate / len(self.router.instances)
+            )
         return self._lanes[model]
 
     def _choose(
         self,
         view: fleet.View,
-        held: lanes.Held,
+        held: model_queues.TrackedRequest,
         now: datetime.timedelta,
         avoid: frozenset[str] = frozenset(),
         *,
@@ -289,12 +297,14 @@
             view, request.model, request.prompt, now, avoid
         )
         left = request.deadline - now
-        return engine_selection.choose(candidates, held.asked, left, force=force)
+        return engine_selection.choose(
+            candidates, held.expected_work, left, force=force
+        )
 
     def _begin(
         self,
         view: fleet.View,
-        held: lanes.Held,
+        held: model_queues.TrackedRequest,
         found: engine_selection.Candidate,
         now: datetime.timedelta,
     ) -> Start:
@@ -303,20 +313,25 @@
         held.started = now
         if found.probe_due:
             self.health.probed(name, now)
-        left = max(1, held.asked.output_tokens - held.delivered)
-        uncached = max(0, held.asked.prompt_tokens - found.cached_tokens)
+        left = max(1, held.expected_work.output_tokens - held.delivered)
+        uncached = max(0, held.expected_work.prompt_tokens - found.cached_tokens)
         prefill_engine = self._prefill_engine(view, held, found)
         if prefill_engine is not None:
             self._prefills.begin(request.request_id, prefill_engine, uncached)
             uncached = 0
         sent = request_work.Work(uncached, left)
-        first = found.time_to_finish(request_work.Work(held.asked.prompt_tokens, 1))
+        first = found.time_to_finish(
+            request_work.Work(held.expected_work.prompt_tokens, 1)
+        )
         self._dispatches.begin(request.request_id, found.engine, sent, first, now)
         self._prefixes.record(request.prompt, name, now)
         return Start(request.request_id, found.engine, prefill_engine)
 
     def _prefill_engine(
-        self, view: fleet.View, held: lanes.Held, found: engine_selection.Candidate
+        self,
+        view: fleet.View,
+        held: model_queues.TrackedRequest,
+        found: engine_selection.Candidate,
     ) -> schema.Engine | None:
         document = view.document
         model = held.request.model
@@ -326,7 +341,7 @@
         role = routing.role_of(view, found.engine)
         decode_engine = self._prefills.load_of(found.engine, role, found.cached_tokens)
         return self._prefills.choose(
-            document, model, decode_engine, prefill_engines, held.asked
+            document, model, decode_engine, prefill_engines, held.expected_work
         )
 
 
--- a/src/pimentolatch/decisions/fairness.py
+++ b/src/pimentolatch/decisions/fair_queue.py
@@ -1,28 +1,28 @@
-"""Decides which waiting request is next.
+"""Fair queue that decides which waiting request is served next.
 
-Load pattern: one caller sends ten times what all others send; briefings of seconds
-stand among drafts of milliseconds; everything is marked urgent. First come, first
-served then makes everybody wait behind the hot caller and every draft behind the
-briefings.
+Load pattern: one caller sends ten times as much as all others; briefings that take
+seconds are mixed with drafts that take milliseconds; every request is marked urgent.
+In first-come, first-served order all callers wait behind the hot caller and every draft
+behind the briefings.
 
 Between callers: start-time fair queueing, which gives each waiting caller engine time
-by its weight. It was preferred to deficit round robin: with requests from 200 to
-100,000 units no quantum fits, and either a round serves one caller for seconds or
-thousands of rounds are walked before somebody may be served. Two callers that both
-wait are never further apart than one request of each, whatever the sizes.
-
-Within a caller: by arrival, with a head start that short and urgent requests get.
-Ordering by `arrival + handicap` is shortest-first with ageing, at the price of a heap:
-a request can only be overtaken by those that arrive within its own handicap. Work adds
-a second for each 4,000 units, so a draft of 600 gets past a briefing of 20,000 that
-came up to 5 s earlier; the cap of 5 s is half of the default wait limit. A step of
-priority is worth half a second. So nobody is overtaken by what comes more than 8.5 s
-later. Priority counts among the requests of one caller only: across callers it would
-be a way to take the others' share.
-
-An operation costs O(log n) in the waiting callers and requests; a forecast also walks
-the caller's own requests and, up to 256, the waiting callers. A caller without
-waiting requests is forgotten as soon as the others have caught up with it.
+by its weight. Deficit round robin does not fit: with requests from 200 to 100,000 units
+there is no good quantum, and either a round serves one caller for seconds or thousands
+of rounds pass before any request is served. The service of two waiting callers never
+differs by more than one request of each, whatever the sizes.
+
+Within a caller: by arrival, with a head start for short and urgent requests. Ordering
+by `arrival + handicap` is shortest-first with ageing, at the cost of a heap: a request
+can only be overtaken by those that arrive within its own handicap. Work adds a second
+for each 4,000 units, so a draft of 600 overtakes a briefing of 20,000 that arrived up
+to 5 s earlier; the cap of 5 s is half of the default wait limit. A step of priority is
+worth half a second. So no request is overtaken by one that arrives more than 8.5 s
+later. Priority counts only among the requests of one caller: across callers it could be
+used to take the others' share.
+
+An operation costs O(log n) in the waiting callers and requests; a forecast also visits
+the caller's own requests and, up to 256, the waiting callers. A caller without waiting
+requests is evicted as soon as the others have caught up with it.
 """
 
 import dataclasses
@@ -30,32 +30,32 @@
 import heapq
 import itertools
 
-__all__ = ["FairQueue", "LONGEST_OVERTAKING", "Waiting"]
+__all__ = ["MAX_OVERTAKING", "FairQueue", "QueuedRequest"]
 
 _UNITS_PER_SECOND_OF_HANDICAP = 4000.0
-_LARGEST_HANDICAP_S = 5.0
+_MAX_HANDICAP_S = 5.0
 _PRIORITY_STEP_S = 0.5
 _HIGHEST_PRIORITY = 7
 # With more callers waiting than this, forecasts use a bound instead of a sum.
-_CALLERS_SUMMED = 256
+_MAX_CALLERS_SUMMED = 256
 _CREDIT_UNITS = 40_000.0
 _IDLE_LIMIT = 10_000
 
-LONGEST_OVERTAKING = datetime.timedelta(
-    seconds=_LARGEST_HANDICAP_S + _HIGHEST_PRIORITY * _PRIORITY_STEP_S
+MAX_OVERTAKING = datetime.timedelta(
+    seconds=_MAX_HANDICAP_S + _HIGHEST_PRIORITY * _PRIORITY_STEP_S
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedRequest:
     """A request that waits.
 
     Attributes:
         units: Expected work, in units.
         weight: The caller's share relative to other callers.
-        priority: 0 to 7; higher goes first among the caller's own.
-        arrived: When it came, on the monotonic clock.
-        latest_start: After this it is no longer of use to start it.
+        priority: 0 to 7; higher goes first among the caller's own requests.
+        arrived: Arrival time on the monotonic clock.
+        latest_start: After this it is too late to start the request.
     """
 
     request_id: str
@@ -68,8 +68,8 @@
 
     @property
     def order(self) -> float:
-        """Place among the caller's own requests; the lowest is next."""
-        handicap = min(self.units / _UNITS_PER_SECOND_OF_HANDICAP, _LARGEST_HANDICAP_S)
+        """Sort key among the caller's own requests; the lowest is next."""
+        handicap = min(self.units / _UNITS_PER_SECOND_OF_HANDICAP, _MAX_HANDICAP_S)
         priority = min(max(self.priority, 0), _HIGHEST_PRIORITY)
         arrived = self.arrived.total_seconds()
         return arrived + handicap - priority * _PRIORITY_STEP_S
@@ -93,11 +93,11 @@
     def __init__(self) -> None:
         self._count = itertools.count()
         self._virtual_time = 0.0
-        self._waiting: dict[str, Waiting] = {}
+        self._waiting: dict[str, QueuedRequest] = {}
         self._flows: dict[str, _Flow] = {}
         self._turns: list[tuple[float, int, str]] = []
         self._latest: list[tuple[datetime.timedelta, int, str]] = []
-        # Where callers without waiting requests stood; see `_forget_idle`.
+        # Finish tags of callers without waiting requests; see `_evict_idle`.
         self._idle: dict[str, float] = {}
         self._idle_order: list[tuple[float, str]] = []
         self._units = 0.0
@@ -113,7 +113,7 @@
 
     @property
     def known_callers(self) -> int:
-        """Callers that take up state."""
+        """Number of callers that take up state."""
         return len(self._flows) + len(self._idle)
 
     def units_of(self, caller: str) -> float:
@@ -121,7 +121,7 @@
         flow = self._flows.get(caller)
         return 0.0 if flow is None else flow.units
 
-    def put(self, item: Waiting) -> None:
+    def put(self, item: QueuedRequest) -> None:
         """Add a request."""
         flow = self._flows.get(item.caller)
         if flow is None:
@@ -136,12 +136,12 @@
         self._waiting[item.request_id] = item
         self._count_item(flow, item, 1)
 
-    def peek(self) -> Waiting | None:
+    def peek(self) -> QueuedRequest | None:
         """Return the request that `take` would return."""
         caller = self._next_caller()
         return None if caller is None else self._first(self._flows[caller])
 
-    def take(self) -> Waiting | None:
+    def take(self) -> QueuedRequest | None:
         """Remove and return the next request, or None if nothing waits."""
         caller = self._next_caller()
         if caller is None:
@@ -154,24 +154,24 @@
         heapq.heappop(self._turns)
         self._push_turn(caller, flow)
         self._remove(item, flow)
-        self._forget_idle()
+        self._evict_idle()
         return item
 
-    def remove(self, request_id: str) -> Waiting | None:
-        """Remove a request whose caller went away."""
+    def remove(self, request_id: str) -> QueuedRequest | None:
+        """Remove a request whose caller disconnected."""
         item = self._waiting.get(request_id)
         if item is not None:
             self._remove(item, self._flows[item.caller])
         return item
 
-    def expire(self, now: datetime.timedelta) -> list[Waiting]:
-        """Remove and return the requests that are no longer of use to start."""
-        gone = []
+    def expire(self, now: datetime.timedelta) -> list[QueuedRequest]:
+        """Remove and return the requests that are too late to start."""
+        expired = []
         while self._latest and self._latest[0][0] < now:
             _, _, request_id = heapq.heappop(self._latest)
             if item := self.remove(request_id):
-                gone.append(item)
-        return gone
+                expired.append(item)
+        return expired
 
     def next_expiry(self) -> datetime.timedelta | None:
         """Return when `expire` next has something to return, or None."""
@@ -180,25 +180,25 @@
         return self._latest[0][0] if self._latest else None
 
     def settle(self, caller: str, units: float, weight: float) -> None:
-        """Charge a caller for work above (or below) what was expected of it."""
+        """Charge a caller for work above (or below) the expected work."""
         if flow := self._flows.get(caller):
             flow.debt += units / weight
         elif caller in self._idle:
             self._set_idle(caller, self._idle[caller] + units / weight)
 
-    def units_before(self, item: Waiting) -> float:
-        """Return the work that is served before a new request ends its wait.
+    def units_before(self, item: QueuedRequest) -> float:
+        """Return the work that is served before a new request would start.
 
-        While the caller's own work ahead of it is served, and until the others have
-        caught up with what it was served before, every other caller gets at most its
-        share by weight, and no more than it has waiting.
+        While the caller's own earlier work is served, and until the others have caught
+        up with its earlier service, every other caller gets at most its share by
+        weight, and no more than it has waiting.
         """
         flow = self._flows.get(item.caller)
         own = 0.0 if flow is None else self._units_ahead(flow, item.order)
         start = self._start(item.caller) if flow is None else flow.start
         lead = max(0.0, start - self._virtual_time)
         share = lead + (own + item.units) / item.weight
-        if len(self._flows) > _CALLERS_SUMMED:
+        if len(self._flows) > _MAX_CALLERS_SUMMED:
             return min(self.units, own + share * self._weight)
         return own + sum(
             min(other.units, share * other.weight)
@@ -219,7 +219,7 @@
             heapq.heappop(self._turns)
         return None
 
-    def _first(self, flow: _Flow) -> Waiting:
+    def _first(self, flow: _Flow) -> QueuedRequest:
         while flow.heap[0][2] not in self._waiting:
             heapq.heappop(flow.heap)
         return self._waiting[flow.heap[0][2]]
@@ -231,7 +231,7 @@
     def _push_turn(self, caller: str, flow: _Flow) -> None:
         heapq.heappush(self._turns, (flow.start, next(self._count), caller))
 
-    def _remove(self, item: Waiting, flow: _Flow) -> None:
+    def _remove(self, item: QueuedRequest, flow: _Flow) -> None:
         del self._waiting[item.request_id]
         self._count_item(flow, item, -1)
         if flow.requests == 0:
@@ -239,7 +239,7 @@
             self._weight -= flow.weight
             self._set_idle(item.caller, flow.start + flow.debt)
 
-    def _count_item(self, flow: _Flow, item: Waiting, sign: int) -> None:
+    def _count_item(self, flow: _Flow, item: QueuedRequest, sign: int) -> None:
         flow.requests += sign
         flow.units += sign * item.units
         self._units += sign * item.units
@@ -248,11 +248,11 @@
         self._idle[caller] = finish
         heapq.heappush(self._idle_order, (finish, caller))
 
-    def _forget_idle(self) -> None:
-        """Forget idle callers that the others have caught up with.
+    def _evict_idle(self) -> None:
+        """Evict idle callers that the others have caught up with.
 
         A caller that sends one request at a time is idle between them. Without its
-        finish tag it would start anew each time and pass those who wait.
+        finish tag it would start afresh each time and overtake those that wait.
         """
         while self._idle_order:
             finish, caller = self._idle_order[0]
--- a/src/pimentolatch/decisions/plain_routing.py
+++ b/src/pimentolatch/decisions/plain_routing.py
@@ -16,7 +16,10 @@
 from collections import abc
 
 from pimentolatch import fleet
-from pimentolatch.decisions import health, outstanding_work
+from pimentolatch.decisions import (
+    health,
+    outstanding_work,
+)
 from pimentolatch.document import schema
 
 __all__ = ["PlainRouter"]
@@ -64,7 +67,7 @@
             and server.name not in avoid
         ]
         names = [server.name for server in candidates]
-        self._health.judge(names, now)
+        self._health.update_ejections(names, now)
         if repeatable and (probe := self._due_probe(candidates, now)):
             return probe
         return min(
@@ -83,7 +86,7 @@
 
     def forget(self, servers: abc.Set[str]) -> None:
         """Remove all servers except these, which are the document's."""
-        self._health.forget(servers)
+        self._health.retain(servers)
 
     def _due_probe(
         self, candidates: abc.Sequence[schema.PlainServer], now: datetime.timedelta
--- /dev/null
+++ b/src/pimentolatch/decisions/stall_check.py
@@ -0,0 +1,58 @@
+"""Checks whether an engine that has not answered in the expected time has stalled.
+
+Load pattern: for some seconds more prompts arrive than the engines can prefill, so
+requests wait in the engines' queues longer than expected. If they were abandoned there
+and retried at a second engine, each would start at the end of another queue and the
+retries would add load: with 85 instances, 763 retries in 10 s where 743 were allowed. A
+missing answer alone does not tell an overloaded engine from a stopped one, and an
+instance that rarely uses an engine can't judge by that engine's other answers.
+
+So the engine is asked for a report. If it doesn't answer, it has stopped. If it answers
+with an empty queue and doesn't run the request, it has lost the request; so has an
+engine that has restarted since, whatever it runs now. In all other cases the request
+stays, since no other engine would finish it sooner.
+"""
+
+import datetime
+import enum
+
+from pimentolatch.routes import reports
+
+__all__ = ["MAX_REPORT_AGE", "RECHECK_INTERVAL", "Verdict", "request_status"]
+
+# Interval between checks of a request that the engine still has; engines' reports are
+# some hundred milliseconds old.
+RECHECK_INTERVAL = datetime.timedelta(milliseconds=900)
+# A report this recent serves all requests that check the same engine.
+MAX_REPORT_AGE = datetime.timedelta(milliseconds=300)
+
+
+class Verdict(enum.Enum):
+    """State of a request at an engine; the values are written to the log."""
+
+    HAS_IT = "the engine has it"
+    LOST = "the engine has lost it"
+    REBORN = "the engine has started again"
+    SILENT = "the engine answers nobody"
+
+
+def request_status(
+    report: reports.EngineReport | None, request_id: str, born: int | None = None
+) -> Verdict:
+    """Return the state of a request that an engine has not answered.
+
+    Args:
+        report: The engine's current report; None if it did not answer.
+        request_id: The request; it was dispatched before the report was made.
+        born: Start of the incarnation that the request was sent to, if known.
+    """
+    if report is None:
+        return Verdict.SILENT
+    if born is not None and report.born not in (None, born):
+        return Verdict.REBORN
+    if report.queued or request_id in report.runs:
+        return Verdict.HAS_IT
+    # Prefill-only requests run without being listed.
+    if report.running > len(report.runs):
+        return Verdict.HAS_IT
+    return Verdict.LOST
--- /dev/null
+++ b/src/pimentolatch/decisions/wait_policy.py
@@ -0,0 +1,100 @@
+"""Decides how long a request waits for an engine.
+
+Load pattern: both decode engines crash within a second, or one crashes while the other
+changes its stage. For two to five seconds no request can be served, then all can.
+Refused at once, each request is retried after a second, finds the same and is lost,
+while the engines of the other stage are idle.
+
+So a request waits as long as its client does and checks repeatedly for an engine.
+Requests of a higher rank check more often, so they get a returning engine first, and
+random jitter keeps checks apart. Just before its client would time out, the request is
+refused with a retry time. That guarantee lets a client retry a request that is not
+repeatable; a missing response does not.
+
+A prompt queued at an engine waits likewise, behind more urgent ones that arrive later
+and are served first. No engine reports when it would start, so the prompt is withdrawn
+and refused before its client times out without a response.
+
+The number of waiting requests is bounded: requests beyond what a returning engine can
+serve before their clients time out would only make all of them late.
+"""
+
+import datetime
+
+__all__ = [
+    "MAX_WAITING",
+    "client_timeout",
+    "recheck_interval",
+    "may_wait",
+    "refusal_time",
+    "retry_after",
+]
+
+# Clients disconnect after a gap of the longest of these.
+_MIN_CLIENT_TIMEOUT = datetime.timedelta(seconds=2)
+_CLIENT_TIMEOUT_TARGETS = 4
+_CLIENT_TIMEOUT_PAUSES = 8
+
+# Requests that wait in one instance. An engine decodes 64 requests at once and eight
+# instances share it; prompts of 20 KB each stay within 1 MB of memory.
+MAX_WAITING = 48
+# Pause of the first rank, and the additional pause of each further rank. The engines'
+# reported state is some tenths of a second old.
+_RECHECK_MS = 60.0
+_RANK_MS = 40.0
+_MAX_RANKS = 3
+# Time left for the refusal to reach the client before it disconnects, and for an engine
+# to send a first event.
+_MARGIN = datetime.timedelta(milliseconds=200)
+# Crashed engines return after two to five seconds, so a request that has waited for
+# most of that soon finds one. The spread keeps retries from arriving at once.
+_MIN_RETRY_MS = 300.0
+_RETRY_SPREAD_MS = 700.0
+
+
+def recheck_interval(rank: int, lot: float) -> datetime.timedelta:
+    """Return the pause before a waiting request checks for an engine again.
+
+    Args:
+        rank: Rank of its route, 0 first.
+        lot: Uniform random number from 0 to 1 of the request.
+    """
+    milliseconds = _RECHECK_MS + _RANK_MS * min(rank, _MAX_RANKS)
+    return datetime.timedelta(milliseconds=milliseconds * (0.75 + 0.5 * lot))
+
+
+def client_timeout(
+    latency_target: datetime.timedelta, pause_target: datetime.timedelta
+) -> datetime.timedelta:
+    """Return how long a client of a stream waits for an event before it disconnects.
+
+    Args:
+        latency_target: The route's target for the time to the first event.
+        pause_target: The route's longest pause between events.
+    """
+    by_target = _CLIENT_TIMEOUT_TARGETS * latency_target
+    return max(_MIN_CLIENT_TIMEOUT, by_target, _CLIENT_TIMEOUT_PAUSES * pause_target)
+
+
+def refusal_time(client_gives_up_at: datetime.timedelta) -> datetime.timedelta:
+    """Return when a request that still waits is refused.
+
+    Args:
+        client_gives_up_at: When its client disconnects without an event.
+    """
+    return client_gives_up_at - _MARGIN
+
+
+def may_wait(client_wait: datetime.timedelta, waiting: int) -> bool:
+    """Tell whether a request may wait or continue to wait.
+
+    Args:
+        client_wait: How much longer its client waits.
+        waiting: Other requests that wait in this instance.
+    """
+    return client_wait > _MARGIN and waiting < MAX_WAITING
+
+
+def retry_after(lot: float) -> datetime.timedelta:
+    """Return when a request that waited in vain should be retried."""
+    return datetime.timedelta(milliseconds=_MIN_RETRY_MS + _RETRY_SPREAD_MS * lot)
--- a/src/pimentolatch/gateway/decode_client.py
+++ b/src/pimentolatch/gateway/decode_client.py
@@ -5,8 +5,8 @@
 
 from pimentolatch.backend import channel
 from pimentolatch.decisions import (
-    doubt,
     placement_types,
+    stall_check,
 )
 from pimentolatch.gateway import (
     client_request,
@@ -271,9 +271,9 @@
                 verdict = await self._context.stall_checks.verdict(
                     generation.place.engine, request.request_id
                 )
-            if verdict is not doubt.Verdict.HAS_IT:
+            if verdict is not stall_check.Verdict.HAS_IT:
                 raise channel.BrokenError(f"in its stream, {verdict.value}")
-            limit = doubt.ASK_AGAIN
+            limit = stall_check.RECHECK_INTERVAL
 
     def _record_event(
         self, generation: request_progress.Generation, since: datetime.timedelta
--- a/src/pimentolatch/gateway/dispatch_check.py
+++ b/src/pimentolatch/gateway/dispatch_check.py
@@ -35,9 +35,9 @@
         """
         verdict = self._crash_quarantine.verdict(request)
         if verdict is not None:
-            return results.quarantined(verdict.left)
+            return results.quarantined(verdict.remaining)
         configuration = self._fleet.configuration
-        if configuration is None or access.holds(
+        if configuration is None or access.still_authorized(
             configuration, request.head.keys, request.access.customer
         ):
             return None
--- a/src/pimentolatch/gateway/front_end.py
+++ b/src/pimentolatch/gateway/front_end.py
@@ -124,7 +124,7 @@
             return
         if request is None:
             return
-        self._budget.arrived(request.service.name, arrived_at)
+        self._budget.count_request(request.service.name, arrived_at)
         if (refusal := self._dispatch_check.refusal(request)) is not None:
             await response.refuse(refusal)
             self._log_response(request, response)
@@ -148,7 +148,7 @@
         route = configuration.select(head.host, path)
         if route is None:
             return refusals.no_route(head.host, path)
-        allowed = access.decide(
+        allowed = access.authorize(
             configuration, route, head.keys, current=not self._fleet.store_unreachable
         )
         if isinstance(allowed, access.Denial):
--- a/src/pimentolatch/gateway/leader_tasks.py
+++ b/src/pimentolatch/gateway/leader_tasks.py
@@ -16,7 +16,10 @@
     usage_exchange,
     usage_reports,
 )
-from pimentolatch.platform import control_api, objects
+from pimentolatch.platform import (
+    control_api,
+    objects,
+)
 
 __all__ = ["LeaderTasks"]
 
@@ -101,7 +104,7 @@
     ) -> None:
         name, own = self._settings.instance, self._settings.peers
         length = datetime.timedelta(seconds=chosen.usage_window_s)
-        book = usage.UsageBook(
+        book = usage.UsageCounter(
             usage.Origin(name, incarnation), length, self._clock.now()
         )
         self._exchange = usage_exchange.UsageExchange(
--- a/src/pimentolatch/gateway/prefill_client.py
+++ b/src/pimentolatch/gateway/prefill_client.py
@@ -8,7 +8,7 @@
 from pimentolatch.decisions import (
     engine_loads,
     placement_types,
-    waiting,
+    wait_policy,
 )
 from pimentolatch.gateway import (
     client_request,
@@ -110,7 +110,10 @@
         did not run. Refused just before, it knows that, and when to retry.
         """
         client_gives_up_at = request_progress.client_gives_up_at(request, progress)
-        limit = waiting.refused_at(client_gives_up_at) - self._context.clock.monotonic()
+        limit = (
+            wait_policy.refusal_time(client_gives_up_at)
+            - self._context.clock.monotonic()
+        )
         try:
             async with asyncio.timeout(limit.total_seconds()):
                 return await self._context.stall_checks.wait_unless_stalled(
--- a/src/pimentolatch/gateway/prompt_placer.py
+++ b/src/pimentolatch/gateway/prompt_placer.py
@@ -9,7 +9,7 @@
     placement_types,
     prompt_sizes,
     rendezvous,
-    waiting,
+    wait_policy,
 )
 from pimentolatch.gateway import (
     client_request,
@@ -59,7 +59,9 @@
         while isinstance(place, placement_types.NoEngine):
             if not listed or not await self.wait(request, progress):
                 self._log_wait(request, since, in_vain=True)
-                return placement_types.Infeasible(waiting.retry_after(jitter(request)))
+                return placement_types.Infeasible(
+                    wait_policy.retry_after(jitter(request))
+                )
             place = self._choose(request, progress, self._context.clock.monotonic())
         self._log_wait(request, since, in_vain=False)
         return place
@@ -90,11 +92,11 @@
             request_progress.client_gives_up_at(request, progress)
             - self._context.clock.monotonic()
         )
-        if not waiting.may_wait(left, self._waiting):
+        if not wait_policy.may_wait(left, self._waiting):
             return False
         self._waiting += 1
         try:
-            pause = waiting.look_again(request.rank, jitter(request))
+            pause = wait_policy.recheck_interval(request.rank, jitter(request))
             await self._context.clock.sleep(pause)
         finally:
             self._waiting -= 1
--- a/src/pimentolatch/gateway/quarantine.py
+++ b/src/pimentolatch/gateway/quarantine.py
@@ -10,7 +10,7 @@
 from pimentolatch import clock
 from pimentolatch.decisions import (
     crash_evidence,
-    crash_news,
+    crash_notices,
     crash_suspects,
 )
 from pimentolatch.gateway import client_request
@@ -49,8 +49,8 @@
     def __init__(self, policy: crash_suspects.Policy, time: clock.Clock) -> None:
         self._suspects = crash_suspects.CrashSuspects(policy)
         self._clock = time
-        self._near = crash_news.CrashNews(_SEND_COUNT)
-        self._far = crash_news.CrashNews(_SEND_COUNT)
+        self._near = crash_notices.CrashNoticeQueue(_SEND_COUNT)
+        self._far = crash_notices.CrashNoticeQueue(_SEND_COUNT)
         self._turn = 0
         self._logged: set[digests.RequestDigest] = set()
         self.partial_view = False
@@ -72,7 +72,7 @@
 
     def is_suspect(self, request: client_request.ClientRequest) -> bool:
         """Tell whether servers have crashed while they ran a request."""
-        return self._suspects.crashes(request.digest) > 0
+        return self._suspects.crash_count(request.digest) > 0
 
     def avoided(
         self,
@@ -80,11 +80,11 @@
         candidates: typing.Iterable[servers.Server],
     ) -> frozenset[servers.Incarnation]:
         """Return the servers that are not to run a request while it is a suspect."""
-        crashes = self._suspects.crashes(request.digest)
+        crashes = self._suspects.crash_count(request.digest)
         if not crashes:
             return frozenset()
         found = {server.incarnation for server in candidates}
-        return frozenset(found) - crash_suspects.own_part(
+        return frozenset(found) - crash_suspects.suspect_subset(
             request.digest, crashes, found
         )
 
@@ -102,10 +102,10 @@
             begun: When the request was sent. A request that was sent over a pooled
                 connection to a server that had already crashed is not the cause.
         """
-        if self._suspects.has_ended(server.incarnation, begun):
+        if self._suspects.has_crashed(server.incarnation, begun):
             return
         now = self._clock.monotonic()
-        pair = crash_evidence.Suspicion(
+        pair = crash_evidence.SuspectedCrash(
             request.digest, server.incarnation, False, now, now - begun
         )
         known = self._suspects.add(pair, now)
@@ -124,19 +124,19 @@
 
     def take_near(self) -> tuple[beacons.Suspicion, ...]:
         """Return the evidence to send to near peers."""
-        evidence = self._near.take(_MAX_PAIRS, self._suspects.crashes)
+        evidence = self._near.take(_MAX_PAIRS, self._suspects.crash_count)
         return self._rows(evidence + self._next_serious())
 
     def take_far(self) -> tuple[beacons.Suspicion, ...]:
         """Return the evidence to send to peers in other failure domains."""
-        evidence = self._far.take(_MAX_PAIRS, self._suspects.crashes)
+        evidence = self._far.take(_MAX_PAIRS, self._suspects.crash_count)
         return self._rows(evidence + self._next_serious())
 
     def receive(self, rows: typing.Iterable[beacons.Suspicion]) -> None:
         """Apply the evidence that a peer has sent."""
         now = self._clock.monotonic()
         pairs = [
-            crash_evidence.Suspicion(
+            crash_evidence.SuspectedCrash(
                 row.digest,
                 row.server,
                 row.cleared,
@@ -161,17 +161,17 @@
     def review_once(self) -> None:
         """Expire evidence and log the requests that enter or leave quarantine."""
         now = self._clock.monotonic()
-        self._suspects.forget_old(now)
+        self._suspects.remove_expired(now)
         self._log_changes(self._suspects.quarantined(now))
 
-    def _enqueue(self, pairs: typing.Iterable[crash_evidence.Suspicion]) -> None:
+    def _enqueue(self, pairs: typing.Iterable[crash_evidence.SuspectedCrash]) -> None:
         for pair in pairs:
             self._near.add(pair)
             self._far.add(pair)
 
-    def _next_serious(self) -> list[crash_evidence.Suspicion]:
+    def _next_serious(self) -> list[crash_evidence.SuspectedCrash]:
         """Return all pairs of the next requests in the rotation."""
-        serious = self._suspects.serious()
+        serious = self._suspects.repeated_crashes()
         if not serious:
             return []
         self._turn += _MAX_SERIOUS
@@ -179,7 +179,7 @@
         return [pair for number in chosen for pair in serious[number]]
 
     def _rows(
-        self, pairs: typing.Iterable[crash_evidence.Suspicion]
+        self, pairs: typing.Iterable[crash_evidence.SuspectedCrash]
     ) -> tuple[beacons.Suspicion, ...]:
         now = self._clock.monotonic()
         # Rounded up: evidence whose age is rounded down at each hop would never expire.
@@ -189,8 +189,8 @@
                 pair.server,
                 pair.cleared,
                 max(0, math.ceil((now - pair.at) / _MILLISECOND)),
-                math.ceil(pair.lasted / _MILLISECOND),
-                pair.server_lives,
+                math.ceil(pair.ran_for / _MILLISECOND),
+                pair.server_alive,
             )
             for pair in pairs
         )
@@ -207,7 +207,7 @@
             _log.warn(
                 "request quarantined",
                 digest=digests.digest_text(digest),
-                servers=[server.server_id for server in verdict.ended],
-                for_s=round(verdict.left.total_seconds()),
+                servers=[server.server_id for server in verdict.crashed_servers],
+                for_s=round(verdict.remaining.total_seconds()),
             )
         self._logged = set(found)
--- a/src/pimentolatch/gateway/request_progress.py
+++ b/src/pimentolatch/gateway/request_progress.py
@@ -12,7 +12,7 @@
     engine_loads,
     placement_types,
     prompt_sizes,
-    waiting,
+    wait_policy,
 )
 from pimentolatch.gateway import (
     cache_updates,
@@ -236,7 +236,7 @@
         request.arrived_at if progress.last_event_at is None else progress.last_event_at
     )
     route = request.route
-    gap = waiting.client_gap(route.latency_target, route.pause_target)
+    gap = wait_policy.client_timeout(route.latency_target, route.pause_target)
     return min(request.deadline, since + gap)
 
 
--- a/src/pimentolatch/gateway/stall_checker.py
+++ b/src/pimentolatch/gateway/stall_checker.py
@@ -6,10 +6,19 @@
 from collections import abc
 
 from pimentolatch import clock
-from pimentolatch.decisions import doubt, engine_loads
-from pimentolatch.gateway import dispatch, request_log
+from pimentolatch.decisions import (
+    engine_loads,
+    stall_check,
+)
+from pimentolatch.gateway import (
+    dispatch,
+    request_log,
+)
 from pimentolatch.platform import engines
-from pimentolatch.routes import reports, servers
+from pimentolatch.routes import (
+    reports,
+    servers,
+)
 
 __all__ = ["StallChecker"]
 
@@ -39,14 +48,14 @@
 
     async def verdict(
         self, engine: engine_loads.EngineLoad, request_id: str
-    ) -> doubt.Verdict:
+    ) -> stall_check.Verdict:
         """Ask an engine whether it still has a request."""
         report = await self._report(engine.server)
-        verdict = doubt.judge(report, request_id, engine.server.born)
+        verdict = stall_check.request_status(report, request_id, engine.server.born)
         self._request_log.write(
             request_log.DOUBTED,
             request_id,
-            wrong=verdict is not doubt.Verdict.HAS_IT,
+            wrong=verdict is not stall_check.Verdict.HAS_IT,
             server=engine.server.server_id,
             verdict=verdict.value,
             queued=None if report is None else report.queued,
@@ -78,11 +87,12 @@
                 if task.done():
                     break
                 verdict = await self.verdict(engine, request_id)
-                if verdict is not doubt.Verdict.HAS_IT and not task.done():
+                if verdict is not stall_check.Verdict.HAS_IT and not task.done():
                     return dispatch.OutcomeUnknown(
-                        verdict.value, server_crashed=verdict is not doubt.Verdict.LOST
+                        verdict.value,
+                        server_crashed=verdict is not stall_check.Verdict.LOST,
                     )
-                limit = doubt.ASK_AGAIN
+                limit = stall_check.RECHECK_INTERVAL
             return task.result()
         finally:
             task.cancel()
@@ -90,7 +100,9 @@
     async def _report(self, server: servers.Server) -> reports.EngineReport | None:
         now = self._clock.monotonic()
         at, report_task = self._pending_reports.get(server.incarnation, (now, None))
-        if report_task is None or (report_task.done() and now - at > doubt.FRESH):
+        if report_task is None or (
+            report_task.done() and now - at > stall_check.MAX_REPORT_AGE
+        ):
             self._pending_reports = {
                 n: a for n, a in self._pending_reports.items() if not a[1].done()
             }
--- a/src/pimentolatch/gateway/stream_forwarder.py
+++ b/src/pimentolatch/gateway/stream_forwarder.py
@@ -9,7 +9,7 @@
     placement_types,
     prompt_sizes,
     repeat_budget,
-    waiting,
+    wait_policy,
 )
 from pimentolatch.gateway import (
     cache_updates,
@@ -141,7 +141,7 @@
         else:
             await response.refuse(
                 refusals.not_run_in_time(
-                    waiting.retry_after(prompt_placer.jitter(request))
+                    wait_policy.retry_after(prompt_placer.jitter(request))
                 )
             )
 
@@ -170,7 +170,9 @@
         if prefilled is None:
             return False
         if isinstance(prefilled, dispatch.Withdrawn):
-            progress.retry_after = waiting.retry_after(prompt_placer.jitter(request))
+            progress.retry_after = wait_policy.retry_after(
+                prompt_placer.jitter(request)
+            )
             return await self._give_up(response, progress)
         try:
             return await self._transfer_to_decode(
@@ -208,7 +210,7 @@
             if await self._refused(request, response, progress):
                 return True
             if decode_engine is None:
-                progress.retry_after = waiting.retry_after(
+                progress.retry_after = wait_policy.retry_after(
                     prompt_placer.jitter(request)
                 )
             if decode_engine is None or not self._may_send(request, progress):
--- a/src/pimentolatch/gateway/usage_exchange.py
+++ b/src/pimentolatch/gateway/usage_exchange.py
@@ -62,7 +62,7 @@
     def __init__(
         self,
         address: settings.Address,
-        book: usage.UsageBook,
+        book: usage.UsageCounter,
         peers: peer_table.PeerTable,
         own_leadership: leadership.Leadership,
         time: clock.Clock,
@@ -75,7 +75,7 @@
 
     def record_start(self, customer: str | None, moment: datetime.datetime) -> None:
         """See `UsageCounter.record_start`."""
-        if customer is not None and not self._book.began(customer, moment):
+        if customer is not None and not self._book.count_started(customer, moment):
             _log.warn(
                 "request not counted: its usage window is closed", customer=customer
             )
@@ -94,7 +94,7 @@
         receivers = set(self._backup_hosts(live))
         if leader_host is not None and leader_host != self._address.host:
             receivers.add(leader_host)
-            terminated = self._book.rows_of_ended(_names(live))
+            terminated = self._book.rows_of_terminated(_names(live))
             self.send({leader_host}, _datagrams(terminated))
         self.send(receivers, _datagrams(own))
 
@@ -106,7 +106,7 @@
                 "malformed usage datagram dropped", sender=addr[0], reason=row.reason
             )
             return
-        self._book.take(row)
+        self._book.merge(row)
 
     def _backup_hosts(self, live: abc.Iterable[peer_table.Peer]) -> list[str]:
         """Return the hosts of the peers that keep a copy of this instance's counts."""
--- a/src/pimentolatch/gateway/usage_reports.py
+++ b/src/pimentolatch/gateway/usage_reports.py
@@ -6,10 +6,19 @@
 
 import logbook
 
-from pimentolatch import clock, store
+from pimentolatch import (
+    clock,
+    store,
+)
 from pimentolatch.decisions import usage
-from pimentolatch.gateway import leadership, peer_table
-from pimentolatch.platform import control_api, objects
+from pimentolatch.gateway import (
+    leadership,
+    peer_table,
+)
+from pimentolatch.platform import (
+    control_api,
+    objects,
+)
 
 __all__ = ["UsageReporter"]
 
@@ -57,7 +66,7 @@
         self,
         own_name: str,
         length: datetime.timedelta,
-        book: usage.UsageBook,
+        book: usage.UsageCounter,
         peers: peer_table.PeerTable,
         own_leadership: leadership.Leadership,
         source: objects.ObjectStore,
@@ -88,7 +97,7 @@
     async def report_due(self) -> bool:
         """Report complete windows; False if a report was not accepted."""
         newest = usage.window_of(self._clock.now(), self._length)
-        counted = range(newest - usage.KEPT_WINDOWS + 1, newest)
+        counted = range(newest - usage.RETAINED_WINDOWS + 1, newest)
         oldest = newest - _STORED_WINDOWS + 1
         self._accepted = {window for window in self._accepted if window >= oldest}
         self._unanswered = {window for window in self._unanswered if window >= oldest}
--- a/tests/features/steps/routes_fleet_steps.py
+++ b/tests/features/steps/routes_fleet_steps.py
@@ -5,19 +5,26 @@
 
 from pimentolatch import settings
 from pimentolatch.decisions import (
-    doubt,
     engine_loads,
     neighbours,
     peer_loads,
     placement,
     placement_types,
+    stall_check,
     store_readers,
 )
 from pimentolatch.gateway import cache_updates
 from pimentolatch.protocol import beacons
 from pimentolatch.requests import prompts
-from pimentolatch.routes import reports, servers, table
-from tests.support import fleet_parts, route_world
+from pimentolatch.routes import (
+    reports,
+    servers,
+    table,
+)
+from tests.support import (
+    fleet_parts,
+    route_world,
+)
 
 NOW = datetime.timedelta(seconds=100)
 SECOND = datetime.timedelta(seconds=1)
@@ -38,7 +45,7 @@
         "only others' runs": report(0, 1, "r2"),
         "no work at all": report(0, 0),
     }[what]
-    assert doubt.judge(found, "r1").value == verdict
+    assert stall_check.request_status(found, "r1").value == verdict
 
 
 @behave.given("a fleet of {count:d} instances in {domains:d} domains")
