--- a/benchmarks/gateway_cost.py
+++ b/benchmarks/gateway_cost.py
@@ -141,7 +141,7 @@
         for engine in names[:LOADS_TOLD]
     )
     parts = tuple(
-        beacons.CachedPart(names[n], (number * PARTS_TOLD + n) % 2**32, 3000)
+        beacons.CachedPrefix(names[n], (number * PARTS_TOLD + n) % 2**32, 3000)
         for n in range(PARTS_TOLD)
     )
     peer = f"peer-{number % 13}"
--- a/src/pimentolatch/entry/control_plane.py
+++ b/src/pimentolatch/entry/control_plane.py
@@ -11,12 +11,12 @@
 from pimentolatch.entry import peer_metrics
 from pimentolatch.membership import (
     incarnations,
-    leaving,
+    leaving_servers,
     links,
     peering,
-    share_spread,
     view_table,
     views,
+    work_exchange,
 )
 from pimentolatch.platform import objects
 from pimentolatch.requests import suspect_completions
@@ -32,10 +32,10 @@
     """Stands for a share table where nobody looks at peers' work."""
 
     def update(self, peer: str, work: work_reports.WorkReport) -> None:
-        """See `share_spread.ShareTable.update`."""
+        """See `work_exchange.PeerWorkTable.update`."""
 
     def forget(self, peer: str) -> None:
-        """See `share_spread.ShareTable.forget`."""
+        """See `work_exchange.PeerWorkTable.forget`."""
 
 
 class ControlPlane:
@@ -56,7 +56,7 @@
         measured: metrics.Metrics,
         crashes: suspect_completions.SuspectCompletions | None = None,
         source: typing.Callable[[], work_reports.WorkReport] = work_reports.WorkReport,
-        table: share_spread.ShareTable | None = None,
+        table: work_exchange.PeerWorkTable | None = None,
     ) -> None:
         self._clock = time
         chance = random.Random()
@@ -85,7 +85,7 @@
         )
         self._spread = spread.DocumentSpread(self._keeper, self._links, time, chance)
         interval = datetime.timedelta(seconds=chosen.peers.heartbeat_interval_s)
-        self._leaving = leaving.LeavingServers(
+        self._leaving = leaving_servers.LeavingServers(
             time, _LEAVING_HOLD, own_fleet.set_leaving
         )
         crashes = crashes or suspect_completions.SuspectCompletions(time)
@@ -95,16 +95,16 @@
             objects=self._store,
             documents=self._spread,
             table=self._table,
-            spread=share_spread.ShareSpread(
+            work=work_exchange.WorkExchange(
                 source, table or NoShares(), time, interval
             ),
-            leaving_servers=self._leaving,
+            leaving=self._leaving,
             crashes=crashes,
             time=time,
             chance=chance,
             peer_links=self._links,
         )
-        crashes.on_news(self._peering.node.tell_crashes)
+        crashes.on_news(self._peering.node.send_crash_notices)
         self._keeper.on_adopted(self._peering.node.configuration_changed)
         self._collector = collector.PartCollector(self._store, self._documents)
         self._followers = (
@@ -155,7 +155,7 @@
     @property
     def near_instances(self) -> frozenset[str]:
         """Instances of the own failure domain that can be heard, this one included."""
-        near = self._peering.node.members.steady(self._own.failure_domain)
+        near = self._peering.node.detector.steady(self._own.failure_domain)
         names = {incarnations.instance_of(name) for name in near}
         return frozenset(names | {self._own.instance})
 
--- a/src/pimentolatch/entry/peer_work.py
+++ b/src/pimentolatch/entry/peer_work.py
@@ -21,7 +21,7 @@
         self._demand: dict[str, demand.Totals] = {}
 
     def update(self, peer: str, work: work_reports.WorkReport) -> None:
-        """See `share_spread.ShareTable.update`."""
+        """See `work_exchange.PeerWorkTable.update`."""
         self._decisions.peers.update(peer, work, self._clock.monotonic())
         for totals in work.totals:
             # The process is named by the link: totals that began anew after a restart
@@ -29,7 +29,7 @@
             self._demand[peer] = dataclasses.replace(totals, incarnation=peer)
 
     def forget(self, peer: str) -> None:
-        """See `share_spread.ShareTable.forget`."""
+        """See `work_exchange.PeerWorkTable.forget`."""
         self._decisions.peers.forget(peer)
         self._demand.pop(peer, None)
 
--- a/src/pimentolatch/gateway/beacon_exchange.py
+++ b/src/pimentolatch/gateway/beacon_exchange.py
@@ -131,8 +131,8 @@
             self._send([addr[0]], self.beacon(_MEMBERS_IN_REPLY))
         weight = self._weights.get(beacon.failure_domain, 1.0)
         self._load_exchange.receive(beacon, weight, self._clock.monotonic())
-        self._suspects.receive(beacon.suspicions)
-        self._leadership.receive(beacon.holder)
+        self._suspects.receive(beacon.crash_reports)
+        self._leadership.receive(beacon.leader)
 
     def _choose_receivers(self) -> None:
         """Select the receivers of beacons and the weight of each peer's load."""
@@ -152,7 +152,7 @@
 
     def _send_near(self) -> None:
         beacon = self.beacon(
-            cached=self._updates.take_near(), suspicions=self._suspects.take_near()
+            cached=self._updates.take_near(), crash_reports=self._suspects.take_near()
         )
         self._send(self._neighbours.near, beacon)
 
@@ -162,11 +162,11 @@
         if not hosts:
             return
         beacon = self.beacon(
-            cached=self._updates.take_far(), suspicions=self._suspects.take_far()
+            cached=self._updates.take_far(), crash_reports=self._suspects.take_far()
         )
         beacon = dataclasses.replace(beacon, loads=())
-        for piece, totals in self._load_exchange.totals(self._clock.monotonic()):
-            self._send(hosts, dataclasses.replace(beacon, totals=totals, piece=piece))
+        for chunk, totals in self._load_exchange.totals(self._clock.monotonic()):
+            self._send(hosts, dataclasses.replace(beacon, totals=totals, chunk=chunk))
 
     def _send(self, hosts: abc.Iterable[str], beacon: beacons.Beacon) -> None:
         self.send(hosts, [beacons.encode(beacon)])
@@ -174,20 +174,20 @@
     def beacon(
         self,
         members: int = _MEMBERS_PER_BEACON,
-        cached: tuple[beacons.CachedPart, ...] = (),
-        suspicions: tuple[beacons.Suspicion, ...] = (),
+        cached: tuple[beacons.CachedPrefix, ...] = (),
+        crash_reports: tuple[beacons.CrashReport, ...] = (),
     ) -> beacons.Beacon:
         """Return the beacon to send now.
 
         Args:
             members: Maximum number of members to list.
             cached: Prefix-cache updates to include.
-            suspicions: Crash evidence to include.
+            crash_reports: Crash evidence to include.
         """
         return beacons.Beacon(
             instance=self._name,
             failure_domain=self._place.failure_domain,
-            life=self._incarnation,
+            incarnation=self._incarnation,
             configuration=self._fleet.version,
             servers=self._fleet.servers_revision,
             stopping=self.stopping,
@@ -195,7 +195,7 @@
             members=self._table.sample_members(members),
             loads=self._load_exchange.own(),
             cached=cached,
-            changing=self._load_exchange.changing(self._clock.monotonic()),
+            stage_changes=self._load_exchange.changing(self._clock.monotonic()),
             demands=tuple(
                 beacons.Demand(
                     service,
@@ -205,8 +205,8 @@
                 )
                 for service, demand in self._demands().items()
             ),
-            suspicions=suspicions,
-            holder=self._leadership.announcement(),
+            crash_reports=crash_reports,
+            leader=self._leadership.announcement(),
         )
 
     def _readers(self) -> tuple[beacons.Reader, ...]:
--- a/src/pimentolatch/gateway/cache_updates.py
+++ b/src/pimentolatch/gateway/cache_updates.py
@@ -36,30 +36,30 @@
         """Queue the parts that other prompts may share: all but the last."""
         for part in prompt.parts[:-1]:
             key = prompts.part_key(part.name)
-            self.forward(beacons.CachedPart(engine, key, part.tokens))
+            self.forward(beacons.CachedPrefix(engine, key, part.tokens))
 
-    def forward(self, part: beacons.CachedPart) -> None:
+    def forward(self, part: beacons.CachedPrefix) -> None:
         """Queue an update, such as one from a peer that was not known before."""
         self._near.append(part)
         self._far.append(part)
 
-    def take_near(self) -> tuple[beacons.CachedPart, ...]:
+    def take_near(self) -> tuple[beacons.CachedPrefix, ...]:
         """Remove and return the updates for near peers, newest first."""
         taken, self._near = self._near, _new_queue()
         return _newest_first(taken)
 
-    def take_far(self) -> tuple[beacons.CachedPart, ...]:
+    def take_far(self) -> tuple[beacons.CachedPrefix, ...]:
         """Remove and return the updates for peers in other domains, newest first."""
         taken, self._far = self._far, _new_queue()
         return _newest_first(taken)
 
 
-def _new_queue() -> collections.deque[beacons.CachedPart]:
+def _new_queue() -> collections.deque[beacons.CachedPrefix]:
     return collections.deque(maxlen=_MAX_PARTS)
 
 
 def _newest_first(
-    parts: abc.Sequence[beacons.CachedPart],
-) -> tuple[beacons.CachedPart, ...]:
+    parts: abc.Sequence[beacons.CachedPrefix],
+) -> tuple[beacons.CachedPrefix, ...]:
     """Return the parts without duplicates, newest first."""
     return tuple(dict.fromkeys(reversed(parts)))
--- a/src/pimentolatch/gateway/dispatch.py
+++ b/src/pimentolatch/gateway/dispatch.py
@@ -15,16 +15,16 @@
 
 __all__ = [
     "MAX_BODY_BYTES",
-    "OutcomeUnknown",
+    "NOT_RUN_STATUSES",
+    "RETURN_TIME",
     "Declined",
+    "FullResponse",
     "NotSent",
     "OpenResponse",
     "Outcome",
-    "NOT_RUN_STATUSES",
-    "RETURN_TIME",
+    "OutcomeUnknown",
     "ServerClient",
     "Withdrawn",
-    "FullResponse",
     "describe",
 ]
 
--- a/src/pimentolatch/gateway/leadership.py
+++ b/src/pimentolatch/gateway/leadership.py
@@ -129,7 +129,7 @@
         """Give up leadership: this instance is about to stop."""
         self._release("instance is stopping")
 
-    def receive(self, notice: beacons.Holder | None) -> None:
+    def receive(self, notice: beacons.Leader | None) -> None:
         """Process what a peer reports about the leader."""
         if notice is None:
             return
@@ -141,11 +141,11 @@
         if self.active and notice.fence > self._lease.fence:
             self._end("another instance has a higher fence")
 
-    def announcement(self) -> beacons.Holder | None:
+    def announcement(self) -> beacons.Leader | None:
         """Return what to report about the leader; None if nothing recent is known."""
         now = self._clock.monotonic()
         if self.active:
-            return beacons.Holder(self._host, self._lease.fence, False, 0)
+            return beacons.Leader(self._host, self._lease.fence, False, 0)
         claim = self._leader_tracker.current(now)
         if claim is None:
             return None
@@ -154,7 +154,7 @@
         age = (now - self._leader_tracker.claimed_at) // datetime.timedelta(
             milliseconds=1
         ) + 1
-        return beacons.Holder(claim.host, claim.fence, claim.released, age)
+        return beacons.Leader(claim.host, claim.fence, claim.released, age)
 
     async def run(self) -> None:
         """Acquire and renew the lease whenever possible; runs until cancelled."""
--- a/src/pimentolatch/gateway/load_exchange.py
+++ b/src/pimentolatch/gateway/load_exchange.py
@@ -67,10 +67,10 @@
             self._receive_domain(beacon, now)
         else:
             self._receive_loads(beacon, weight, now)
-        for reported_change in beacon.changing:
+        for reported_change in beacon.stage_changes:
             engine = self._fleet.engine_load(reported_change.engine)
             if engine is not None:
-                left = datetime.timedelta(milliseconds=reported_change.left_ms)
+                left = datetime.timedelta(milliseconds=reported_change.remaining_ms)
                 engine.begin_change(
                     engine_loads.StageChange(reported_change.stage, now + left)
                 )
@@ -88,12 +88,12 @@
             for engine in self._engines()
             if engine.streams or any(engine.prefill_tokens)
         ]
-        found.sort(key=lambda load: sum(load.reading), reverse=True)
+        found.sort(key=lambda load: sum(load.prefill_tokens), reverse=True)
         return tuple(found[:_MAX_LOADS])
 
     def totals(
         self, now: datetime.timedelta
-    ) -> list[tuple[beacons.Piece, tuple[beacons.Load, ...]]]:
+    ) -> list[tuple[beacons.TotalsChunk, tuple[beacons.Load, ...]]]:
         """Return the engine loads of this domain's instances, at engines of any domain.
 
         The loads are split into as many chunks as datagrams are needed. If the excess
@@ -109,14 +109,14 @@
         for engine, work in busy:
             chunks[_chunk_of(engine, count)].append(_load(engine, work))
         return [
-            (beacons.Piece(number, count), tuple(loads))
+            (beacons.TotalsChunk(number, count), tuple(loads))
             for number, loads in enumerate(chunks)
         ]
 
-    def changing(self, now: datetime.timedelta) -> tuple[beacons.Changing, ...]:
+    def changing(self, now: datetime.timedelta) -> tuple[beacons.StageChange, ...]:
         """Return the engines that are known to be changing their stage."""
         return tuple(
-            beacons.Changing(
+            beacons.StageChange(
                 engine.server.incarnation,
                 engine.change.stage,
                 int((engine.change.until - now) / datetime.timedelta(milliseconds=1)),
@@ -142,7 +142,7 @@
             engine = self._fleet.engine_load(load.engine)
             if engine is not None:
                 peer_load = peer_loads.PeerLoad(
-                    load.reading, load.writing, load.held, weight
+                    load.prefill_tokens, load.streams, load.kv_tokens, weight
                 )
                 engine.peers.update(beacon.instance, peer_load, now)
 
@@ -152,15 +152,17 @@
         for load in beacon.totals:
             engine = self._fleet.engine_load(load.engine)
             if engine is not None:
-                work = peer_loads.PeerLoad(load.reading, load.writing, load.held)
+                work = peer_loads.PeerLoad(
+                    load.prefill_tokens, load.streams, load.kv_tokens
+                )
                 engine.peers.update_domain(domain, work, now)
         reported = {load.engine for load in beacon.totals}
         for engine in self._engines():
-            covered = _chunk_of(engine, beacon.piece.count) == beacon.piece.number
+            covered = _chunk_of(engine, beacon.chunk.count) == beacon.chunk.number
             if covered and engine.server.incarnation not in reported:
                 engine.peers.forget_domain(domain)
 
-    def _receive_cached(self, part: beacons.CachedPart) -> None:
+    def _receive_cached(self, part: beacons.CachedPrefix) -> None:
         engine = self._fleet.engine_load(part.engine)
         if engine is None:
             return
--- a/src/pimentolatch/gateway/peer_table.py
+++ b/src/pimentolatch/gateway/peer_table.py
@@ -81,7 +81,7 @@
             self._mention(neighbours.Place(member.host, member.failure_domain), now)
         if beacon.failure_domain == self._place.failure_domain:
             self._update_readers(beacon, now)
-        return known is None or known.beacon.life != beacon.life
+        return known is None or known.beacon.incarnation != beacon.incarnation
 
     def forget_old(self) -> None:
         """Remove instances that no beacon has listed within the retention time."""
@@ -139,8 +139,8 @@
         ]
         scale = max(1.0, (self.instances - 1) / max(1, len(live)))
         return demand_rate.ServiceDemand(
-            scale * sum(demand.reading for demand in found),
-            scale * sum(demand.writing for demand in found),
+            scale * sum(demand.prefill for demand in found),
+            scale * sum(demand.decode for demand in found),
         )
 
     def prefill_rate(self, service: str) -> float:
@@ -150,7 +150,7 @@
         high, so the highest rate of several instances is the most accurate.
         """
         rates = [
-            demand.rate / 1000
+            demand.prefill_rate / 1000
             for peer in self.live()
             for demand in peer.beacon.demands
             if demand.service == service
--- a/src/pimentolatch/gateway/quarantine.py
+++ b/src/pimentolatch/gateway/quarantine.py
@@ -122,17 +122,17 @@
         """Record that a server has completed a request successfully."""
         self._enqueue(self._suspects.completed(request.digest))
 
-    def take_near(self) -> tuple[beacons.Suspicion, ...]:
+    def take_near(self) -> tuple[beacons.CrashReport, ...]:
         """Return the evidence to send to near peers."""
         evidence = self._near.take(_MAX_PAIRS, self._suspects.crashes)
         return self._rows(evidence + self._next_serious())
 
-    def take_far(self) -> tuple[beacons.Suspicion, ...]:
+    def take_far(self) -> tuple[beacons.CrashReport, ...]:
         """Return the evidence to send to peers in other failure domains."""
         evidence = self._far.take(_MAX_PAIRS, self._suspects.crashes)
         return self._rows(evidence + self._next_serious())
 
-    def receive(self, rows: typing.Iterable[beacons.Suspicion]) -> None:
+    def receive(self, rows: typing.Iterable[beacons.CrashReport]) -> None:
         """Apply the evidence that a peer has sent."""
         now = self._clock.monotonic()
         pairs = [
@@ -141,8 +141,8 @@
                 row.server,
                 row.cleared,
                 now - row.age_ms * _MILLISECOND,
-                row.lasted_ms * _MILLISECOND,
-                row.server_lives,
+                row.ran_for_ms * _MILLISECOND,
+                row.server_alive,
             )
             for row in rows
         ]
@@ -180,11 +180,11 @@
 
     def _rows(
         self, pairs: typing.Iterable[crash_evidence.Suspicion]
-    ) -> tuple[beacons.Suspicion, ...]:
+    ) -> tuple[beacons.CrashReport, ...]:
         now = self._clock.monotonic()
         # Rounded up: evidence whose age is rounded down at each hop would never expire.
         return tuple(
-            beacons.Suspicion(
+            beacons.CrashReport(
                 pair.digest,
                 pair.server,
                 pair.cleared,
--- a/src/pimentolatch/gateway/refusals.py
+++ b/src/pimentolatch/gateway/refusals.py
@@ -10,8 +10,8 @@
 __all__ = [
     "body_too_large",
     "body_too_slow",
-    "key_possibly_new",
     "deadline_passed",
+    "key_possibly_new",
     "no_configuration",
     "no_route",
     "no_server",
--- a/src/pimentolatch/gateway/request_log.py
+++ b/src/pimentolatch/gateway/request_log.py
@@ -12,11 +12,11 @@
     "ANSWERED",
     "DOUBTED",
     "EVENTS",
-    "EventCounter",
     "PLACED",
     "SENT",
-    "RequestLog",
     "WAITED",
+    "EventCounter",
+    "RequestLog",
 ]
 
 _log = logbook.Logger("request")
--- a/src/pimentolatch/gateway/request_progress.py
+++ b/src/pimentolatch/gateway/request_progress.py
@@ -32,14 +32,14 @@
 
 __all__ = [
     "Context",
-    "Progress",
-    "PrefilledPrompt",
     "Generation",
+    "PrefilledPrompt",
+    "Progress",
     "address_of",
+    "client_gives_up_at",
     "finish",
     "finish_with_refusal",
     "first_event_limit",
-    "client_gives_up_at",
 ]
 
 # Time until the first event after which an engine is checked for a stall: a multiple of
--- a/src/pimentolatch/membership/acknowledgements.py
+++ b/src/pimentolatch/membership/acknowledgements.py
@@ -80,7 +80,7 @@
         self._changes += 1
         return True
 
-    def succeed(self, successor: messages.Introduction) -> frozenset[str]:
+    def introduce_successor(self, successor: messages.Introduction) -> frozenset[str]:
         """Count an incarnation that listens; returns those it proves ended.
 
         What this instance hears can be old: after a freeze it may read the hello of
@@ -99,7 +99,7 @@
             and known.introduction.host == successor.host
             and known.introduction.port == successor.port
         ]
-        return self._end(before)
+        return self._remove_ended(before)
 
     def acknowledge(self, incarnation: str, failure_domain: str, number: int) -> bool:
         """Take note of an acknowledgement; False if it tells nothing new."""
@@ -113,9 +113,9 @@
 
     def farewell(self, incarnation: str) -> None:
         """Take note that an incarnation has finished."""
-        self._end([incarnation])
+        self._remove_ended([incarnation])
 
-    def listed(
+    def apply_instance_list(
         self, rows: abc.Iterable[store.Instance], asked: datetime.timedelta
     ) -> frozenset[str]:
         """Take the platform's instance list; returns incarnations it proves ended.
@@ -136,9 +136,9 @@
             named = row is not None and name in row.ended
             if named or (old_enough and not _is_at(row, known.introduction)):
                 ended.append(name)
-        return self._end(ended)
+        return self._remove_ended(ended)
 
-    def registered(
+    def apply_registrations(
         self, rows: abc.Iterable[registrations.Registration], covers: dict[str, int]
     ) -> frozenset[str]:
         """Take a listing of registrations; returns incarnations it proves ended.
@@ -150,7 +150,7 @@
         """
         ended: frozenset[str] = frozenset()
         for row in rows:
-            ended |= self.succeed(row.introduction)
+            ended |= self.introduce_successor(row.introduction)
             for view in row.views:
                 self.acknowledge(
                     row.introduction.incarnation, view.failure_domain, view.number
@@ -180,17 +180,17 @@
             for name in self._known
             if numbers.get(name, -1) < number
         }
-        heard_of = {incarnations.instance_of(name) for name in self._known}
-        silent = self._listed - heard_of - self._finished_instances()
+        known_instances = {incarnations.instance_of(name) for name in self._known}
+        unseen = self._listed - known_instances - self._ended_instances()
         if self._registrations_cover.get(failure_domain, 0) < number:
             behind.add(UNREAD_REGISTRATIONS)
-        return frozenset(behind | silent)
+        return frozenset(behind | unseen)
 
-    def _finished_instances(self) -> set[str]:
+    def _ended_instances(self) -> set[str]:
         # The list lags, so it still names an instance whose last process has gone.
         return {incarnations.instance_of(name) for name in self._ended}
 
-    def _end(self, names: abc.Iterable[str]) -> frozenset[str]:
+    def _remove_ended(self, names: abc.Iterable[str]) -> frozenset[str]:
         ended = frozenset(names)
         self._changes += len(ended)
         for name in sorted(ended):
--- a/src/pimentolatch/membership/dialer.py
+++ b/src/pimentolatch/membership/dialer.py
@@ -14,10 +14,10 @@
 # to one peer, and then dials too: the cut may be in one direction only.
 _SECOND_DIAL_AFTER = datetime.timedelta(seconds=3)
 _FIRST_RETRY = datetime.timedelta(seconds=0.5)
-_LONGEST_RETRY = datetime.timedelta(seconds=10)
+_MAX_RETRY = datetime.timedelta(seconds=10)
 # Links across failure domains that are no longer asked for stay so long, so that a
 # list that changes back does not cost a new link.
-_UNWANTED_FOR = datetime.timedelta(seconds=60)
+_UNWANTED_GRACE = datetime.timedelta(seconds=60)
 
 
 class Dialer:
@@ -43,7 +43,7 @@
         self._tasks: dict[str, asyncio.Task[str]] = {}
         self._unwanted: dict[int, datetime.timedelta] = {}
 
-    def listed(self, rows: tuple[store.Instance, ...]) -> None:
+    def apply_instance_list(self, rows: tuple[store.Instance, ...]) -> None:
         """Take the platform's instance list."""
         self._listed = {row.name: row for row in rows}
         self._chosen_for = None
@@ -79,7 +79,7 @@
 
     async def _dial(self, target: "_Target", host: str, port: int) -> str:
         began = self._clock.monotonic()
-        reason = await self._links.dial(host, port, target.meet)
+        reason = await self._links.dial(host, port, target.set_name)
         target.ended(self._clock.monotonic(), began)
         return reason
 
@@ -101,7 +101,9 @@
     def _choose(self) -> frozenset[str]:
         failed = self._failed()
         if self._chosen_for != failed:
-            self._chosen = topology.dials(self._own, self._listed.values(), failed)
+            self._chosen = topology.link_targets(
+                self._own, self._listed.values(), failed
+            )
             self._chosen_for = failed
         return self._chosen
 
@@ -132,7 +134,7 @@
         }
         self._unwanted = {n: self._unwanted.get(n, now) for n in unwanted}
         for number, since in self._unwanted.items():
-            if now - since >= _UNWANTED_FOR:
+            if now - since >= _UNWANTED_GRACE:
                 self._links.close(number, "no longer needed")
 
 
@@ -146,15 +148,15 @@
         self.due = due
         self.name = name
         self.failures = 0
-        self._backoff = backoff.Backoff(_FIRST_RETRY, _LONGEST_RETRY, chance)
+        self._backoff = backoff.Backoff(_FIRST_RETRY, _MAX_RETRY, chance)
 
-    def meet(self, instance: str) -> None:
+    def set_name(self, instance: str) -> None:
         """Take note of who answers at this address; a seed has no name before."""
         self.name = instance
 
     def ended(self, now: datetime.timedelta, began: datetime.timedelta) -> None:
         """Set when to dial again; a link that lasted starts from the beginning."""
-        if now - began > _LONGEST_RETRY:
+        if now - began > _MAX_RETRY:
             self._backoff.reset()
             self.failures = 0
         self.failures += 1
--- a/src/pimentolatch/membership/members.py
+++ b/src/pimentolatch/membership/failure_detector.py
@@ -11,27 +11,27 @@
 
 from pimentolatch import clock
 
-__all__ = ["Members"]
+__all__ = ["FailureDetector"]
 
 _NEVER = datetime.timedelta(seconds=-1_000_000)
 # A link that breaks again and again would move duties with every break. Each loss in
 # the last minute doubles the time a peer must be heard without a break before it is
 # counted on; the cap keeps a healed link from being distrusted for long.
-_FLAP_MEMORY = datetime.timedelta(seconds=60)
-_LONGEST_PROBATION = datetime.timedelta(seconds=30)
+_FLAP_WINDOW = datetime.timedelta(seconds=60)
+_MAX_PROBATION = datetime.timedelta(seconds=30)
 _REMEMBERED_LOSSES = 8
 
 
 @dataclasses.dataclass(slots=True)
 class _Peer:
     failure_domain: str
-    heard: datetime.timedelta
-    heard_of: datetime.timedelta = _NEVER
-    since: datetime.timedelta = _NEVER
+    last_message: datetime.timedelta
+    last_indirect: datetime.timedelta = _NEVER
+    steady_since: datetime.timedelta = _NEVER
     losses: list[datetime.timedelta] = dataclasses.field(default_factory=list)
 
 
-class Members:
+class FailureDetector:
     """What the links say about other incarnations.
 
     Args:
@@ -43,55 +43,57 @@
         self._suspect_after = suspect_after
         self._peers: dict[str, _Peer] = {}
 
-    def heard(self, incarnation: str, failure_domain: str) -> None:
+    def record_message(self, incarnation: str, failure_domain: str) -> None:
         """Take note of a message that came from an incarnation itself."""
         now = self._clock.monotonic()
         peer = self._peers.get(incarnation)
         if peer is None:
-            peer = self._peers[incarnation] = _Peer(failure_domain, now, since=now)
-        elif self._silent(peer):
-            self._lose(peer)
-            peer.since = now
-        peer.heard = now
+            peer = self._peers[incarnation] = _Peer(
+                failure_domain, now, steady_since=now
+            )
+        elif self._is_unresponsive(peer):
+            self._record_loss(peer)
+            peer.steady_since = now
+        peer.last_message = now
 
-    def heard_of(self, incarnation: str, age: datetime.timedelta) -> None:
+    def record_indirect(self, incarnation: str, age: datetime.timedelta) -> None:
         """Take note that another peer heard the incarnation, `age` ago."""
         peer = self._peers.get(incarnation)
         if peer is not None:
-            peer.heard_of = max(peer.heard_of, self._clock.monotonic() - age)
+            peer.last_indirect = max(peer.last_indirect, self._clock.monotonic() - age)
 
-    def lost(self, incarnation: str) -> None:
+    def record_link_loss(self, incarnation: str) -> None:
         """Take note that the link to an incarnation broke."""
         peer = self._peers.get(incarnation)
         if peer is not None:
-            self._lose(peer)
-            peer.since = self._clock.monotonic()
+            self._record_loss(peer)
+            peer.steady_since = self._clock.monotonic()
 
-    def forget(self, incarnation: str) -> None:
+    def remove(self, incarnation: str) -> None:
         """Drop an incarnation that is known to have ended."""
         self._peers.pop(incarnation, None)
 
-    def age(self, incarnation: str) -> datetime.timedelta | None:
+    def silence(self, incarnation: str) -> datetime.timedelta | None:
         """Return the time since the incarnation was heard directly, if ever."""
         peer = self._peers.get(incarnation)
-        return None if peer is None else self._clock.monotonic() - peer.heard
+        return None if peer is None else self._clock.monotonic() - peer.last_message
 
     def failure_domain(self, incarnation: str) -> str | None:
         """Return the failure domain of an incarnation that was heard directly."""
         peer = self._peers.get(incarnation)
         return None if peer is None else peer.failure_domain
 
-    def hears(self, incarnation: str) -> bool:
+    def is_reachable(self, incarnation: str) -> bool:
         """Tell whether the incarnation is heard directly."""
         peer = self._peers.get(incarnation)
-        return peer is not None and not self._silent(peer)
+        return peer is not None and not self._is_unresponsive(peer)
 
     def reachable(self, failure_domain: str) -> frozenset[str]:
         """Return the incarnations of a failure domain that are heard directly."""
         return frozenset(
             name
             for name, peer in self._peers.items()
-            if peer.failure_domain == failure_domain and not self._silent(peer)
+            if peer.failure_domain == failure_domain and not self._is_unresponsive(peer)
         )
 
     def steady(self, failure_domain: str) -> frozenset[str]:
@@ -100,7 +102,8 @@
         return frozenset(
             name
             for name in self.reachable(failure_domain)
-            if now - self._peers[name].since >= self._probation(self._peers[name])
+            if now - self._peers[name].steady_since
+            >= self._probation(self._peers[name])
         )
 
     def suspected(self) -> frozenset[str]:
@@ -109,29 +112,29 @@
         return frozenset(
             name
             for name, peer in self._peers.items()
-            if now - max(peer.heard, peer.heard_of) >= self._suspect_after
+            if now - max(peer.last_message, peer.last_indirect) >= self._suspect_after
         )
 
-    def quiet(self) -> tuple[str, ...]:
+    def to_query(self) -> tuple[str, ...]:
         """Return the incarnations to ask other peers about, before suspecting them."""
         now = self._clock.monotonic()
         return tuple(
             sorted(
                 name
                 for name, peer in self._peers.items()
-                if now - peer.heard >= self._suspect_after / 2
+                if now - peer.last_message >= self._suspect_after / 2
             )
         )
 
-    def _silent(self, peer: _Peer) -> bool:
-        return self._clock.monotonic() - peer.heard >= self._suspect_after
+    def _is_unresponsive(self, peer: _Peer) -> bool:
+        return self._clock.monotonic() - peer.last_message >= self._suspect_after
 
-    def _lose(self, peer: _Peer) -> None:
+    def _record_loss(self, peer: _Peer) -> None:
         peer.losses = [*peer.losses, self._clock.monotonic()][-_REMEMBERED_LOSSES:]
 
     def _probation(self, peer: _Peer) -> datetime.timedelta:
-        oldest = self._clock.monotonic() - _FLAP_MEMORY
+        oldest = self._clock.monotonic() - _FLAP_WINDOW
         recent = sum(loss >= oldest for loss in peer.losses)
         if recent == 0:
             return datetime.timedelta()
-        return min(_LONGEST_PROBATION, self._suspect_after * float(1 << (recent - 1)))
+        return min(_MAX_PROBATION, self._suspect_after * float(1 << (recent - 1)))
--- a/src/pimentolatch/membership/testimony.py
+++ b/src/pimentolatch/membership/indirect_liveness.py
@@ -3,37 +3,37 @@
 import datetime
 from collections import abc
 
-from pimentolatch.membership import acknowledgements, members
+from pimentolatch.membership import acknowledgements, failure_detector
 from pimentolatch.protocol import messages
 
-__all__ = ["evidence", "take"]
+__all__ = ["receive", "report"]
 
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
-def evidence(
-    asking: abc.Iterable[str],
-    known: members.Members,
+def report(
+    queried: abc.Iterable[str],
+    known: failure_detector.FailureDetector,
     acknowledged: acknowledgements.AcknowledgementTable,
-) -> tuple[messages.Evidence, ...]:
+) -> tuple[messages.LivenessEntry, ...]:
     """Return what is known of the incarnations that are heard directly here."""
     found = []
-    for incarnation in asking:
-        age = known.age(incarnation)
-        if age is not None and known.hears(incarnation):
+    for incarnation in queried:
+        age = known.silence(incarnation)
+        if age is not None and known.is_reachable(incarnation):
             age_ms = max(0, int(age / _MILLISECOND))
             numbers = acknowledged.numbers_of(incarnation)
-            found.append(messages.Evidence(incarnation, age_ms, numbers))
+            found.append(messages.LivenessEntry(incarnation, age_ms, numbers))
     return tuple(found)
 
 
-def take(
-    message: messages.Testimony,
-    known: members.Members,
+def receive(
+    message: messages.LivenessReport,
+    known: failure_detector.FailureDetector,
     acknowledged: acknowledgements.AcknowledgementTable,
 ) -> None:
     """Take a peer's word for whom it hears and for what they acknowledge."""
-    for item in message.evidence:
-        known.heard_of(item.incarnation, item.age_ms * _MILLISECOND)
+    for item in message.entries:
+        known.record_indirect(item.incarnation, item.age_ms * _MILLISECOND)
         for view in item.views:
             acknowledged.acknowledge(item.incarnation, view.failure_domain, view.number)
--- a/src/pimentolatch/membership/interfaces.py
+++ b/src/pimentolatch/membership/interfaces.py
@@ -48,14 +48,14 @@
 class CrashTable(typing.Protocol):
     """Holds which completions have ended engines, as this instance knows."""
 
-    def take(self, told: abc.Iterable[messages.EngineEnd], *, near: bool) -> None:
+    def take(self, told: abc.Iterable[messages.EngineCrash], *, near: bool) -> None:
         """Take what a peer tells, which may be of the own failure domain."""
 
-    def take_near(self, most: int) -> tuple[messages.EngineEnd, ...]:
+    def take_near(self, most: int) -> tuple[messages.EngineCrash, ...]:
         """Return what peers of the own failure domain are to be told."""
 
-    def take_far(self, most: int) -> tuple[messages.EngineEnd, ...]:
+    def take_far(self, most: int) -> tuple[messages.EngineCrash, ...]:
         """Return what peers of other failure domains are to be told."""
 
-    def serious(self) -> tuple[messages.EngineEnd, ...]:
+    def serious(self) -> tuple[messages.EngineCrash, ...]:
         """Return what an instance that has just started has to know."""
--- a/src/pimentolatch/membership/leaving.py
+++ b/src/pimentolatch/membership/leaving_servers.py
@@ -32,14 +32,14 @@
         self._clock = time
         self._hold = hold
         self._changed = changed
-        self._read: frozenset[str] = frozenset()
-        self._noticed: dict[str, datetime.timedelta] = {}
-        self._has_read = False
+        self._listed: frozenset[str] = frozenset()
+        self._reported: dict[str, datetime.timedelta] = {}
+        self._has_list = False
 
     @property
     def servers(self) -> frozenset[str]:
         """Servers that take no new work."""
-        return self._read.union(self._noticed)
+        return self._listed.union(self._reported)
 
     @property
     def known(self) -> frozenset[str] | None:
@@ -48,28 +48,30 @@
         A duty holder that took an unread list for an empty one would put a leaving
         server back to work.
         """
-        return self.servers if self._has_read else None
+        return self.servers if self._has_list else None
 
-    def listed(self, rows: abc.Iterable[store.Instance]) -> tuple[str, ...]:
+    def apply_instance_list(
+        self, rows: abc.Iterable[store.Instance]
+    ) -> tuple[str, ...]:
         """Take a reading of the list; returns what peers should be told."""
         now = self._clock.monotonic()
         before = self.servers
-        self._has_read = True
-        self._read = frozenset(
+        self._has_list = True
+        self._listed = frozenset(
             row.name for row in rows if row.kind != "entry" and row.state == "leaving"
         )
         # Readings differ in age. A server that a peer saw leaving stays out for a
         # time, or it would get work again from whoever read an older list after that.
-        self._noticed = {
+        self._reported = {
             name: since
-            for name, since in self._noticed.items()
+            for name, since in self._reported.items()
             if now - since < self._hold
         }
         self._changed(self.servers)
-        return tuple(sorted(self._read - before))
+        return tuple(sorted(self._listed - before))
 
-    def noticed(self, names: abc.Iterable[str]) -> None:
+    def receive(self, names: abc.Iterable[str]) -> None:
         """Take a peer's word for what it read."""
         now = self._clock.monotonic()
-        self._noticed |= dict.fromkeys(names, now)
+        self._reported |= dict.fromkeys(names, now)
         self._changed(self.servers)
--- a/src/pimentolatch/membership/links.py
+++ b/src/pimentolatch/membership/links.py
@@ -17,7 +17,7 @@
 from pimentolatch.membership import incarnations
 from pimentolatch.protocol import codec, messages
 
-__all__ = ["LinkUser", "Links"]
+__all__ = ["LinkHandler", "Links"]
 
 _log = logbook.Logger("links")
 # A peer that takes nothing for so many messages is slow or gone. Waiting for it would
@@ -34,7 +34,7 @@
 _POLICY = 1008
 
 
-class LinkUser(typing.Protocol):
+class LinkHandler(typing.Protocol):
     """Whoever handles what comes in; called in the event loop, never blocking."""
 
     def opened(self, number: int, peer: messages.Hello) -> None:
@@ -80,7 +80,7 @@
         self._silence_s = silence_s
         self._numbers = itertools.count(1)
         self._links: dict[int, _Link] = {}
-        self._user: LinkUser | None = None
+        self._handler: LinkHandler | None = None
         self._server: websockets.asyncio.server.Server | None = None
         self._closed = False
         self.bytes_sent = 0
@@ -105,9 +105,9 @@
             if link.dialed and link.peer is not None
         }
 
-    async def start(self, user: LinkUser) -> None:
+    async def start(self, handler: LinkHandler) -> None:
         """Listen; raises `OSError` if the address can't be had."""
-        self._user = user
+        self._handler = handler
         self._server = await websockets.asyncio.server.serve(
             self._accept,
             self._address.host,
@@ -130,14 +130,14 @@
             await self._server.wait_closed()
 
     async def dial(
-        self, host: str, port: int, met: typing.Callable[[str], None]
+        self, host: str, port: int, on_identified: typing.Callable[[str], None]
     ) -> str:
         """Open a link and serve it until it ends; returns why it ended.
 
         Args:
             host: IP number of the peer.
             port: Port of the peer.
-            met: Called with the name of the instance that answers.
+            on_identified: Called with the name of the instance that answers.
         """
         shown = f"[{host}]" if ipaddress.ip_address(host).version == 6 else host
         try:
@@ -155,7 +155,7 @@
             )
         except (OSError, TimeoutError, websockets.exceptions.WebSocketException) as e:
             return repr(e)
-        return await self._serve(socket, dialed=True, met=met)
+        return await self._serve(socket, dialed=True, on_identified=on_identified)
 
     def send(self, link: int, message: messages.Message) -> None:
         """See `interfaces.Network.send`."""
@@ -185,14 +185,14 @@
         socket: websockets.asyncio.connection.Connection,
         *,
         dialed: bool,
-        met: typing.Callable[[str], None] = lambda instance: None,
+        on_identified: typing.Callable[[str], None] = lambda instance: None,
     ) -> str:
         number = next(self._numbers)
         link = self._links[number] = _Link(socket, dialed)
         try:
-            reason = await self._greet(link, met)
+            reason = await self._handshake(link, on_identified)
             if not reason:
-                reason = await self._exchange(number, link)
+                reason = await self._run(number, link)
         except (
             OSError,
             TimeoutError,
@@ -200,16 +200,18 @@
         ) as error:
             reason = link.closing or repr(error)
             if _was_too_big(error):
-                _log.error("frame too large", peer=_shown(link))
+                _log.error("frame too large", peer=_peer_name(link))
         finally:
             self._links.pop(number, None)
-            if link.peer is not None and self._user is not None:
-                self._user.closed(number)
+            if link.peer is not None and self._handler is not None:
+                self._handler.closed(number)
             socket.transport.abort()
-        _log.debug("link ended", peer=_shown(link), reason=reason)
+        _log.debug("link ended", peer=_peer_name(link), reason=reason)
         return reason
 
-    async def _greet(self, link: _Link, met: typing.Callable[[str], None]) -> str:
+    async def _handshake(
+        self, link: _Link, on_identified: typing.Callable[[str], None]
+    ) -> str:
         own = self._own
         hello = messages.Hello(
             codec.PROTOCOL_VERSION,
@@ -229,7 +231,7 @@
         if peer.version != codec.PROTOCOL_VERSION:
             return await self._reject(link, f"protocol version {peer.version}")
         instance = incarnations.instance_of(peer.incarnation)
-        met(instance)
+        on_identified(instance)
         if instance == own.instance:
             return "own instance"
         if not self._supersedes(link, peer):
@@ -256,16 +258,16 @@
         return True
 
     async def _reject(self, link: _Link, reason: str) -> str:
-        _log.error("link rejected", peer=_shown(link), reason=reason)
+        _log.error("link rejected", peer=_peer_name(link), reason=reason)
         await link.socket.close(_POLICY)
         return reason
 
-    async def _exchange(self, number: int, link: _Link) -> str:
-        if self._user is None or link.peer is None:
+    async def _run(self, number: int, link: _Link) -> str:
+        if self._handler is None or link.peer is None:
             return "not started"
-        self._user.opened(number, link.peer)
+        self._handler.opened(number, link.peer)
         writer = asyncio.create_task(self._write(link))
-        reader = asyncio.create_task(self._read(number, link, self._user))
+        reader = asyncio.create_task(self._read(number, link, self._handler))
         try:
             done, _ = await asyncio.wait(
                 (writer, reader), return_when=asyncio.FIRST_COMPLETED
@@ -290,7 +292,7 @@
                 link.wake.clear()
                 await link.wake.wait()
 
-    async def _read(self, number: int, link: _Link, user: LinkUser) -> str:
+    async def _read(self, number: int, link: _Link, handler: LinkHandler) -> str:
         while True:
             async with asyncio.timeout(self._silence_s):
                 frame = _as_bytes(await link.socket.recv())
@@ -301,10 +303,10 @@
                 return await self._reject(link, f"malformed frame: {received.reason}")
             for message in received:
                 try:
-                    user.handle(number, message)
+                    handler.handle(number, message)
                 # Whatever one peer's message sets off must end with its link.
                 except Exception:
-                    _log.exception("message not handled", peer=_shown(link))
+                    _log.exception("message not handled", peer=_peer_name(link))
                     return "message not handled"
 
 
@@ -326,13 +328,13 @@
             return True
         case messages.Heartbeat():
             return len(message.introduced) > _SMALL_ENTRIES
-        case messages.SharesDelta():
+        case messages.WorkDelta():
             return len(message.servers) + len(message.callers) > _SMALL_ENTRIES
         case messages.LeavingNotice():
             return len(message.servers) > _SMALL_ENTRIES
         case messages.CrashNotice():
-            return len(message.ends) > _SMALL_ENTRIES
-        case messages.Acknowledged():
+            return len(message.crashes) > _SMALL_ENTRIES
+        case messages.RelayedAcknowledgements():
             return len(message.rows) > _SMALL_ENTRIES
         case _:
             return False
@@ -349,7 +351,7 @@
     return error.sent is not None and error.sent.code == _TOO_BIG
 
 
-def _shown(link: _Link) -> str:
+def _peer_name(link: _Link) -> str:
     if link.peer is not None:
         return link.peer.incarnation
     return str(link.socket.remote_address)
--- a/src/pimentolatch/membership/node.py
+++ b/src/pimentolatch/membership/node.py
@@ -14,18 +14,18 @@
 
 from pimentolatch import clock, store
 from pimentolatch.membership import (
+    acknowledgement_relay,
     acknowledgements,
-    gathering,
+    failure_detector,
     incarnations,
+    indirect_liveness,
     interfaces,
-    leaving,
-    members,
+    leaving_servers,
     registrations,
-    share_spread,
-    testimony,
     view_exchange,
     view_table,
     views,
+    work_exchange,
 )
 from pimentolatch.protocol import messages
 
@@ -34,10 +34,10 @@
 _log = logbook.Logger("membership")
 # A peer asked about is one of a few; more would make each outage of a failure domain
 # a burst of questions. The rest is asked about in later heartbeats.
-_ASKED_AT_ONCE = 8
+_MAX_QUERIED = 8
 # Ends of engines that are told between two heartbeats, at once as they are noticed.
 # After the loss of many engines the rest follows with later heartbeats.
-_ENDS_PER_HEARTBEAT = 64
+_CRASHES_PER_HEARTBEAT = 64
 
 
 @dataclasses.dataclass(slots=True)
@@ -71,8 +71,8 @@
         documents: interfaces.ConfigurationPeer,
         crashes: interfaces.CrashTable,
         table: view_table.ViewTable,
-        spread: share_spread.ShareSpread,
-        leaving_servers: leaving.LeavingServers,
+        work: work_exchange.WorkExchange,
+        leaving: leaving_servers.LeavingServers,
         time: clock.Clock,
         suspect_after: datetime.timedelta,
         list_lag: datetime.timedelta,
@@ -81,12 +81,12 @@
         self._network = network
         self._documents = documents
         self._table = table
-        self._spread = spread
-        self._leaving = leaving_servers
+        self._work = work
+        self._leaving = leaving
         self._crashes = crashes
-        self._ends_left = _ENDS_PER_HEARTBEAT
+        self._crashes_left = _CRASHES_PER_HEARTBEAT
         self._clock = time
-        self.members = members.Members(time, suspect_after)
+        self.detector = failure_detector.FailureDetector(time, suspect_after)
         self.acknowledged = acknowledgements.AcknowledgementTable(
             own.instance, time, list_lag
         )
@@ -94,18 +94,18 @@
         self.acknowledged.introduce(self._introduction)
         self._links: dict[int, _Link] = {}
         self._sequence = 0
-        self._holds = False
-        self._gathering = gathering.Gathering(
-            own.failure_domain, self.members, self.acknowledged
+        self._is_leader = False
+        self._relay = acknowledgement_relay.AcknowledgementRelay(
+            own.failure_domain, self.detector, self.acknowledged
         )
         self._views = view_exchange.ViewExchange(
             own,
             network=network,
             table=table,
-            spread=spread,
+            work=work,
             acknowledged=self.acknowledged,
             time=time,
-            changed=self._changed,
+            send_heartbeats=self._send_heartbeats,
         )
 
     @property
@@ -120,26 +120,26 @@
         instance there has ended. Its other links are left to end by silence.
         """
         self._links[number] = _Link(peer)
-        self._gathering.opened(number)
+        self._relay.opened(number)
         # A new link starts with all of the peer's work; what a lost one left is stale.
-        self._spread.forget(peer.incarnation)
-        self.members.heard(peer.incarnation, peer.failure_domain)
-        self._forget(
-            self.acknowledged.succeed(
+        self._work.forget(peer.incarnation)
+        self.detector.record_message(peer.incarnation, peer.failure_domain)
+        self._remove_ended(
+            self.acknowledged.introduce_successor(
                 messages.Introduction(peer.incarnation, peer.host, peer.port)
             )
         )
         if peer.failure_domain == self._own.failure_domain:
             # Work goes first: what follows may acknowledge a view.
-            for delta in self._spread.snapshot():
+            for delta in self._work.snapshot():
                 self._network.send(number, delta)
-            if self._holds:
-                notice = messages.HolderNotice(self._own.failure_domain)
+            if self._is_leader:
+                notice = messages.LeaderNotice(self._own.failure_domain)
                 self._network.send(number, notice)
         serious = self._crashes.serious()
         if serious:
             self._network.send(number, messages.CrashNotice(serious))
-        self._changed()
+        self._send_heartbeats()
 
     def closed(self, number: int) -> None:
         """Take note that a link is gone."""
@@ -148,11 +148,11 @@
             return
         self._documents.closed(number)
         self._views.closed(number)
-        self._gathering.closed(number)
+        self._relay.closed(number)
         incarnation = link.peer.incarnation
         if all(o.peer.incarnation != incarnation for o in self._links.values()):
-            self.members.lost(incarnation)
-            self._spread.forget(incarnation)
+            self.detector.record_link_loss(incarnation)
+            self._work.forget(incarnation)
 
     def handle(self, number: int, message: messages.Message) -> None:
         """Handle a message of an open link."""
@@ -161,32 +161,32 @@
         # would have the peer listened for again, and suspected seconds later.
         if link is None or link.finished:
             return
-        self.members.heard(link.peer.incarnation, link.peer.failure_domain)
+        self.detector.record_message(link.peer.incarnation, link.peer.failure_domain)
         match message:
             case messages.Heartbeat():
-                self._heartbeat(number, link, message)
-            case messages.Testimony():
-                testimony.take(message, self.members, self.acknowledged)
+                self._receive_heartbeat(number, link, message)
+            case messages.LivenessReport():
+                indirect_liveness.receive(message, self.detector, self.acknowledged)
             case messages.Farewell():
                 link.finished = True
                 self.acknowledged.farewell(link.peer.incarnation)
-                self._forget({link.peer.incarnation})
-            case messages.HolderNotice():
-                self._gathering.noticed(number, message)
-                self._pass_on(number, link)
-            case messages.Acknowledged():
-                self._gathering.take(message)
+                self._remove_ended({link.peer.incarnation})
+            case messages.LeaderNotice():
+                self._relay.receive_leader_notice(number, message)
+                self._relay_acknowledgements(number, link)
+            case messages.RelayedAcknowledgements():
+                self._relay.receive(message)
             case messages.WantViews():
-                self._views.hand(number, link.peer, message)
+                self._views.send_views(number, link.peer, message)
             case messages.DomainViews():
                 self._take_views(message)
-            case messages.SharesDelta():
-                self._spread.received(link.peer.incarnation, message)
+            case messages.WorkDelta():
+                self._work.receive(link.peer.incarnation, message)
             case messages.LeavingNotice():
-                self._leaving.noticed(message.servers)
+                self._leaving.receive(message.servers)
             case messages.CrashNotice():
                 near = link.peer.failure_domain == self._own.failure_domain
-                self._crashes.take(message.ends, near=near)
+                self._crashes.take(message.crashes, near=near)
             case messages.Hello():
                 self._network.close(number, "second hello")
             case _:
@@ -195,23 +195,23 @@
     def tick(self) -> None:
         """Send a heartbeat on every link; called at the heartbeat interval."""
         self._views.acknowledge()
-        self._views.ask_again()
-        self._ends_left = _ENDS_PER_HEARTBEAT
-        self.tell_crashes()
+        self._views.retry_requests()
+        self._crashes_left = _CRASHES_PER_HEARTBEAT
+        self.send_crash_notices()
         for number, link in list(self._links.items()):
-            self._beat(number)
-            self._pass_on(number, link)
-        near = self._near_links()
-        delta = self._spread.next_delta(len(near))
+            self._send_heartbeat(number)
+            self._relay_acknowledgements(number, link)
+        near = self._own_domain_links()
+        delta = self._work.next_delta(len(near))
         if delta is not None:
             for number in near:
                 self._network.send(number, delta)
 
     def announce(self, view: views.DomainView) -> None:
         """Adopt a view that this instance wrote and gather its acknowledgements."""
-        if not self._holds:
-            self._holds = True
-            notice = messages.HolderNotice(view.failure_domain)
+        if not self._is_leader:
+            self._is_leader = True
+            notice = messages.LeaderNotice(view.failure_domain)
             for number, link in self._links.items():
                 if link.peer.failure_domain == self._own.failure_domain:
                     self._network.send(number, notice)
@@ -223,17 +223,17 @@
         """Adopt views from the store or a peer and tell the peers at once."""
         withdrawn = self._views.adopt(found, complete=complete)
         if withdrawn is not None:
-            self._tell_work_at(withdrawn)
+            self._send_work_at(withdrawn)
             self._views.acknowledge()
-            self._changed()
+            self._send_heartbeats()
 
-    def tell_crashes(self) -> None:
+    def send_crash_notices(self) -> None:
         """Tell the peers at once which completions have ended engines."""
-        if not self._ends_left:
+        if not self._crashes_left:
             return
-        near = self._crashes.take_near(self._ends_left)
-        far = self._crashes.take_far(self._ends_left)
-        self._ends_left -= max(len(near), len(far))
+        near = self._crashes.take_near(self._crashes_left)
+        far = self._crashes.take_far(self._crashes_left)
+        self._crashes_left -= max(len(near), len(far))
         for number, link in self._links.items():
             own_domain = link.peer.failure_domain == self._own.failure_domain
             if ends := near if own_domain else far:
@@ -241,23 +241,23 @@
 
     def configuration_changed(self) -> None:
         """Tell the peers at once that another document is in force here."""
-        self._changed()
+        self._send_heartbeats()
 
-    def registered(
+    def apply_registrations(
         self,
         rows: abc.Iterable[registrations.Registration],
         covers: dict[str, int],
     ) -> None:
         """Take a listing of registrations; see `AcknowledgementTable.registered`."""
-        self._forget(self.acknowledged.registered(rows, covers))
+        self._remove_ended(self.acknowledged.apply_registrations(rows, covers))
 
-    def listed(
+    def apply_instance_list(
         self, rows: abc.Iterable[store.Instance], asked: datetime.timedelta
     ) -> None:
         """Take the platform's instance list; see `AcknowledgementTable.listed`."""
         rows = tuple(rows)
-        self._forget(self.acknowledged.listed(rows, asked))
-        new = self._leaving.listed(rows)
+        self._remove_ended(self.acknowledged.apply_instance_list(rows, asked))
+        new = self._leaving.apply_instance_list(rows)
         if new:
             for number in self._links:
                 self._network.send(number, messages.LeavingNotice(new))
@@ -267,35 +267,35 @@
         for number in self._links:
             self._network.send(number, messages.Farewell())
 
-    def _forget(self, ended: abc.Iterable[str]) -> None:
+    def _remove_ended(self, ended: abc.Iterable[str]) -> None:
         for incarnation in ended:
-            self.members.forget(incarnation)
-            self._spread.forget(incarnation)
+            self.detector.remove(incarnation)
+            self._work.forget(incarnation)
 
-    def _changed(self) -> None:
+    def _send_heartbeats(self) -> None:
         for number in list(self._links):
-            self._beat(number)
+            self._send_heartbeat(number)
 
-    def _tell_work_at(self, servers: frozenset[str]) -> None:
+    def _send_work_at(self, servers: frozenset[str]) -> None:
         """Tell the work at withdrawn servers before the acknowledgement goes out.
 
         The holder orders an engine away when all have acknowledged and nobody has work
         there. A request that this instance chose the engine for just before it adopted
         the view would be unknown to the holder if the count came later.
         """
-        delta = self._spread.delta_of(servers)
+        delta = self._work.delta_for(servers)
         if delta is not None:
-            for number in self._near_links():
+            for number in self._own_domain_links():
                 self._network.send(number, delta)
 
-    def _near_links(self) -> list[int]:
+    def _own_domain_links(self) -> list[int]:
         return [
             number
             for number, link in self._links.items()
             if link.peer.failure_domain == self._own.failure_domain
         ]
 
-    def _beat(self, number: int) -> None:
+    def _send_heartbeat(self, number: int) -> None:
         link = self._links[number]
         self._sequence += 1
         changed = {
@@ -304,8 +304,8 @@
             if link.views_sent.get(name) != view
         }
         link.views_sent |= changed
-        quiet = self.members.quiet()
-        first = self._sequence % max(1, len(quiet))
+        to_query = self.detector.to_query()
+        first = self._sequence % max(1, len(to_query))
         self._network.send(
             number,
             messages.Heartbeat(
@@ -313,7 +313,7 @@
                 self._documents.number,
                 tuple(messages.ViewNumber(*item) for item in changed.items()),
                 self._introductions(link),
-                (quiet[first:] + quiet[:first])[:_ASKED_AT_ONCE],
+                (to_query[first:] + to_query[:first])[:_MAX_QUERIED],
             ),
         )
 
@@ -326,7 +326,7 @@
         link.introduced_change = self.acknowledged.changes
         return new
 
-    def _heartbeat(
+    def _receive_heartbeat(
         self, number: int, link: _Link, heartbeat: messages.Heartbeat
     ) -> None:
         for introduction in heartbeat.introduced:
@@ -335,10 +335,10 @@
             self.acknowledged.acknowledge(
                 link.peer.incarnation, view.failure_domain, view.number
             )
-        self._views.offered(number, heartbeat.views)
+        self._views.receive_offer(number, heartbeat.views)
         self._documents.offered(number, heartbeat.configuration)
-        if heartbeat.asking:
-            self._testify(number, heartbeat.asking)
+        if heartbeat.queried:
+            self._report_liveness(number, heartbeat.queried)
 
     def _take_views(self, message: messages.DomainViews) -> None:
         found = [view_table.view_from_message(stored) for stored in message.views]
@@ -346,15 +346,15 @@
         complete = message.complete and len(readable) == len(found)
         self.adopt_views(readable, complete=complete)
 
-    def _testify(self, number: int, asking: tuple[str, ...]) -> None:
-        evidence = testimony.evidence(
-            asking[:_ASKED_AT_ONCE], self.members, self.acknowledged
+    def _report_liveness(self, number: int, queried: tuple[str, ...]) -> None:
+        entries = indirect_liveness.report(
+            queried[:_MAX_QUERIED], self.detector, self.acknowledged
         )
-        if evidence:
-            self._network.send(number, messages.Testimony(evidence))
+        if entries:
+            self._network.send(number, messages.LivenessReport(entries))
 
-    def _pass_on(self, number: int, link: _Link) -> None:
-        for message in self._gathering.unsent(number, link.peer):
+    def _relay_acknowledgements(self, number: int, link: _Link) -> None:
+        for message in self._relay.next_messages(number, link.peer):
             # Introductions that came before travel before.
-            self._beat(number)
+            self._send_heartbeat(number)
             self._network.send(number, message)
--- a/src/pimentolatch/membership/peering.py
+++ b/src/pimentolatch/membership/peering.py
@@ -11,21 +11,21 @@
     dialer,
     incarnations,
     interfaces,
-    leaving,
+    leaving_servers,
     links,
     node,
     registrations,
-    share_spread,
     topology,
     view_table,
     views,
+    work_exchange,
 )
 
 __all__ = ["Peering"]
 
 _log = logbook.Logger("membership")
 _FIRST_PAUSE = datetime.timedelta(seconds=0.5)
-_LONGEST_PAUSE = datetime.timedelta(seconds=10)
+_MAX_PAUSE = datetime.timedelta(seconds=10)
 # While somebody's acknowledgement is missing the registrations are read again: an
 # instance that is cut off from its peers acknowledges there.
 _REREAD_AFTER = datetime.timedelta(seconds=5)
@@ -33,7 +33,7 @@
 _ROUND = datetime.timedelta(seconds=1)
 _TURNS_WHEN_AWAITED = 5
 _LINKS_AT_FULL_RATE = 30
-_LONGEST_STRETCH = 4 / 3
+_MAX_STRETCH = 4 / 3
 _FAREWELL_TIME = datetime.timedelta(seconds=0.2)
 
 
@@ -59,8 +59,8 @@
         objects: store.Store,
         documents: interfaces.ConfigurationPeer,
         table: view_table.ViewTable,
-        spread: share_spread.ShareSpread,
-        leaving_servers: leaving.LeavingServers,
+        work: work_exchange.WorkExchange,
+        leaving: leaving_servers.LeavingServers,
         crashes: interfaces.CrashTable,
         time: clock.Clock,
         chance: random.Random,
@@ -79,8 +79,8 @@
             network=peer_links,
             documents=documents,
             table=table,
-            spread=spread,
-            leaving_servers=leaving_servers,
+            work=work,
+            leaving=leaving,
             crashes=crashes,
             time=time,
             suspect_after=datetime.timedelta(seconds=chosen.suspect_after_s),
@@ -89,7 +89,7 @@
         self._dialer = dialer.Dialer(own, peer_links, chosen.seeds, time, chance)
         self._registrations = registrations.Registrations(objects, own)
         self._rows: tuple[store.Instance, ...] = ()
-        self._covers: dict[str, int] = {}
+        self._announced: dict[str, int] = {}
         self._read_due = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -106,7 +106,7 @@
     @property
     def suspected(self) -> tuple[str, ...]:
         """Incarnations that neither this instance nor any peer hears."""
-        return tuple(sorted(self._node.members.suspected()))
+        return tuple(sorted(self._node.detector.suspected()))
 
     def rank(self, duty: str) -> int:
         """Return this instance's place, from 0, among those that may hold a duty.
@@ -114,16 +114,16 @@
         Only peers that can be reached and whose links don't flap are counted, so in a
         cut each side finds holders of its own.
         """
-        near = self._node.members.steady(self._own.failure_domain)
+        near = self._node.detector.steady(self._own.failure_domain)
         names = {incarnations.instance_of(name) for name in near}
         names.add(self._own.instance)
-        order = topology.ranked(names, f"{self._own.failure_domain}|{duty}")
+        order = topology.rendezvous_order(names, f"{self._own.failure_domain}|{duty}")
         return order.index(self._own.instance)
 
     def announce(self, view: views.DomainView) -> None:
         """See `views.Acknowledgements.announce`."""
-        known = self._covers.get(view.failure_domain, 0)
-        self._covers[view.failure_domain] = max(known, view.number)
+        known = self._announced.get(view.failure_domain, 0)
+        self._announced[view.failure_domain] = max(known, view.number)
         self._node.announce(view)
         self._read_due.set()
 
@@ -160,11 +160,11 @@
             # Headers and acknowledgements make most of a heartbeat's bytes. With many
             # links there are fewer, still three within the time for suspicion.
             stretch = max(1.0, len(self._node.peers) / _LINKS_AT_FULL_RATE)
-            await self._clock.sleep(interval * min(stretch, _LONGEST_STRETCH))
+            await self._clock.sleep(interval * min(stretch, _MAX_STRETCH))
             self._node.tick()
 
     async def _read_list(self) -> None:
-        pauses = backoff.Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, self._chance)
+        pauses = backoff.Backoff(_FIRST_PAUSE, _MAX_PAUSE, self._chance)
         while True:
             asked = self._clock.monotonic()
             rows = await self._store.instances()
@@ -173,28 +173,28 @@
                 continue
             pauses.reset()
             self._rows = tuple(row for row in rows if row.kind == "entry")
-            self._dialer.listed(self._rows)
-            self._node.listed(rows, asked)
-            await self._until_next_reading()
+            self._dialer.apply_instance_list(self._rows)
+            self._node.apply_instance_list(rows, asked)
+            await self._wait_for_next_read()
 
-    async def _until_next_reading(self) -> None:
+    async def _wait_for_next_read(self) -> None:
         """Wait for this instance's turn among those of its failure domain.
 
         While acknowledgements are missing it reads more often: the list may show that
         the process that is waited for has ended.
         """
-        near = len(self._node.members.steady(self._own.failure_domain)) + 1
+        near = len(self._node.detector.steady(self._own.failure_domain)) + 1
         interval = datetime.timedelta(seconds=self._settings.list_interval_s)
         now = self._clock.monotonic()
         full = now + interval * near * (0.5 + self._chance.random())
         short = now + interval * min(near, _TURNS_WHEN_AWAITED)
-        while now < (short if self._awaited() else full):
+        while now < (short if self._acknowledgements_missing() else full):
             await self._clock.sleep(min(_ROUND, interval))
             now = self._clock.monotonic()
 
     async def _join(self) -> None:
         """Register and then read the views; the order is what makes it safe."""
-        pauses = backoff.Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, self._chance)
+        pauses = backoff.Backoff(_FIRST_PAUSE, _MAX_PAUSE, self._chance)
         while not await self._registrations.register():
             await self._clock.sleep(pauses.next_pause())
         pauses.reset()
@@ -213,7 +213,7 @@
         written: dict[str, int] = {}
         while True:
             await self._clock.sleep(_REREAD_AFTER)
-            alone = not self._node.members.reachable(self._own.failure_domain)
+            alone = not self._node.detector.reachable(self._own.failure_domain)
             numbers = self._table.numbers
             # A single instance in its failure domain is always alone; it writes only
             # when a view changed.
@@ -236,22 +236,22 @@
         while True:
             await self._read_due.wait()
             self._read_due.clear()
-            while self._awaited():
-                covers = dict(self._covers)
+            while self._acknowledgements_missing():
+                covers = dict(self._announced)
                 found = await self._registrations.read()
                 if not isinstance(found, store.Unavailable):
-                    self._node.registered(found, covers)
-                    if covers == self._covers:
-                        await self._wait_for_the_rest()
+                    self._node.apply_registrations(found, covers)
+                    if covers == self._announced:
+                        await self._wait_for_acknowledgements()
                 else:
                     await self._clock.sleep(_ROUND)
 
-    async def _wait_for_the_rest(self) -> None:
+    async def _wait_for_acknowledgements(self) -> None:
         until = self._clock.monotonic() + _REREAD_AFTER
-        while self._clock.monotonic() < until and self._awaited():
+        while self._clock.monotonic() < until and self._acknowledgements_missing():
             if self._read_due.is_set():
                 return
             await self._clock.sleep(_ROUND / 5)
 
-    def _awaited(self) -> bool:
-        return any(self.missing(name, n) for name, n in self._covers.items())
+    def _acknowledgements_missing(self) -> bool:
+        return any(self.missing(name, n) for name, n in self._announced.items())
--- a/src/pimentolatch/membership/sender_counts.py
+++ b/src/pimentolatch/membership/sender_counts.py
@@ -4,7 +4,7 @@
 from collections import abc
 
 from pimentolatch.decisions import work_reports
-from pimentolatch.membership import share_spread
+from pimentolatch.membership import work_exchange
 
 __all__ = ["SenderCounts"]
 
@@ -29,16 +29,16 @@
         self,
         own: typing.Callable[[str], int],
         known: typing.Callable[[], abc.Set[str]],
-        routing: share_spread.ShareTable,
+        routing: work_exchange.PeerWorkTable,
     ) -> None:
         self._own = own
         self._known = known
         self._routing = routing
-        self._told: dict[str, dict[str, int]] = {}
+        self._reported: dict[str, dict[str, int]] = {}
 
     def update(self, peer: str, work: work_reports.WorkReport) -> None:
-        """See `share_spread.ShareTable.update`."""
-        self._told[peer] = {row.server: row.streams for row in work.servers}
+        """See `work_exchange.PeerWorkTable.update`."""
+        self._reported[peer] = {row.server: row.streams for row in work.servers}
         self._routing.update(peer, work)
 
     def forget(self, peer: str) -> None:
@@ -48,8 +48,8 @@
     def in_flight(self, server: str) -> int | None:
         """See `drain.SenderCounts.in_flight`."""
         known = self._known()
-        for peer in self._told.keys() - known:
-            del self._told[peer]
+        for peer in self._reported.keys() - known:
+            del self._reported[peer]
         return self._own(server) + sum(
-            told.get(server, 0) for told in self._told.values()
+            reported.get(server, 0) for reported in self._reported.values()
         )
--- a/src/pimentolatch/membership/topology.py
+++ b/src/pimentolatch/membership/topology.py
@@ -15,12 +15,12 @@
 from pimentolatch import store
 from pimentolatch.membership import incarnations
 
-__all__ = ["dials", "ranked"]
+__all__ = ["link_targets", "rendezvous_order"]
 
 CROSS_LINKS = 2
 
 
-def ranked(names: abc.Iterable[str], key: str) -> list[str]:
+def rendezvous_order(names: abc.Iterable[str], key: str) -> list[str]:
     """Return names in an order that all instances agree on and that varies by key.
 
     Rendezvous hashing: when a name comes or goes, the others keep their order, so a
@@ -33,7 +33,7 @@
     return sorted(names, key=lambda name: (weight(name), name))
 
 
-def dials(
+def link_targets(
     own: incarnations.Identity,
     listed: abc.Iterable[store.Instance],
     failed: abc.Set[str] = frozenset(),
@@ -54,11 +54,13 @@
     chosen = set(by_domain.pop(own.failure_domain)) - {own.instance}
     here = {row.name for row in entries if row.failure_domain == own.failure_domain}
     for other, names in by_domain.items():
-        chosen |= _across(own, here | {own.instance}, other, names, failed)
+        chosen |= _cross_domain_targets(
+            own, here | {own.instance}, other, names, failed
+        )
     return frozenset(chosen)
 
 
-def _across(
+def _cross_domain_targets(
     own: incarnations.Identity,
     here: abc.Set[str],
     other: str,
@@ -68,8 +70,8 @@
     # Both failure domains of a pair compute the same pairs, so each link has two ends
     # that mean to keep it, and either may dial.
     first, second = sorted((own.failure_domain, other))
-    near = ranked(here - (failed - {own.instance}), f"{first}|{second}")
-    far = ranked(set(names) - failed, f"{first}|{second}")
+    near = rendezvous_order(here - (failed - {own.instance}), f"{first}|{second}")
+    far = rendezvous_order(set(names) - failed, f"{first}|{second}")
     if not near or not far:
         return set()
     pairs = {
--- a/src/pimentolatch/membership/view_exchange.py
+++ b/src/pimentolatch/membership/view_exchange.py
@@ -8,15 +8,15 @@
 from pimentolatch.membership import (
     acknowledgements,
     incarnations,
-    share_spread,
     view_table,
     views,
+    work_exchange,
 )
 from pimentolatch.protocol import messages
 
 __all__ = ["ViewExchange"]
 
-_ASK_AGAIN_AFTER = datetime.timedelta(seconds=1)
+_RETRY_AFTER = datetime.timedelta(seconds=1)
 
 
 class _Sender(typing.Protocol):
@@ -37,20 +37,20 @@
         *,
         network: _Sender,
         table: view_table.ViewTable,
-        spread: share_spread.ShareSpread,
+        work: work_exchange.WorkExchange,
         acknowledged: acknowledgements.AcknowledgementTable,
         time: clock.Clock,
-        changed: typing.Callable[[], None],
+        send_heartbeats: typing.Callable[[], None],
     ) -> None:
         self._own = own
         self._network = network
         self._table = table
-        self._spread = spread
+        self._work = work
         self._acknowledged = acknowledged
         self._clock = time
-        self._changed = changed
+        self._send_heartbeats = send_heartbeats
         self._offers: dict[int, dict[str, int]] = {}
-        self._asked: dict[str, datetime.timedelta] = {}
+        self._requested: dict[str, datetime.timedelta] = {}
         self._own_numbers: dict[str, int] = {}
 
     @property
@@ -81,31 +81,35 @@
             view.failure_domain: view.number
             for view in self._table.selected(())
             if view.failure_domain == self._own.failure_domain
-            or not self._spread.has_work_at(view.withdrawn)
+            or not self._work.has_work_at(view.withdrawn)
         }
         for name, number in self._own_numbers.items():
             self._acknowledged.acknowledge(self._own.incarnation, name, number)
 
-    def offered(self, link: int, numbers: tuple[messages.ViewNumber, ...]) -> None:
+    def receive_offer(
+        self, link: int, numbers: tuple[messages.ViewNumber, ...]
+    ) -> None:
         """Take note of the views that a peer routes by, and ask for later ones."""
         offers = self._offers.setdefault(link, {})
         offers |= {view.failure_domain: view.number for view in numbers}
-        self._ask(link)
+        self._request(link)
 
-    def ask_again(self) -> None:
+    def retry_requests(self) -> None:
         """Ask for views that were offered and have not come; called now and then.
 
         A peer offers a view once. If the answer is lost with its link, or if a later
         view was offered while an earlier one was on its way, nobody offers it again.
         """
         for link in list(self._offers):
-            self._ask(link)
+            self._request(link)
 
     def closed(self, link: int) -> None:
         """Take note that a link is gone."""
         self._offers.pop(link, None)
 
-    def hand(self, link: int, peer: messages.Hello, wanted: messages.WantViews) -> None:
+    def send_views(
+        self, link: int, peer: messages.Hello, wanted: messages.WantViews
+    ) -> None:
         """Hand views to a peer, and name the peer to all others first.
 
         The peer may start to route by these views. If nobody but this instance knew
@@ -117,13 +121,13 @@
         self._acknowledged.introduce(
             messages.Introduction(peer.incarnation, peer.host, peer.port)
         )
-        self._changed()
+        self._send_heartbeats()
         chosen = self._table.selected(wanted.failure_domains)
         stored = tuple(view_table.stored_view(view) for view in chosen)
         whole = not wanted.failure_domains
         self._network.send(link, messages.DomainViews(whole, stored))
 
-    def _ask(self, link: int) -> None:
+    def _request(self, link: int) -> None:
         now = self._clock.monotonic()
         behind = [
             name
@@ -136,9 +140,9 @@
         due = [
             name
             for name in behind
-            if now - self._asked.get(name, -_ASK_AGAIN_AFTER) >= _ASK_AGAIN_AFTER
+            if now - self._requested.get(name, -_RETRY_AFTER) >= _RETRY_AFTER
         ]
         if due:
-            self._asked |= dict.fromkeys(due, now)
+            self._requested |= dict.fromkeys(due, now)
             named = tuple(name for name in due if name)
             self._network.send(link, messages.WantViews(named))
--- a/src/pimentolatch/membership/share_spread.py
+++ b/src/pimentolatch/membership/work_exchange.py
@@ -12,17 +12,17 @@
 from pimentolatch.decisions import demand, work_reports
 from pimentolatch.protocol import messages
 
-__all__ = ["ShareSpread", "ShareTable"]
+__all__ = ["PeerWorkTable", "WorkExchange"]
 
 # A sixth of the 18 KB/s that control may take, sent on all links together; as much
 # comes in. Heartbeats with their headers take most of the rest.
 _BYTES_PER_SECOND = 3000
 # An entry as encoded, with a name of some fifteen bytes.
 _ENTRY_BYTES = 26
-_FEWEST_ENTRIES = 3
+_MIN_ENTRIES = 3
 # Of the entries of one delta, so many may be callers'.
-_CALLERS_SHARE = 3
-_MOST_ENTRIES = 64
+_CALLERS_DIVISOR = 3
+_MAX_ENTRIES = 64
 _SNAPSHOT_ENTRIES = 500
 # An entry that is off by less than this share is left for later.
 _CHANGE_SHARE = 0.05
@@ -30,7 +30,7 @@
 _DEMAND_INTERVAL = datetime.timedelta(seconds=5)
 
 
-class ShareTable(typing.Protocol):
+class PeerWorkTable(typing.Protocol):
     """Holds the shares of peers for decisions."""
 
     def update(self, peer: str, work: work_reports.WorkReport) -> None:
@@ -40,7 +40,7 @@
         """Drop a peer that can't be heard."""
 
 
-class ShareSpread:
+class WorkExchange:
     """Selects what to send and keeps what came in.
 
     Args:
@@ -52,7 +52,7 @@
     def __init__(
         self,
         source: typing.Callable[[], work_reports.WorkReport],
-        table: ShareTable,
+        table: PeerWorkTable,
         time: clock.Clock,
         interval: datetime.timedelta,
     ) -> None:
@@ -66,7 +66,7 @@
         self._demand_due = datetime.timedelta()
         self._peers: dict[str, _PeerWork] = {}
 
-    def snapshot(self) -> tuple[messages.SharesDelta, ...]:
+    def snapshot(self) -> tuple[messages.WorkDelta, ...]:
         """Return what a new link has to carry before its first delta.
 
         Never nothing: a peer keeps the last word of a broken link, and without an
@@ -76,39 +76,39 @@
         callers = tuple(self._sent_callers.values())
         longest = max(len(servers), len(callers))
         return tuple(
-            messages.SharesDelta(
+            messages.WorkDelta(
                 servers[start : start + _SNAPSHOT_ENTRIES],
                 callers[start : start + _SNAPSHOT_ENTRIES],
             )
             for start in range(0, max(1, longest), _SNAPSHOT_ENTRIES)
         )
 
-    def next_delta(self, links: int) -> messages.SharesDelta | None:
+    def next_delta(self, links: int) -> messages.WorkDelta | None:
         """Return the largest changes that `links` links may carry, or None."""
         if links == 0:
             return None
         budget = _BYTES_PER_SECOND * self._interval.total_seconds() / links
-        most = max(_FEWEST_ENTRIES, min(_MOST_ENTRIES, int(budget / _ENTRY_BYTES)))
+        most = max(_MIN_ENTRIES, min(_MAX_ENTRIES, int(budget / _ENTRY_BYTES)))
         current = self._source()
         servers = _changed_servers(current.servers, self._sent_servers)
         callers = _changed_callers(current.callers, self._sent_callers)
-        callers = callers[: max(most // _CALLERS_SHARE, most - len(servers))]
+        callers = callers[: max(most // _CALLERS_DIVISOR, most - len(servers))]
         servers = servers[: most - len(callers)]
         totals = self._due_demand(current)
         if not servers and not callers and not totals:
             return None
-        delta = messages.SharesDelta(tuple(servers), tuple(callers), totals)
+        delta = messages.WorkDelta(tuple(servers), tuple(callers), totals)
         _apply(delta, self._sent_servers, self._sent_callers)
         return delta
 
-    def delta_of(self, servers: frozenset[str]) -> messages.SharesDelta | None:
+    def delta_for(self, servers: frozenset[str]) -> messages.WorkDelta | None:
         """Return the work at these servers, however small the change."""
         if not servers:
             return None
         work = tuple(s for s in self._source().servers if s.server in servers)
         if not work:
             return None
-        delta = messages.SharesDelta(work, ())
+        delta = messages.WorkDelta(work, ())
         _apply(delta, self._sent_servers, self._sent_callers)
         return delta
 
@@ -118,14 +118,14 @@
             return False
         return any(s.streams and s.server in servers for s in self._source().servers)
 
-    def received(self, peer: str, delta: messages.SharesDelta) -> None:
+    def receive(self, peer: str, delta: messages.WorkDelta) -> None:
         """Add a peer's delta to what is known of it."""
         work = self._peers.setdefault(peer, _PeerWork({}, {}))
         _apply(delta, work.servers, work.callers)
-        whole = work_reports.WorkReport(
+        report = work_reports.WorkReport(
             tuple(work.servers.values()), tuple(work.callers.values()), delta.totals
         )
-        self._table.update(peer, whole)
+        self._table.update(peer, report)
 
     def _due_demand(
         self, current: work_reports.WorkReport
@@ -149,7 +149,7 @@
 
 
 def _apply(
-    delta: messages.SharesDelta,
+    delta: messages.WorkDelta,
     servers: dict[str, work_reports.ServerWork],
     callers: dict[str, work_reports.CallerWork],
 ) -> None:
@@ -170,13 +170,13 @@
     now = {work.server: work for work in current if work.streams}
     changes: list[tuple[float, work_reports.ServerWork]] = []
     for name, work in now.items():
-        size = _change(_tokens(work), _tokens(sent.get(name)))
+        size = _relative_change(_tokens(work), _tokens(sent.get(name)))
         streams = sent[name].streams if name in sent else 0
         if size > _CHANGE_SHARE or streams != work.streams:
             changes.append((size, work))
     for name in sent.keys() - now.keys():
         changes.append((1.0, work_reports.ServerWork(name, 0, 0, 0)))
-    return [work for _, work in sorted(changes, key=_order)]
+    return [work for _, work in sorted(changes, key=_sort_key)]
 
 
 def _changed_callers(
@@ -187,15 +187,15 @@
     changes: list[tuple[float, work_reports.CallerWork]] = []
     for name, work in now.items():
         before = sent[name].tokens_per_second if name in sent else 0.0
-        size = _change(work.tokens_per_second, before)
+        size = _relative_change(work.tokens_per_second, before)
         if size > _CHANGE_SHARE:
             changes.append((size, work))
     for name in sent.keys() - now.keys():
         changes.append((1.0, work_reports.CallerWork(name, 0.0)))
-    return [work for _, work in sorted(changes, key=_order)]
+    return [work for _, work in sorted(changes, key=_sort_key)]
 
 
-def _order(change: tuple[float, typing.Any]) -> tuple[float, str]:
+def _sort_key(change: tuple[float, typing.Any]) -> tuple[float, str]:
     return (-change[0], str(change[1]))
 
 
@@ -203,5 +203,5 @@
     return 0.0 if work is None else float(work.prompt_tokens + work.output_tokens)
 
 
-def _change(now: float, before: float) -> float:
+def _relative_change(now: float, before: float) -> float:
     return abs(now - before) / max(now, before, 1.0)
--- a/src/pimentolatch/protocol/beacons.py
+++ b/src/pimentolatch/protocol/beacons.py
@@ -17,16 +17,16 @@
 
 __all__ = [
     "Beacon",
-    "CachedPart",
-    "Changing",
+    "CachedPrefix",
+    "CrashReport",
     "Demand",
-    "Holder",
+    "Leader",
     "Load",
     "Malformed",
     "Member",
-    "Piece",
     "Reader",
-    "Suspicion",
+    "StageChange",
+    "TotalsChunk",
     "decode",
     "encode",
 ]
@@ -46,13 +46,13 @@
     """
 
     engine: servers.Incarnation
-    reading: tuple[int, ...]
-    writing: int
-    held: int
+    prefill_tokens: tuple[int, ...]
+    streams: int
+    kv_tokens: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CachedPart:
+class CachedPrefix:
     """A part of prompts that an engine keeps in its prefix cache.
 
     Attributes:
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Piece:
+class TotalsChunk:
     """Which of the engines the totals of a beacon cover: one part of them by a hash."""
 
     number: int = 0
@@ -73,7 +73,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Changing:
+class StageChange:
     """An engine that is changing its stage.
 
     Attributes:
@@ -82,7 +82,7 @@
 
     engine: servers.Incarnation
     stage: servers.Stage
-    left_ms: int
+    remaining_ms: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -90,13 +90,13 @@
     """What clients ask of a service through the sender, in tokens a second.
 
     Attributes:
-        rate: Prompt tokens a second that one engine reads, as the sender has learned.
+        prefill_rate: Prompt tokens a second that one engine prefills, as learned.
     """
 
     service: str
-    reading: int
-    writing: int
-    rate: int
+    prefill: int
+    decode: int
+    prefill_rate: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -120,7 +120,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Suspicion:
+class CrashReport:
     """A server's connection ended while it ran a request.
 
     Attributes:
@@ -135,12 +135,12 @@
     server: servers.Incarnation
     cleared: bool
     age_ms: int
-    lasted_ms: int = 0
-    server_lives: bool = False
+    ran_for_ms: int = 0
+    server_alive: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Holder:
+class Leader:
     """The instance that does the duties of one holder, or did so last.
 
     Attributes:
@@ -179,20 +179,20 @@
 
     instance: str
     failure_domain: str
-    life: str
+    incarnation: str
     configuration: int
     servers: int
     stopping: bool
     readers: tuple[Reader, ...]
     members: tuple[Member, ...]
     loads: tuple[Load, ...] = ()
-    cached: tuple[CachedPart, ...] = ()
+    cached: tuple[CachedPrefix, ...] = ()
     demands: tuple[Demand, ...] = ()
     totals: tuple[Load, ...] = ()
-    changing: tuple[Changing, ...] = ()
-    piece: Piece = Piece()
-    suspicions: tuple[Suspicion, ...] = ()
-    holder: Holder | None = None
+    stage_changes: tuple[StageChange, ...] = ()
+    chunk: TotalsChunk = TotalsChunk()
+    crash_reports: tuple[CrashReport, ...] = ()
+    leader: Leader | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -204,22 +204,22 @@
 
 def encode(beacon: Beacon) -> bytes:
     """Return the datagram of a beacon."""
-    engines = _Engines()
+    engines = _EngineNumbering()
     loads = [_load_row(load, engines) for load in beacon.loads]
     cached = [
         [engines.number(part.engine), part.key, part.tokens] for part in beacon.cached
     ]
     totals = [_load_row(load, engines) for load in beacon.totals]
-    changing = [
-        [engines.number(item.engine), item.stage.value, item.left_ms]
-        for item in beacon.changing
+    stage_changes = [
+        [engines.number(item.engine), item.stage.value, item.remaining_ms]
+        for item in beacon.stage_changes
     ]
-    suspicions = [_suspicion_row(item, engines) for item in beacon.suspicions]
+    crash_reports = [_crash_report_row(item, engines) for item in beacon.crash_reports]
     rows: list[typing.Any] = [
         _VERSION,
         beacon.instance,
         beacon.failure_domain,
-        beacon.life,
+        beacon.incarnation,
         beacon.configuration,
         beacon.servers,
         beacon.stopping,
@@ -228,17 +228,17 @@
         [[engine.server_id, engine.born] for engine in engines.numbered],
         loads,
         cached,
-        [[d.service, d.reading, d.writing, d.rate] for d in beacon.demands],
+        [[d.service, d.prefill, d.decode, d.prefill_rate] for d in beacon.demands],
         totals,
-        changing,
-        [beacon.piece.number, beacon.piece.count],
-        suspicions,
-        _holder_row(beacon.holder),
+        stage_changes,
+        [beacon.chunk.number, beacon.chunk.count],
+        crash_reports,
+        _leader_row(beacon.leader),
     ]
     return cbor2.dumps(rows)
 
 
-class _Engines:
+class _EngineNumbering:
     """Numbers the engines of a beacon, most of which it names more than once.
 
     Attributes:
@@ -253,15 +253,15 @@
         return self.numbered.setdefault(engine, len(self.numbered))
 
 
-def _load_row(load: Load, engines: _Engines) -> list[typing.Any]:
+def _load_row(load: Load, engines: _EngineNumbering) -> list[typing.Any]:
     number = engines.number(load.engine)
-    return [number, list(load.reading), load.writing, load.held]
+    return [number, list(load.prefill_tokens), load.streams, load.kv_tokens]
 
 
 def _load(row: typing.Any, engines: abc.Sequence[servers.Incarnation]) -> Load:
-    engine, reading, writing, held = row
-    number, writing, held = fields.counts((engine, writing, held))
-    return Load(engines[number], fields.counts(reading), writing, held)
+    engine, prefill_tokens, streams, kv_tokens = row
+    number, streams, kv_tokens = fields.counts((engine, streams, kv_tokens))
+    return Load(engines[number], fields.counts(prefill_tokens), streams, kv_tokens)
 
 
 def _engine(row: typing.Any) -> servers.Incarnation:
@@ -271,11 +271,11 @@
     )
 
 
-def _cached_part(
+def _cached_prefix(
     row: typing.Any, engines: abc.Sequence[servers.Incarnation]
-) -> CachedPart:
+) -> CachedPrefix:
     number, key, tokens = fields.counts(row)
-    return CachedPart(engines[number], key, tokens)
+    return CachedPrefix(engines[number], key, tokens)
 
 
 def decode(datagram: bytes) -> Beacon | Malformed:
@@ -295,43 +295,45 @@
             tuple(Reader(fields.text(row[0]), fields.count(row[1])) for row in rows[7]),
             tuple(Member(fields.text(row[0]), fields.text(row[1])) for row in rows[8]),
             tuple(_load(row, engines) for row in rows[10]),
-            tuple(_cached_part(row, engines) for row in rows[11]),
+            tuple(_cached_prefix(row, engines) for row in rows[11]),
             tuple(
                 Demand(fields.text(row[0]), *fields.counts(row[1:4]))
                 for row in rows[12]
             ),
             tuple(_load(row, engines) for row in rows[13]),
             tuple(
-                Changing(
+                StageChange(
                     engines[fields.count(row[0])],
                     servers.Stage(row[1]),
                     fields.count(row[2]),
                 )
                 for row in rows[14]
             ),
-            _piece(rows[15]),
-            tuple(_suspicion(row, engines) for row in rows[16]),
-            _holder(rows[17]),
+            _chunk(rows[15]),
+            tuple(_crash_report(row, engines) for row in rows[16]),
+            _leader(rows[17]),
         )
-    except fields.UNREADABLE as error:
+    except fields.DECODE_ERRORS as error:
         return Malformed(repr(error))
 
 
-def _suspicion_row(suspicion: Suspicion, engines: _Engines) -> list[typing.Any]:
+def _crash_report_row(
+    report: CrashReport, engines: _EngineNumbering
+) -> list[typing.Any]:
     return [
-        suspicion.digest,
-        engines.number(suspicion.server),
-        suspicion.cleared,
-        suspicion.age_ms,
-        suspicion.lasted_ms,
-        suspicion.server_lives,
+        report.digest,
+        engines.number(report.server),
+        report.cleared,
+        report.age_ms,
+        report.ran_for_ms,
+        report.server_alive,
     ]
 
 
-def _suspicion(
+def _crash_report(
     row: typing.Any, engines: abc.Sequence[servers.Incarnation]
-) -> Suspicion:
-    return Suspicion(
+) -> CrashReport:
+    return CrashReport(
         fields.count(row[0]),
         engines[fields.count(row[1])],
         bool(row[2]),
@@ -341,22 +343,22 @@
     )
 
 
-def _holder_row(holder: Holder | None) -> list[typing.Any] | None:
-    if holder is None:
+def _leader_row(leader: Leader | None) -> list[typing.Any] | None:
+    if leader is None:
         return None
-    return [holder.host, holder.fence, holder.released, holder.age_ms]
+    return [leader.host, leader.fence, leader.released, leader.age_ms]
 
 
-def _holder(row: typing.Any) -> Holder | None:
+def _leader(row: typing.Any) -> Leader | None:
     if row is None:
         return None
-    return Holder(
+    return Leader(
         fields.text(row[0]), fields.count(row[1]), bool(row[2]), fields.count(row[3])
     )
 
 
-def _piece(row: typing.Any) -> Piece:
-    piece = Piece(*fields.counts(row))
-    if not piece.number < piece.count:
+def _chunk(row: typing.Any) -> TotalsChunk:
+    chunk = TotalsChunk(*fields.counts(row))
+    if not chunk.number < chunk.count:
         raise ValueError(f"not a piece of several: {row!r}")
-    return piece
+    return chunk
--- a/src/pimentolatch/protocol/codec.py
+++ b/src/pimentolatch/protocol/codec.py
@@ -27,10 +27,10 @@
 _NUMBERS: dict[type, int] = {
     messages.Hello: 1,
     messages.Heartbeat: 2,
-    messages.Testimony: 3,
+    messages.LivenessReport: 3,
     messages.Farewell: 4,
-    messages.HolderNotice: 5,
-    messages.Acknowledged: 6,
+    messages.LeaderNotice: 5,
+    messages.RelayedAcknowledgements: 6,
     messages.WantViews: 7,
     messages.DomainViews: 8,
     messages.WantHead: 9,
@@ -38,13 +38,13 @@
     messages.WantParts: 11,
     messages.Part: 12,
     messages.PartMissing: 13,
-    messages.SharesDelta: 14,
+    messages.WorkDelta: 14,
     messages.LeavingNotice: 15,
     messages.CrashNotice: 16,
 }
 _TYPES = {number: kind for kind, number in _NUMBERS.items()}
 
-Reader = abc.Callable[[typing.Any], typing.Any]
+FieldDecoder = abc.Callable[[typing.Any], typing.Any]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -85,12 +85,12 @@
 
 
 def _fields(item: typing.Any) -> list[typing.Any]:
-    return [_plain(getattr(item, name)) for name, _ in _readers(type(item))]
+    return [_to_plain(getattr(item, name)) for name, _ in _field_decoders(type(item))]
 
 
-def _plain(value: typing.Any) -> typing.Any:
+def _to_plain(value: typing.Any) -> typing.Any:
     if isinstance(value, tuple):
-        return [_plain(item) for item in value]
+        return [_to_plain(item) for item in value]
     if dataclasses.is_dataclass(value):
         return _fields(value)
     return value
@@ -101,17 +101,17 @@
     number = items[0] if items else None
     if type(number) is not int or number not in _TYPES:
         raise _FieldError("unknown message type")
-    return typing.cast(messages.Message, _record(_TYPES[number], items[1:]))
+    return typing.cast(messages.Message, _decode_record(_TYPES[number], items[1:]))
 
 
-def _record(kind: type, raw: list[typing.Any]) -> typing.Any:
-    readers = _readers(kind)
-    if len(raw) != len(readers):
+def _decode_record(kind: type, raw: list[typing.Any]) -> typing.Any:
+    decoders = _field_decoders(kind)
+    if len(raw) != len(decoders):
         raise _FieldError(f"{kind.__name__}: {len(raw)} fields")
     values = []
-    for (name, reader), value in zip(readers, raw, strict=True):
+    for (name, decoder), value in zip(decoders, raw, strict=True):
         try:
-            values.append(reader(value))
+            values.append(decoder(value))
         except _FieldError as error:
             raise _FieldError(f"{kind.__name__}.{name}: {error}") from None
     return kind(*values)
@@ -153,27 +153,29 @@
     return raw
 
 
-_SCALARS: dict[type, Reader] = {
+_SCALARS: dict[type, FieldDecoder] = {
     int: _integer,
     float: _number,
     bool: _boolean,
     str: _text,
     bytes: _bytes,
 }
-_READERS: dict[type, tuple[tuple[str, Reader], ...]] = {}
+_FIELD_DECODERS: dict[type, tuple[tuple[str, FieldDecoder], ...]] = {}
 
 
-def _readers(kind: type) -> tuple[tuple[str, Reader], ...]:
-    if kind not in _READERS:
+def _field_decoders(kind: type) -> tuple[tuple[str, FieldDecoder], ...]:
+    if kind not in _FIELD_DECODERS:
         hints = typing.get_type_hints(kind)
-        _READERS[kind] = tuple((name, _reader(hint)) for name, hint in hints.items())
-    return _READERS[kind]
+        _FIELD_DECODERS[kind] = tuple(
+            (name, _decoder_for(hint)) for name, hint in hints.items()
+        )
+    return _FIELD_DECODERS[kind]
 
 
-def _reader(hint: typing.Any) -> Reader:
+def _decoder_for(hint: typing.Any) -> FieldDecoder:
     if isinstance(hint, types.GenericAlias):
-        item = _reader(hint.__args__[0])
+        item = _decoder_for(hint.__args__[0])
         return lambda raw: tuple(item(value) for value in _array(raw))
     if hint in _SCALARS:
         return _SCALARS[hint]
-    return lambda raw: _record(hint, _array(raw))
+    return lambda raw: _decode_record(hint, _array(raw))
--- a/src/pimentolatch/protocol/fields.py
+++ b/src/pimentolatch/protocol/fields.py
@@ -5,12 +5,12 @@
 
 import cbor2
 
-__all__ = ["UNREADABLE", "count", "counts", "text"]
+__all__ = ["DECODE_ERRORS", "count", "counts", "text"]
 
 # No count of ours comes near; above it sums of counts would no longer be exact.
-_MOST_COUNT = 2**53
+_MAX_COUNT = 2**53
 # What decoding raises for what is not a message of ours.
-UNREADABLE = (
+DECODE_ERRORS = (
     cbor2.CBORError,
     ValueError,
     TypeError,
@@ -29,7 +29,7 @@
 
 def count(value: typing.Any) -> int:
     """Return a whole number from 0 on; raises `ValueError` for anything else."""
-    if not isinstance(value, int) or not 0 <= value < _MOST_COUNT:
+    if not isinstance(value, int) or not 0 <= value < _MAX_COUNT:
         raise ValueError(f"not a count: {value!r:.60}")
     return value
 
@@ -37,6 +37,6 @@
 def counts(values: abc.Collection[typing.Any]) -> tuple[int, ...]:
     """Return whole numbers from 0 on; raises `ValueError` for anything else."""
     for value in values:
-        if not isinstance(value, int) or not 0 <= value < _MOST_COUNT:
+        if not isinstance(value, int) or not 0 <= value < _MAX_COUNT:
             raise ValueError(f"not a count: {value!r:.60}")
     return tuple(values)
--- a/src/pimentolatch/protocol/messages.py
+++ b/src/pimentolatch/protocol/messages.py
@@ -10,29 +10,29 @@
 from pimentolatch.decisions import demand, work_reports
 
 __all__ = [
-    "Acknowledged",
     "Acknowledgement",
     "ConfigurationHead",
     "CrashNotice",
     "DomainViews",
-    "EngineEnd",
-    "Evidence",
+    "EngineCrash",
     "Farewell",
     "Heartbeat",
     "Hello",
-    "HolderNotice",
     "Introduction",
+    "LeaderNotice",
     "LeavingNotice",
+    "LivenessEntry",
+    "LivenessReport",
     "Message",
     "Part",
     "PartMissing",
-    "SharesDelta",
+    "RelayedAcknowledgements",
     "StoredView",
-    "Testimony",
     "ViewNumber",
     "WantHead",
     "WantParts",
     "WantViews",
+    "WorkDelta",
 ]
 
 
@@ -88,11 +88,11 @@
     configuration: int
     views: tuple[ViewNumber, ...] = ()
     introduced: tuple[Introduction, ...] = ()
-    asking: tuple[str, ...] = ()
+    queried: tuple[str, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Evidence:
+class LivenessEntry:
     """When another incarnation was last heard directly, and what it routes by."""
 
     incarnation: str
@@ -101,10 +101,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Testimony:
+class LivenessReport:
     """Answer to a heartbeat that asks."""
 
-    evidence: tuple[Evidence, ...]
+    entries: tuple[LivenessEntry, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -113,7 +113,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HolderNotice:
+class LeaderNotice:
     """The sender gathers acknowledgements of its failure domain's views."""
 
     failure_domain: str
@@ -128,7 +128,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Acknowledged:
+class RelayedAcknowledgements:
     """Acknowledgements of one failure domain's view, passed on to its holder."""
 
     failure_domain: str
@@ -199,7 +199,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SharesDelta:
+class WorkDelta:
     """Entries of the sender's work that changed; zero stands for none left."""
 
     servers: tuple[work_reports.ServerWork, ...]
@@ -215,7 +215,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EngineEnd:
+class EngineCrash:
     """An engine's connection ended while it ran a completion.
 
     Attributes:
@@ -229,23 +229,23 @@
     engine: str
     cleared: bool
     age_ms: int
-    lasted_ms: int
+    ran_for_ms: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashNotice:
     """Completions under which engines have ended lately."""
 
-    ends: tuple[EngineEnd, ...]
+    crashes: tuple[EngineCrash, ...]
 
 
 Message = (
     Hello
     | Heartbeat
-    | Testimony
+    | LivenessReport
     | Farewell
-    | HolderNotice
-    | Acknowledged
+    | LeaderNotice
+    | RelayedAcknowledgements
     | WantViews
     | DomainViews
     | WantHead
@@ -253,7 +253,7 @@
     | WantParts
     | Part
     | PartMissing
-    | SharesDelta
+    | WorkDelta
     | LeavingNotice
     | CrashNotice
 )
--- a/src/pimentolatch/protocol/snapshots.py
+++ b/src/pimentolatch/protocol/snapshots.py
@@ -20,7 +20,7 @@
 ]
 
 _MS = datetime.timedelta(milliseconds=1)
-_UNREADABLE = (
+_DECODE_ERRORS = (
     cbor2.CBORError,
     AttributeError,
     LookupError,
@@ -69,7 +69,7 @@
     """Return the configuration of a body; whether it is a valid one is not checked."""
     try:
         return Configuration(cbor2.loads(body))
-    except _UNREADABLE as error:
+    except _DECODE_ERRORS as error:
         return Malformed(repr(error))
 
 
@@ -89,7 +89,7 @@
             tuple(_server(row) for row in rows),
             {str(name): float(span) * _MS for name, span in expired.items()},
         )
-    except _UNREADABLE as error:
+    except _DECODE_ERRORS as error:
         return Malformed(repr(error))
 
 
--- a/src/pimentolatch/protocol/usage_rows.py
+++ b/src/pimentolatch/protocol/usage_rows.py
@@ -12,7 +12,7 @@
 
 _VERSION = 1
 # Customers in one datagram, so that it passes every link unfragmented.
-_MOST_CUSTOMERS = 50
+_MAX_CUSTOMERS = 50
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -25,8 +25,8 @@
 def encode(row: usage.Row) -> list[bytes]:
     """Return the datagrams of a row."""
     parts = [
-        row.counts[first : first + _MOST_CUSTOMERS]
-        for first in range(0, len(row.counts), _MOST_CUSTOMERS)
+        row.counts[first : first + _MAX_CUSTOMERS]
+        for first in range(0, len(row.counts), _MAX_CUSTOMERS)
     ]
     return [_encode_part(row, part) for part in parts or [()]]
 
@@ -44,7 +44,7 @@
             fields.count(total),
             tuple((fields.text(name), fields.count(count)) for name, count in counts),
         )
-    except fields.UNREADABLE as error:
+    except fields.DECODE_ERRORS as error:
         return Malformed(repr(error))
 
 
--- a/src/pimentolatch/requests/suspect_completions.py
+++ b/src/pimentolatch/requests/suspect_completions.py
@@ -71,7 +71,7 @@
         """Note that an engine has run a completion to its end."""
         self._tell(self._suspects.completed(digest))
 
-    def take(self, told: abc.Iterable[messages.EngineEnd], *, near: bool) -> None:
+    def take(self, told: abc.Iterable[messages.EngineCrash], *, near: bool) -> None:
         """Take what a peer tells.
 
         Args:
@@ -83,15 +83,15 @@
         fresh = self._suspects.merge(pairs, now)
         self._tell(fresh, near=not near)
 
-    def take_near(self, most: int) -> tuple[messages.EngineEnd, ...]:
+    def take_near(self, most: int) -> tuple[messages.EngineCrash, ...]:
         """Return what peers of the own failure domain are to be told."""
         return self._rows(self._near.take(most, self._suspects.crashes))
 
-    def take_far(self, most: int) -> tuple[messages.EngineEnd, ...]:
+    def take_far(self, most: int) -> tuple[messages.EngineCrash, ...]:
         """Return what peers of other failure domains are to be told."""
         return self._rows(self._far.take(most, self._suspects.crashes))
 
-    def serious(self) -> tuple[messages.EngineEnd, ...]:
+    def serious(self) -> tuple[messages.EngineCrash, ...]:
         """Return the ends that an instance which has just started has to know.
 
         Of very many, those of the completions with the most ends: a notice that is
@@ -113,11 +113,11 @@
             self._notify()
 
     def _pair(
-        self, end: messages.EngineEnd, now: datetime.timedelta
+        self, end: messages.EngineCrash, now: datetime.timedelta
     ) -> crash_evidence.Suspicion:
         at = now - end.age_ms * _MILLISECOND
         ended = self._end_of(end.engine, at)
-        lasted = end.lasted_ms * _MILLISECOND
+        lasted = end.ran_for_ms * _MILLISECOND
         return crash_evidence.Suspicion(end.digest, ended, end.cleared, at, lasted)
 
     def _end_of(self, engine: str, at: datetime.timedelta) -> servers.Incarnation:
@@ -132,10 +132,10 @@
 
     def _rows(
         self, pairs: abc.Iterable[crash_evidence.Suspicion]
-    ) -> tuple[messages.EngineEnd, ...]:
+    ) -> tuple[messages.EngineCrash, ...]:
         now = self._clock.monotonic()
         return tuple(
-            messages.EngineEnd(
+            messages.EngineCrash(
                 pair.digest,
                 pair.server.server_id,
                 pair.cleared,
--- a/tests/features/steps/crash_suspects_steps.py
+++ b/tests/features/steps/crash_suspects_steps.py
@@ -39,7 +39,7 @@
 
 
 def tell(kept, name, digest=DIGEST, age_ms=0):
-    row = beacons.Suspicion(digest, servers.Incarnation(name), False, age_ms)
+    row = beacons.CrashReport(digest, servers.Incarnation(name), False, age_ms)
     kept.receive([row])
 
 
@@ -105,12 +105,12 @@
 )
 def another_beside(context, lead):
     for name, begun in context.ends.items():
-        row = beacons.Suspicion(
+        row = beacons.CrashReport(
             OTHER.digest,
             servers.Incarnation(name),
             cleared=False,
             age_ms=(context.time.monotonic() - begun) // (SECOND / 1000),
-            lasted_ms=50 + lead,
+            ran_for_ms=50 + lead,
         )
         context.kept.receive([row])
 
--- a/tests/features/steps/membership_steps.py
+++ b/tests/features/steps/membership_steps.py
@@ -12,13 +12,13 @@
 from pimentolatch.membership import (
     acknowledgements,
     incarnations,
-    leaving,
+    leaving_servers,
     node,
     registrations,
-    share_spread,
     topology,
     view_table,
     views,
+    work_exchange,
 )
 from pimentolatch.protocol import codec, messages
 from pimentolatch.requests import suspect_completions
@@ -77,10 +77,10 @@
             documents=documents,
             crashes=suspect_completions.SuspectCompletions(self.time),
             table=self.table,
-            spread=share_spread.ShareSpread(
+            work=work_exchange.WorkExchange(
                 lambda: self.work, table, self.time, seconds(1)
             ),
-            leaving_servers=leaving.LeavingServers(
+            leaving=leaving_servers.LeavingServers(
                 self.time, LAG, lambda servers: None
             ),
             time=self.time,
@@ -190,10 +190,10 @@
     world = context.world
     for _ in range(8):
         pass_time(world, 1, [2])
-        evidence = messages.Evidence(name_of("b"), 100, ())
-        world.node.handle(2, messages.Testimony((evidence,)))
+        evidence = messages.LivenessEntry(name_of("b"), 100, ())
+        world.node.handle(2, messages.LivenessReport((evidence,)))
     world.node.tick()
-    asked = world.wire.sent[-1][1].asking
+    asked = world.wire.sent[-1][1].queried
     assert asked == (name_of("b"),), asked
 
 
@@ -204,12 +204,12 @@
 
 @behave.then('peers: "{instance}" is not suspected')
 def not_suspected(context, instance):
-    assert name_of(instance) not in context.world.node.members.suspected()
+    assert name_of(instance) not in context.world.node.detector.suspected()
 
 
 @behave.then('peers: "{instance}" is suspected')
 def suspected(context, instance):
-    assert context.world.node.members.suspected() == {name_of(instance)}
+    assert context.world.node.detector.suspected() == {name_of(instance)}
 
 
 @behave.then('peers: "{instance}" still counts for acknowledgements')
@@ -236,9 +236,9 @@
 
 @behave.then('peers: "b" is reachable but not steady')
 def reachable_not_steady(context):
-    members = context.world.node.members
-    assert name_of("b") in members.reachable(DOMAIN)
-    assert members.steady(DOMAIN) == {name_of("c")}, members.steady(DOMAIN)
+    detector = context.world.node.detector
+    assert name_of("b") in detector.reachable(DOMAIN)
+    assert detector.steady(DOMAIN) == {name_of("c")}, detector.steady(DOMAIN)
 
 
 @behave.when('peers: "b" is heard without a break for {length:d} seconds')
@@ -248,7 +248,7 @@
 
 @behave.then('peers: "b" is steady')
 def steady(context):
-    assert name_of("b") in context.world.node.members.steady(DOMAIN)
+    assert name_of("b") in context.world.node.detector.steady(DOMAIN)
 
 
 @behave.when('peers: "b" hands its views to the unknown "x" and acknowledges view 2')
@@ -264,8 +264,8 @@
 @behave.when('peers: "x" acknowledges view 2 through "b"')
 def acknowledged_through(context):
     row = messages.Acknowledgement(name_of("x"), 2)
-    context.world.node.handle(1, messages.Acknowledged(DOMAIN, (row,)))
-    context.world.node.registered((), {DOMAIN: 2})
+    context.world.node.handle(1, messages.RelayedAcknowledgements(DOMAIN, (row,)))
+    context.world.node.apply_registrations((), {DOMAIN: 2})
     view = views.DomainView(DOMAIN, 2)
     context.world.node.adopt_views((view,), complete=False)
 
@@ -276,7 +276,7 @@
 
 
 def listed(world, rows):
-    world.node.listed(rows, world.time.monotonic())
+    world.node.apply_instance_list(rows, world.time.monotonic())
 
 
 def row(instance, ended=()):
@@ -355,7 +355,7 @@
 @behave.when('peers: registrations are read that show a "d" nobody has heard of')
 def registrations_read(context):
     found = [registrations.Registration(introduction(name)) for name in "abcd"]
-    context.world.node.registered(found, {DOMAIN: 2})
+    context.world.node.apply_registrations(found, {DOMAIN: 2})
 
 
 @behave.when("peers: views 3, 2 and 3 of a failure domain arrive")
@@ -411,7 +411,7 @@
 @behave.then("peers: its count goes out before its acknowledgement")
 def count_first(context):
     first, second = [message for _, message in context.world.wire.sent][:2]
-    assert isinstance(first, messages.SharesDelta) and first.servers == WORK.servers
+    assert isinstance(first, messages.WorkDelta) and first.servers == WORK.servers
     assert second.views == (messages.ViewNumber(DOMAIN, 2),), second
 
 
@@ -444,7 +444,7 @@
     ]
     context.domains = {item.name: item.failure_domain for item in rows}
     context.chosen = {
-        item.name: topology.dials(
+        item.name: topology.link_targets(
             incarnations.Identity(f"{item.name}/1-0", item.failure_domain, "", n), rows
         )
         for n, item in enumerate(rows)
@@ -492,7 +492,7 @@
             )
         )
 
-    spread = share_spread.ShareSpread(busy, table, clock.ManualClock(), seconds(1))
+    spread = work_exchange.WorkExchange(busy, table, clock.ManualClock(), seconds(1))
     sizes = [len(codec.encode([spread.next_delta(40)])) for _ in range(20)]
     assert max(sizes) * 40 <= limit * 1.3, sizes
 
--- a/tests/features/steps/routes_fleet_steps.py
+++ b/tests/features/steps/routes_fleet_steps.py
@@ -168,8 +168,8 @@
         for load in list(context.teller.loads.all())[::2]:
             load.prefill_tokens[0] = 0.0
             load.streams = load.kv_tokens = 0
-    for piece, totals in context.teller.work.totals(NOW):
-        told = context.teller.beacon(NOW, totals=totals, piece=piece)
+    for chunk, totals in context.teller.work.totals(NOW):
+        told = context.teller.beacon(NOW, totals=totals, chunk=chunk)
         sent = beacons.encode(told)
         assert len(totals) <= 40
         context.hearer.work.receive(beacons.decode(sent), 1.0, NOW)
@@ -298,7 +298,7 @@
     context.updates = cache_updates.CacheUpdates()
     one = servers.Incarnation("e1")
     for number in range(count):
-        context.updates.forward(beacons.CachedPart(one, number, 1))
+        context.updates.forward(beacons.CachedPrefix(one, number, 1))
         assert len(context.updates.take_near()) == 1
     context.newest = count - 1
 
--- a/tests/features/steps/routes_incarnations_steps.py
+++ b/tests/features/steps/routes_incarnations_steps.py
@@ -127,7 +127,7 @@
     beacon = beacons.Beacon(
         instance="two",
         failure_domain="here",
-        life="y",
+        incarnation="y",
         configuration=1,
         servers=1,
         stopping=False,
@@ -144,7 +144,9 @@
     hear(
         context,
         loads=(beacons.Load(engine, (700,), 3, 40),),
-        cached=(beacons.CachedPart(engine, prompts.part_key(PART.name), PART.tokens),),
+        cached=(
+            beacons.CachedPrefix(engine, prompts.part_key(PART.name), PART.tokens),
+        ),
     )
 
 
@@ -305,10 +307,10 @@
     " {seconds:d} seconds"
 )
 def peer_tells_change(context, name, born, seconds):
-    changing = beacons.Changing(
+    changing = beacons.StageChange(
         servers.Incarnation(name, born), servers.Stage.DECODE, 1000 * seconds
     )
-    hear(context, changing=(changing,))
+    hear(context, stage_changes=(changing,))
 
 
 def usable(context):
@@ -321,7 +323,7 @@
 @behave.then('incarnations: "{name}" is passed over, and its change is told on')
 def passed_over_and_told(context, name):
     assert name not in usable(context)
-    told = context.peers.beacon().changing
+    told = context.peers.beacon().stage_changes
     assert [(t.engine.server_id, t.stage) for t in told] == [
         (name, servers.Stage.DECODE)
     ]
@@ -340,7 +342,7 @@
 @behave.then('incarnations: "{name}" is used and no change is told')
 def used_and_silent(context, name):
     assert name in usable(context)
-    assert context.peers.beacon().changing == ()
+    assert context.peers.beacon().stage_changes == ()
 
 
 @behave.given(
--- a/tests/features/steps/routes_logic_steps.py
+++ b/tests/features/steps/routes_logic_steps.py
@@ -392,18 +392,18 @@
     return beacons.Beacon(
         instance="one",
         failure_domain="here",
-        life="x",
+        incarnation="x",
         configuration=3,
         servers=17,
         stopping=False,
         readers=(beacons.Reader("one", 20),),
         members=(beacons.Member("127.0.0.2", "there"),),
         loads=(beacons.Load(P1, (0, 5), 2, 900),),
-        cached=(beacons.CachedPart(P1, 17, 800),),
-        suspicions=(beacons.Suspicion(99, P1, False, 3),),
+        cached=(beacons.CachedPrefix(P1, 17, 800),),
+        crash_reports=(beacons.CrashReport(99, P1, False, 3),),
         demands=(beacons.Demand("lm", 1000, 50, 45_000),),
         totals=(beacons.Load(servers.Incarnation("p2", 5), (7,), 1, 20),),
-        changing=(beacons.Changing(P1, servers.Stage.DECODE, 900),),
+        stage_changes=(beacons.StageChange(P1, servers.Stage.DECODE, 900),),
     )
 
 
--- a/tests/features/steps/routes_operations_steps.py
+++ b/tests/features/steps/routes_operations_steps.py
@@ -205,7 +205,7 @@
     instance_with_slack(context)
     context.asked = types.SimpleNamespace(digest=EXEMPT_DIGEST)
     rows = [
-        beacons.Suspicion(EXEMPT_DIGEST, servers.Incarnation(f"s{n}"), False, 5000)
+        beacons.CrashReport(EXEMPT_DIGEST, servers.Incarnation(f"s{n}"), False, 5000)
         for n in range(3)
     ]
     context.instance.quarantine.receive(rows)
--- a/tests/support/completion_crashes.py
+++ b/tests/support/completion_crashes.py
@@ -10,10 +10,10 @@
 from pimentolatch.decisions import work_reports
 from pimentolatch.membership import (
     incarnations,
-    leaving,
+    leaving_servers,
     node,
-    share_spread,
     view_table,
+    work_exchange,
 )
 from pimentolatch.protocol import codec, messages
 from pimentolatch.requests import stream, suspect_completions
@@ -131,20 +131,20 @@
             documents=Documents(),
             crashes=self.suspects,
             table=view_table.ViewTable(),
-            spread=share_spread.ShareSpread(
+            work=work_exchange.WorkExchange(
                 work_reports.WorkReport,
                 NoWork(),
                 self.time,
                 datetime.timedelta(seconds=1),
             ),
-            leaving_servers=leaving.LeavingServers(
+            leaving=leaving_servers.LeavingServers(
                 self.time, datetime.timedelta(seconds=1), lambda servers: None
             ),
             time=self.time,
             suspect_after=datetime.timedelta(seconds=4),
             list_lag=datetime.timedelta(seconds=4),
         )
-        self.suspects.on_news(self.node.tell_crashes)
+        self.suspects.on_news(self.node.send_crash_notices)
 
     @property
     def hello(self):
--- a/tests/support/config_world.py
+++ b/tests/support/config_world.py
@@ -17,13 +17,13 @@
 from pimentolatch.document import schema
 from pimentolatch.membership import (
     incarnations,
-    leaving,
+    leaving_servers,
     node,
     registrations,
-    share_spread,
     topology,
     view_table,
     views,
+    work_exchange,
 )
 from pimentolatch.protocol import codec, messages
 from pimentolatch.requests import suspect_completions
@@ -210,10 +210,10 @@
             documents=self.spread,
             crashes=suspect_completions.SuspectCompletions(self.time),
             table=self.table,
-            spread=share_spread.ShareSpread(
+            work=work_exchange.WorkExchange(
                 work_reports.WorkReport, _NoTable(), self.time, _BEAT
             ),
-            leaving_servers=leaving.LeavingServers(
+            leaving=leaving_servers.LeavingServers(
                 self.time, _BEAT, own_fleet.set_leaving
             ),
             time=self.time,
@@ -268,9 +268,9 @@
         self.plan.soon(self.node.configuration_changed)
 
     def _watches(self) -> bool:
-        near = self.node.members.steady(self.own.failure_domain) | {self.name}
+        near = self.node.detector.steady(self.own.failure_domain) | {self.name}
         names = {incarnations.instance_of(name) for name in near}
-        order = topology.ranked(names, "documents")
+        order = topology.rendezvous_order(names, "documents")
         return order.index(self.instance) < _WATCHERS
 
     async def _join(self) -> None:
--- a/tests/support/fleet_parts.py
+++ b/tests/support/fleet_parts.py
@@ -192,7 +192,9 @@
         domain = self.place.failure_domain
         head = (self.name, domain, "life", 1, 1, False, (), ())
         changing = self.work.changing(now)
-        return beacons.Beacon(*head, loads=self.work.own(), changing=changing, **fields)
+        return beacons.Beacon(
+            *head, loads=self.work.own(), stage_changes=changing, **fields
+        )
 
 
 # The mix of a kiosk fleet of 195 instances before 39 engines: long briefings in
--- a/tests/support/fleet_world.py
+++ b/tests/support/fleet_world.py
@@ -429,10 +429,10 @@
                 instance.beacon(
                     self.time,
                     totals=loads,
-                    piece=piece,
-                    cached=() if piece.number else cached,
+                    chunk=chunk,
+                    cached=() if chunk.number else cached,
                 )
-                for piece, loads in totals
+                for chunk, loads in totals
             ]
             for hosts in instance.told.far:
                 receiver = self.instances[self.random.choice(hosts)]
--- a/tests/support/view_world.py
+++ b/tests/support/view_world.py
@@ -57,7 +57,7 @@
         while self.processes.get(_HOLDER) is holder:
             found = await holder.registrations.read()
             if not isinstance(found, store.Unavailable):
-                holder.node.registered(found, {_DOMAIN: number})
+                holder.node.apply_registrations(found, {_DOMAIN: number})
             if not holder.node.acknowledged.missing(_DOMAIN, number):
                 self._confirm(number)
                 return
@@ -84,7 +84,7 @@
         await self.plan.time.sleep(_SHOWN_LATE)
         for process in list(self.processes.values()):
             if not self.plan.is_frozen(process.name) and not self.faults.outage:
-                process.node.listed(rows, asked)
+                process.node.apply_instance_list(rows, asked)
 
 
 def start_in_an_outage(seed: int, safeguards: config_world.Safeguards) -> ViewWorld:
