--- a/src/pimentolatch/membership/__init__.py
+++ b/src/pimentolatch/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Peers of an entry instance: who they are, what they know, what they acknowledged."""
+"""Peers of an entry instance: failure detection, views and acknowledgements."""
--- a/src/pimentolatch/membership/acknowledgement_relay.py
+++ b/src/pimentolatch/membership/acknowledgement_relay.py
@@ -1,8 +1,9 @@
-"""Passes acknowledgements on towards the holder of a failure domain's duty.
+"""Relays acknowledgements of other failure domains to the leader of a failure domain.
 
-Instances of another failure domain have no link to the holder. Those that have one to
-any instance of the holder's failure domain pass on what they heard, and that instance
-passes it on to the holder, which has told its own failure domain that it gathers.
+Most instances of other failure domains have no link to the leader. Those with a link to
+any instance of the leader's domain relay the acknowledgements that they know. That
+instance relays them to the leader, which has sent a `LeaderNotice` to all instances of
+its own domain.
 """
 
 import dataclasses
@@ -12,7 +13,7 @@
 
 __all__ = ["AcknowledgementRelay"]
 
-# Several times the instances of the fleet, so that rows of ended ones don't pile up.
+# Several times the instances of the fleet; bounds the rows of terminated incarnations.
 _RELAYED_LIMIT = 4096
 
 
@@ -23,7 +24,13 @@
 
 
 class AcknowledgementRelay:
-    """What has been passed on, by link."""
+    """Selects the acknowledgements to relay on each link.
+
+    Args:
+        own_domain: Failure domain of this instance.
+        known: Failure domains of the peers.
+        acknowledged: Acknowledgements that this instance knows.
+    """
 
     def __init__(
         self,
@@ -37,19 +44,19 @@
         self._links: dict[int, _Link] = {}
 
     def opened(self, link: int) -> None:
-        """Start to use a link."""
+        """Add a link."""
         self._links[link] = _Link()
 
     def closed(self, link: int) -> None:
-        """Take note that a link is gone."""
+        """Drop a link that is closed."""
         self._links.pop(link, None)
 
     def receive_leader_notice(self, link: int, notice: messages.LeaderNotice) -> None:
-        """Take note that the peer at a link gathers acknowledgements."""
+        """Record that the peer of a link is the leader of its failure domain."""
         self._links[link].leads = {notice.failure_domain}
 
     def receive(self, message: messages.RelayedAcknowledgements) -> None:
-        """Take acknowledgements that a peer passed on."""
+        """Record acknowledgements that a peer relayed."""
         for row in message.rows:
             self._acknowledged.acknowledge(
                 row.incarnation, message.failure_domain, row.number
@@ -58,7 +65,7 @@
     def next_messages(
         self, link: int, peer: messages.Hello
     ) -> tuple[messages.RelayedAcknowledgements, ...]:
-        """Return what the peer at a link has to be told, and count it as told."""
+        """Return the acknowledgements to relay on a link, and mark them as sent."""
         state = self._links[link]
         wanted = set(state.leads)
         if peer.failure_domain != self._own_domain:
@@ -78,7 +85,7 @@
         rows = []
         for name, number in self._acknowledged.numbers(failure_domain).items():
             domain = self._detector.failure_domain(name)
-            # The holder hears its own failure domain itself, or asks for it.
+            # The leader gets acknowledgements of its own domain directly or by query.
             if name == peer.incarnation or domain == peer.failure_domain:
                 continue
             if state.relayed.get((failure_domain, name)) != number:
--- a/src/pimentolatch/membership/acknowledgements.py
+++ b/src/pimentolatch/membership/acknowledgements.py
@@ -1,22 +1,26 @@
-"""Who has acknowledged a domain view, and what proves that a process has ended.
-
-An instance that is not counted would be waited for by nobody, and the engine it still
-routes to would be ordered away under its requests. So everyone who may route must be
-known before the last acknowledgement counts. Three ways lead here:
-
-* an instance registers in the store *before* it reads the views from there, and the
-  holder reads the registrations *after* it wrote the view: whoever read an older view
-  is in that listing;
-* an instance that took its views from a peer was introduced by that peer, on every
-  link, before that peer's next acknowledgement; introductions are passed on the same
-  way, so they arrive before any acknowledgement that travelled with them;
-* the platform's list names instances that nobody has heard of yet.
-
-An incarnation stops counting only on proof that it has ended: its farewell; the
-platform's list naming it as ended, or no longer holding its instance at that address,
-in an answer younger than the incarnation by more than the list's lag; or a successor
-that listens at the same address, which it can't while the old process is there, for an
-instance closes that address last of all.
+"""Acknowledgements of domain views, and proof that an incarnation has terminated.
+
+If the leader of a failure domain does not know of an instance, it does not wait for its
+acknowledgement and reassigns an engine to which that instance still routes, which cuts
+the instance's requests. So each instance that may route must be known before the last
+acknowledgement counts. Three rules ensure this:
+
+* An instance registers in the store *before* it reads the views from there, and the
+  leader reads the registrations *after* it wrote the view. So the listing includes each
+  instance that read an older view.
+* A peer that sends its views to an instance introduces that instance on every link
+  before its own next acknowledgement. Introductions are relayed in the same way, so
+  they arrive before any acknowledgement that was sent with them.
+* The platform's list names instances that no peer knows yet.
+
+An incarnation is removed only on proof that it has terminated:
+
+* its farewell;
+* the platform's list, if it names the incarnation as ended, or if it no longer has the
+  instance at that address and was requested later than the incarnation became known by
+  at least the list's maximum lag;
+* a successor that listens at the same address. It can't do so while the old process
+  runs, since an instance closes that socket last.
 """
 
 import dataclasses
@@ -30,7 +34,7 @@
 __all__ = ["UNREAD_REGISTRATIONS", "AcknowledgementTable"]
 
 UNREAD_REGISTRATIONS = "registrations-not-read"
-# More than two days of restarts at the size designed for, about 25 kB.
+# More than two days of restarts at the design size, about 25 kB.
 _ENDED_LIMIT = 800
 
 
@@ -41,11 +45,11 @@
 
 
 class AcknowledgementTable:
-    """Incarnations that may route, and the view of each domain they route by.
+    """Incarnations that may route, and the domain views that they acknowledged.
 
     Args:
         own_instance: Name of this instance.
-        list_lag: Bound on how late the platform's instance list may be.
+        list_lag: Maximum age of the information in the platform's instance list.
     """
 
     def __init__(
@@ -63,7 +67,7 @@
 
     @property
     def changes(self) -> int:
-        """Grows with each change of `known`."""
+        """A number that grows with each change of `known`."""
         return self._changes
 
     @property
@@ -72,7 +76,7 @@
         return tuple(known.introduction for known in self._known.values())
 
     def introduce(self, introduction: messages.Introduction) -> bool:
-        """Count an incarnation from now on; False if it was known or has ended."""
+        """Add an incarnation; False if it was known or has terminated."""
         name = introduction.incarnation
         if name in self._known or name in self._ended:
             return False
@@ -81,12 +85,12 @@
         return True
 
     def introduce_successor(self, successor: messages.Introduction) -> frozenset[str]:
-        """Count an incarnation that listens; returns those it proves ended.
+        """Add an incarnation that listens; returns those it proves terminated.
 
-        What this instance hears can be old: after a freeze it may read the hello of
+        A received hello can be old: after a pause this instance may read the hello of
         an earlier process after that of its successor. So only a process that started
-        later proves anything. If a machine's clock went back in between, nothing is
-        proved here and the platform's list decides.
+        later is proof. If the machine's clock was set back in between, the successor
+        proves nothing and the platform's list decides.
         """
         self.introduce(successor)
         started = incarnations.started_ms(successor.incarnation)
@@ -102,7 +106,7 @@
         return self._remove_ended(before)
 
     def acknowledge(self, incarnation: str, failure_domain: str, number: int) -> bool:
-        """Take note of an acknowledgement; False if it tells nothing new."""
+        """Record an acknowledgement; False if it is not newer than the last one."""
         if incarnation not in self._known:
             return False
         numbers = self._numbers.setdefault(failure_domain, {})
@@ -112,22 +116,22 @@
         return True
 
     def farewell(self, incarnation: str) -> None:
-        """Take note that an incarnation has finished."""
+        """Record the farewell of an incarnation."""
         self._remove_ended([incarnation])
 
     def apply_instance_list(
         self, rows: abc.Iterable[store.Instance], asked: datetime.timedelta
     ) -> frozenset[str]:
-        """Take the platform's instance list; returns incarnations it proves ended.
+        """Apply the platform's instance list; returns incarnations proved terminated.
 
         Args:
             rows: The list.
-            asked: Monotonic time at which the list was asked for.
+            asked: Monotonic time at which the list was requested.
         """
         entries = {row.name: row for row in rows if row.kind == "entry"}
         self._listed = frozenset(entries)
-        # A list that lacks this very instance, at the start or because nobody keeps
-        # entry instances in it, says nothing by what else it lacks.
+        # A list without this instance is too old or does not include entry instances
+        # at all, so an instance that it lacks may still run.
         credible = self._own_instance in entries
         ended = []
         for name, known in self._known.items():
@@ -141,12 +145,12 @@
     def apply_registrations(
         self, rows: abc.Iterable[registrations.Registration], covers: dict[str, int]
     ) -> frozenset[str]:
-        """Take a listing of registrations; returns incarnations it proves ended.
+        """Apply a listing of registrations; returns incarnations proved terminated.
 
         Args:
             rows: The listing.
             covers: Numbers of the views that were written before the listing was
-                asked for, by failure domain.
+                requested, by failure domain.
         """
         ended: frozenset[str] = frozenset()
         for row in rows:
@@ -161,11 +165,11 @@
         return ended
 
     def numbers(self, failure_domain: str) -> dict[str, int]:
-        """Return the highest number acknowledged, by incarnation."""
+        """Return the highest view number acknowledged, by incarnation."""
         return self._numbers.get(failure_domain, {})
 
     def numbers_of(self, incarnation: str) -> tuple[messages.ViewNumber, ...]:
-        """Return what an incarnation acknowledged, by failure domain."""
+        """Return the view numbers that an incarnation acknowledged."""
         return tuple(
             messages.ViewNumber(failure_domain, numbers[incarnation])
             for failure_domain, numbers in self._numbers.items()
@@ -187,7 +191,7 @@
         return frozenset(behind | unseen)
 
     def _ended_instances(self) -> set[str]:
-        # The list lags, so it still names an instance whose last process has gone.
+        # The list lags, so it may name an instance whose last process has terminated.
         return {incarnations.instance_of(name) for name in self._ended}
 
     def _remove_ended(self, names: abc.Iterable[str]) -> frozenset[str]:
--- a/src/pimentolatch/membership/dialer.py
+++ b/src/pimentolatch/membership/dialer.py
@@ -1,4 +1,4 @@
-"""Keeps the links that the topology asks for open."""
+"""Keeps the links that the topology requires open."""
 
 import asyncio
 import datetime
@@ -10,18 +10,19 @@
 __all__ = ["Dialer"]
 
 _ROUND = datetime.timedelta(seconds=0.5)
-# The lower name dials at once. The higher one waits so long, which avoids two links
-# to one peer, and then dials too: the cut may be in one direction only.
+# The instance with the lower name dials at once. The other one waits for this time,
+# which avoids duplicate links, and then dials too: connections may fail in one
+# direction only.
 _SECOND_DIAL_AFTER = datetime.timedelta(seconds=3)
 _FIRST_RETRY = datetime.timedelta(seconds=0.5)
 _MAX_RETRY = datetime.timedelta(seconds=10)
-# Links across failure domains that are no longer asked for stay so long, so that a
-# list that changes back does not cost a new link.
+# A link across failure domains that is no longer required stays open for this time, so
+# that a list that changes back does not cost a new link.
 _UNWANTED_GRACE = datetime.timedelta(seconds=60)
 
 
 class Dialer:
-    """Dials peers, by name from the instance list and by address from the seeds."""
+    """Dials the peers from the instance list, and seed addresses if need be."""
 
     def __init__(
         self,
@@ -44,12 +45,12 @@
         self._unwanted: dict[int, datetime.timedelta] = {}
 
     def apply_instance_list(self, rows: tuple[store.Instance, ...]) -> None:
-        """Take the platform's instance list."""
+        """Apply the platform's instance list."""
         self._listed = {row.name: row for row in rows}
         self._chosen_for = None
 
     async def run(self) -> None:
-        """Keep links open for ever."""
+        """Keep the links open until cancelled."""
         try:
             while True:
                 self._dial_round()
@@ -90,8 +91,8 @@
             for name in names
         }
         by_address = {(host, port) for host, port, _ in wanted.values()}
-        # Seeds serve while there is no list, and while it names nobody near: it may
-        # be empty, or describe a time before this instance's neighbours started.
+        # Seeds are dialed while no listed peer of the own domain is connected: there
+        # may be no list yet, or an empty one, or one from before those peers started.
         if not self._near_links():
             for seed in self._seeds:
                 if (seed.host, seed.port) not in by_address:
@@ -135,7 +136,7 @@
         self._unwanted = {n: self._unwanted.get(n, now) for n in unwanted}
         for number, since in self._unwanted.items():
             if now - since >= _UNWANTED_GRACE:
-                self._links.close(number, "no longer needed")
+                self._links.close(number, "not part of the current topology")
 
 
 _NOTHING = datetime.timedelta()
@@ -151,11 +152,11 @@
         self._backoff = backoff.Backoff(_FIRST_RETRY, _MAX_RETRY, chance)
 
     def set_name(self, instance: str) -> None:
-        """Take note of who answers at this address; a seed has no name before."""
+        """Record the instance that answers; a seed has no name before."""
         self.name = instance
 
     def ended(self, now: datetime.timedelta, began: datetime.timedelta) -> None:
-        """Set when to dial again; a link that lasted starts from the beginning."""
+        """Schedule the next dial; the backoff restarts after a long-lived link."""
         if now - began > _MAX_RETRY:
             self._backoff.reset()
             self.failures = 0
--- a/src/pimentolatch/membership/failure_detector.py
+++ b/src/pimentolatch/membership/failure_detector.py
@@ -1,9 +1,9 @@
-"""Who can be reached: heartbeats, suspicion and its refutation, and damping.
+"""Failure detector: heartbeats, suspicion and its refutation, and flap damping.
 
-Suspicion decides only whom this instance asks, links to and counts on for spare
-duties such as watching the store. It never proves that a process has ended: one that
-is cut off or frozen looks the same from here, and may send to an engine later. What
-proves an end stands in `acknowledgements`.
+Suspicion only affects which peers this instance queries, links to and relies on for
+shared tasks such as watching the store. It never proves that a process has terminated:
+a partitioned or paused process looks the same, and may still dispatch to an engine. For
+proof of termination see `acknowledgements`.
 """
 
 import dataclasses
@@ -14,9 +14,9 @@
 __all__ = ["FailureDetector"]
 
 _NEVER = datetime.timedelta(seconds=-1_000_000)
-# A link that breaks again and again would move duties with every break. Each loss in
-# the last minute doubles the time a peer must be heard without a break before it is
-# counted on; the cap keeps a healed link from being distrusted for long.
+# Without damping, a flapping link would move tasks at each break. Each loss in this
+# window doubles the time for which a peer must stay reachable before it counts as
+# steady. The maximum keeps a repaired link from being excluded for long.
 _FLAP_WINDOW = datetime.timedelta(seconds=60)
 _MAX_PROBATION = datetime.timedelta(seconds=30)
 _REMEMBERED_LOSSES = 8
@@ -32,10 +32,10 @@
 
 
 class FailureDetector:
-    """What the links say about other incarnations.
+    """Reachability of other incarnations, by the messages received.
 
     Args:
-        suspect_after: Silence after which an incarnation is suspected.
+        suspect_after: Time without a message after which an incarnation is suspected.
     """
 
     def __init__(self, time: clock.Clock, suspect_after: datetime.timedelta) -> None:
@@ -44,7 +44,7 @@
         self._peers: dict[str, _Peer] = {}
 
     def record_message(self, incarnation: str, failure_domain: str) -> None:
-        """Take note of a message that came from an incarnation itself."""
+        """Record a message that was received from an incarnation directly."""
         now = self._clock.monotonic()
         peer = self._peers.get(incarnation)
         if peer is None:
@@ -57,39 +57,39 @@
         peer.last_message = now
 
     def record_indirect(self, incarnation: str, age: datetime.timedelta) -> None:
-        """Take note that another peer heard the incarnation, `age` ago."""
+        """Record that another peer got a message of the incarnation, `age` ago."""
         peer = self._peers.get(incarnation)
         if peer is not None:
             peer.last_indirect = max(peer.last_indirect, self._clock.monotonic() - age)
 
     def record_link_loss(self, incarnation: str) -> None:
-        """Take note that the link to an incarnation broke."""
+        """Record that the link to an incarnation broke."""
         peer = self._peers.get(incarnation)
         if peer is not None:
             self._record_loss(peer)
             peer.steady_since = self._clock.monotonic()
 
     def remove(self, incarnation: str) -> None:
-        """Drop an incarnation that is known to have ended."""
+        """Remove an incarnation that has terminated."""
         self._peers.pop(incarnation, None)
 
     def silence(self, incarnation: str) -> datetime.timedelta | None:
-        """Return the time since the incarnation was heard directly, if ever."""
+        """Return the time since the last direct message, None if there was none."""
         peer = self._peers.get(incarnation)
         return None if peer is None else self._clock.monotonic() - peer.last_message
 
     def failure_domain(self, incarnation: str) -> str | None:
-        """Return the failure domain of an incarnation that was heard directly."""
+        """Return the failure domain of an incarnation, None if it is not known."""
         peer = self._peers.get(incarnation)
         return None if peer is None else peer.failure_domain
 
     def is_reachable(self, incarnation: str) -> bool:
-        """Tell whether the incarnation is heard directly."""
+        """Return whether messages of the incarnation arrive directly."""
         peer = self._peers.get(incarnation)
         return peer is not None and not self._is_unresponsive(peer)
 
     def reachable(self, failure_domain: str) -> frozenset[str]:
-        """Return the incarnations of a failure domain that are heard directly."""
+        """Return the directly reachable incarnations of a failure domain."""
         return frozenset(
             name
             for name, peer in self._peers.items()
@@ -97,7 +97,7 @@
         )
 
     def steady(self, failure_domain: str) -> frozenset[str]:
-        """Return the reachable incarnations whose link has not flapped lately."""
+        """Return the reachable incarnations whose link has not flapped recently."""
         now = self._clock.monotonic()
         return frozenset(
             name
@@ -107,7 +107,7 @@
         )
 
     def suspected(self) -> frozenset[str]:
-        """Return the incarnations that neither this instance nor a peer hears."""
+        """Return the incarnations that neither this instance nor a peer can reach."""
         now = self._clock.monotonic()
         return frozenset(
             name
@@ -116,7 +116,7 @@
         )
 
     def to_query(self) -> tuple[str, ...]:
-        """Return the incarnations to ask other peers about, before suspecting them."""
+        """Return the incarnations to query other peers about before suspecting them."""
         now = self._clock.monotonic()
         return tuple(
             sorted(
--- a/src/pimentolatch/membership/incarnations.py
+++ b/src/pimentolatch/membership/incarnations.py
@@ -1,4 +1,4 @@
-"""Names of processes: an instance has a new incarnation for each start."""
+"""Names of incarnations: each start of an instance is a new incarnation."""
 
 import dataclasses
 import secrets
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """One process: its incarnation, its failure domain, where it listens for peers."""
+    """An incarnation, its failure domain and the address at which peers reach it."""
 
     incarnation: str
     failure_domain: str
@@ -26,22 +26,23 @@
 
 
 def new_incarnation(instance: str, time: clock.Clock) -> str:
-    """Return a name that no other process has, such as `entry-1/18f2a3-9c41f0`.
+    """Return a unique name, such as `entry-1/18f2a3-9c41f0`.
 
-    The start time orders the processes that held one address one after the other; see
-    `acknowledgements`. Nothing else compares it, since clocks of two machines disagree.
+    The start time in it orders the successive processes at one address; see
+    `acknowledgements`. It is compared for nothing else, since the clocks of two
+    machines differ.
     """
     started_ms = int(time.now().timestamp() * 1000)
     return f"{instance}{_SEPARATOR}{started_ms:x}-{secrets.token_hex(4)}"
 
 
 def instance_of(incarnation: str) -> str:
-    """Return the name of the instance that an incarnation belongs to."""
+    """Return the name of an incarnation's instance."""
     return incarnation.split(_SEPARATOR, 1)[0]
 
 
 def started_ms(incarnation: str) -> int:
-    """Return the start time in an incarnation's name, in ms; 0 if it has none."""
+    """Return the start time in an incarnation's name, in Unix ms; 0 if it has none."""
     _, _, process = incarnation.partition(_SEPARATOR)
     try:
         return int(process.partition("-")[0], 16)
--- a/src/pimentolatch/membership/indirect_liveness.py
+++ b/src/pimentolatch/membership/indirect_liveness.py
@@ -1,4 +1,7 @@
-"""Speaks for incarnations that another peer does not hear, and takes such words."""
+"""Reports on incarnations from which another peer gets no messages.
+
+They avoid false suspicion when only the link between two instances fails.
+"""
 
 import datetime
 from collections import abc
@@ -16,7 +19,7 @@
     known: failure_detector.FailureDetector,
     acknowledged: acknowledgements.AcknowledgementTable,
 ) -> tuple[messages.LivenessEntry, ...]:
-    """Return what is known of the incarnations that are heard directly here."""
+    """Return an entry for each queried incarnation that is reachable from here."""
     found = []
     for incarnation in queried:
         age = known.silence(incarnation)
@@ -32,7 +35,7 @@
     known: failure_detector.FailureDetector,
     acknowledged: acknowledgements.AcknowledgementTable,
 ) -> None:
-    """Take a peer's word for whom it hears and for what they acknowledge."""
+    """Record a peer's report of reachable incarnations and their acknowledgements."""
     for item in message.entries:
         known.record_indirect(item.incarnation, item.age_ms * _MILLISECOND)
         for view in item.views:
--- a/src/pimentolatch/membership/interfaces.py
+++ b/src/pimentolatch/membership/interfaces.py
@@ -1,4 +1,4 @@
-"""What the node needs of its links and of the part that moves documents."""
+"""Interfaces that `node.Node` uses: links, document transfer and crash records."""
 
 import asyncio
 import typing
@@ -10,7 +10,7 @@
 
 
 class Network(typing.Protocol):
-    """The links, by number."""
+    """Sends messages on links, which are given by number."""
 
     def send(self, link: int, message: messages.Message) -> None:
         """Queue a message; a link whose queue is full is closed."""
@@ -20,7 +20,7 @@
 
 
 class ConfigurationPeer(typing.Protocol):
-    """The part that moves documents between instances."""
+    """Transfers documents between instances."""
 
     wake: asyncio.Event
 
@@ -30,32 +30,37 @@
 
     @property
     def busy(self) -> bool:
-        """Whether `poll` has something to do soon; `wake` is set when that begins."""
+        """Whether `poll` must be called soon; `wake` is set when this becomes true."""
 
     def poll(self) -> None:
-        """Start or give up transfers that are due."""
+        """Start transfers that are due, and abort those that timed out."""
 
     def offered(self, link: int, number: int) -> None:
-        """Take note that the peer at a link has a document in force."""
+        """Record the number of the document in force at the peer of a link."""
 
     def handle(self, link: int, message: messages.Message) -> None:
         """Handle a message about documents."""
 
     def closed(self, link: int) -> None:
-        """Take note that a link is gone."""
+        """Drop the state of a link that is closed."""
 
 
 class CrashTable(typing.Protocol):
-    """Holds which completions have ended engines, as this instance knows."""
+    """Records of completions during which engines crashed."""
 
     def take(self, told: abc.Iterable[messages.EngineCrash], *, near: bool) -> None:
-        """Take what a peer tells, which may be of the own failure domain."""
+        """Record crashes that a peer reported.
+
+        Args:
+            told: The crashes.
+            near: Whether the peer belongs to the own failure domain.
+        """
 
     def take_near(self, most: int) -> tuple[messages.EngineCrash, ...]:
-        """Return what peers of the own failure domain are to be told."""
+        """Return up to `most` crashes to report to peers of the own failure domain."""
 
     def take_far(self, most: int) -> tuple[messages.EngineCrash, ...]:
-        """Return what peers of other failure domains are to be told."""
+        """Return up to `most` crashes to report to peers of other failure domains."""
 
     def serious(self) -> tuple[messages.EngineCrash, ...]:
-        """Return what an instance that has just started has to know."""
+        """Return the crashes that an instance must know when it starts."""
--- a/src/pimentolatch/membership/leaving_servers.py
+++ b/src/pimentolatch/membership/leaving_servers.py
@@ -1,9 +1,9 @@
-"""Backend servers that the platform's list shows as leaving.
+"""Backend servers that the platform lists as leaving.
 
-The list names all servers of the fleet; at the size designed for it is more than half
-a megabyte, and an instance can read it about once a minute within its share of the
+The list names all servers of the fleet. At the design size it is more than half a
+megabyte, and an instance can read it about once a minute within its share of the
 network. So the instances of a failure domain read it in turn, one every two seconds,
-and tell each other what is new in it.
+and send each other what is new in it.
 """
 
 import datetime
@@ -16,11 +16,11 @@
 
 
 class LeavingServers:
-    """What this instance read itself, and what peers read since.
+    """Leaving servers from this instance's last read and from peers' notices.
 
     Args:
-        hold: How long a peer's word stands if an own reading does not confirm it.
-        changed: Called with the servers that take no new work.
+        hold: Time for which a peer's notice counts if no own read confirms it.
+        changed: Called with the servers that must get no new work.
     """
 
     def __init__(
@@ -38,30 +38,30 @@
 
     @property
     def servers(self) -> frozenset[str]:
-        """Servers that take no new work."""
+        """Servers that must get no new work."""
         return self._listed.union(self._reported)
 
     @property
     def known(self) -> frozenset[str] | None:
-        """Servers that take no new work; None before this instance read the list.
+        """Servers that must get no new work; None before this instance read the list.
 
-        A duty holder that took an unread list for an empty one would put a leaving
-        server back to work.
+        A leader that took an unread list for an empty one would return a leaving
+        server to service.
         """
         return self.servers if self._has_list else None
 
     def apply_instance_list(
         self, rows: abc.Iterable[store.Instance]
     ) -> tuple[str, ...]:
-        """Take a reading of the list; returns what peers should be told."""
+        """Apply the platform's list; returns the leaving servers to notify peers of."""
         now = self._clock.monotonic()
         before = self.servers
         self._has_list = True
         self._listed = frozenset(
             row.name for row in rows if row.kind != "entry" and row.state == "leaving"
         )
-        # Readings differ in age. A server that a peer saw leaving stays out for a
-        # time, or it would get work again from whoever read an older list after that.
+        # Copies of the list differ in age. If a peer's notice did not count for some
+        # time, an instance that reads an older copy later would send the server work.
         self._reported = {
             name: since
             for name, since in self._reported.items()
@@ -71,7 +71,7 @@
         return tuple(sorted(self._listed - before))
 
     def receive(self, names: abc.Iterable[str]) -> None:
-        """Take a peer's word for what it read."""
+        """Record the leaving servers in a peer's notice."""
         now = self._clock.monotonic()
         self._reported |= dict.fromkeys(names, now)
         self._changed(self.servers)
--- a/src/pimentolatch/membership/links.py
+++ b/src/pimentolatch/membership/links.py
@@ -1,4 +1,4 @@
-"""WebSocket links to peers: one task owns each socket, bounded queues in between."""
+"""WebSocket links to peers, each with its own task and a bounded send queue."""
 
 import asyncio
 import collections
@@ -20,31 +20,32 @@
 __all__ = ["LinkHandler", "Links"]
 
 _log = logbook.Logger("links")
-# A peer that takes nothing for so many messages is slow or gone. Waiting for it would
-# hold up what the others need to know, so its link is closed; a new link starts afresh.
+# Messages queued for a peer before its link is closed. Waiting for a peer that is slow
+# or unreachable would delay messages to the other peers; a new link starts with the
+# whole state.
 _QUEUE_LIMIT = 512
 _BATCH_LIMIT = 64
 _SMALL_ENTRIES = 64
 _OPEN_TIMEOUT_S = 3.0
 _CLOSE_TIMEOUT_S = 0.5
 _RECEIVE_QUEUE = 8
-# Above the links of the size designed for (40, and a few across failure domains).
+# The design size needs 40 links, and a few across failure domains.
 _LINK_LIMIT = 256
 _TOO_BIG = 1009
 _POLICY = 1008
 
 
 class LinkHandler(typing.Protocol):
-    """Whoever handles what comes in; called in the event loop, never blocking."""
+    """Handles link events; called in the event loop, so it must not block."""
 
     def opened(self, number: int, peer: messages.Hello) -> None:
-        """A peer has said who it is."""
+        """Called after the handshake with a peer."""
 
     def closed(self, number: int) -> None:
-        """The link is gone."""
+        """Called after a link was closed."""
 
     def handle(self, number: int, message: messages.Message) -> None:
-        """A message came in."""
+        """Called for each message received."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -63,8 +64,9 @@
     """All links of this instance.
 
     Args:
-        own: This process.
-        address: Where to listen; `own` names what peers are to dial.
+        own: Identity of this process, with the address that peers dial.
+        address: Address to listen at.
+        silence_s: Time-out of one send or receive, in seconds.
     """
 
     def __init__(
@@ -89,7 +91,7 @@
 
     @property
     def linked(self) -> frozenset[str]:
-        """Names of the instances at the open links."""
+        """Names of the instances that are connected by open links."""
         return frozenset(
             incarnations.instance_of(link.peer.incarnation)
             for link in self._links.values()
@@ -98,7 +100,7 @@
 
     @property
     def dialed(self) -> dict[int, messages.Hello]:
-        """Peers at the links that this instance dialed."""
+        """Peers of the links that this instance dialed, by link number."""
         return {
             number: link.peer
             for number, link in self._links.items()
@@ -106,7 +108,7 @@
         }
 
     async def start(self, handler: LinkHandler) -> None:
-        """Listen; raises `OSError` if the address can't be had."""
+        """Listen for peers; raises `OSError` if the address is unavailable."""
         self._handler = handler
         self._server = await websockets.asyncio.server.serve(
             self._accept,
@@ -121,7 +123,7 @@
         )
 
     async def stop(self) -> None:
-        """Send what is queued, close the links and, last, the address."""
+        """Send the queued messages, close the links and then the listening socket."""
         self._closed = True
         for number in list(self._links):
             self.close(number, "stopping")
@@ -132,16 +134,16 @@
     async def dial(
         self, host: str, port: int, on_identified: typing.Callable[[str], None]
     ) -> str:
-        """Open a link and serve it until it ends; returns why it ended.
+        """Open a link and serve it until it closes; returns the reason for the close.
 
         Args:
-            host: IP number of the peer.
+            host: IP address of the peer.
             port: Port of the peer.
-            on_identified: Called with the name of the instance that answers.
+            on_identified: Called with the name of the instance in the peer's hello.
         """
         shown = f"[{host}]" if ipaddress.ip_address(host).version == 6 else host
         try:
-            # The source address tells firewalls and tests which instance calls.
+            # Firewalls and tests identify the calling instance by its source address.
             socket = await websockets.asyncio.client.connect(
                 f"ws://{shown}:{port}",
                 compression=None,
@@ -163,7 +165,7 @@
         if chosen is None or chosen.closing is not None:
             return
         if len(chosen.queue) >= _QUEUE_LIMIT:
-            self.close(link, "the peer takes nothing")
+            self.close(link, "send queue full: the peer is too slow or unreachable")
             chosen.queue.clear()
             return
         chosen.queue.append(message)
@@ -206,7 +208,7 @@
             if link.peer is not None and self._handler is not None:
                 self._handler.closed(number)
             socket.transport.abort()
-        _log.debug("link ended", peer=_peer_name(link), reason=reason)
+        _log.debug("link closed", peer=_peer_name(link), reason=reason)
         return reason
 
     async def _handshake(
@@ -224,27 +226,29 @@
             await link.socket.send(codec.encode([hello]))
             received = codec.decode(_as_bytes(await link.socket.recv()))
         if isinstance(received, codec.Malformed) or len(received) != 1:
-            return await self._reject(link, f"no hello: {received}")
+            return await self._reject(
+                link, f"first frame must be one hello: {received}"
+            )
         peer = received[0]
         if not isinstance(peer, messages.Hello):
-            return await self._reject(link, "the first message is no hello")
+            return await self._reject(link, "first message must be a hello")
         if peer.version != codec.PROTOCOL_VERSION:
             return await self._reject(link, f"protocol version {peer.version}")
         instance = incarnations.instance_of(peer.incarnation)
         on_identified(instance)
         if instance == own.instance:
-            return "own instance"
+            return "the address belongs to this instance"
         if not self._supersedes(link, peer):
-            return "second link"
+            return "duplicate link to the same incarnation"
         link.peer = peer
         return ""
 
     def _supersedes(self, link: _Link, peer: messages.Hello) -> bool:
-        """Keep one of two links to the same incarnation, the same one on both sides.
+        """Decide which of two links to an incarnation stays; False if it's the other.
 
-        Both may dial at the same time. If each side kept the newer link, each could
-        close the one that the other keeps, again and again. The link that the lower
-        name dialed stays.
+        Both sides may dial at the same time. If each side kept the newer link, each
+        could close the one that the other keeps, again and again. So both sides keep
+        the link that the instance with the lower name dialed.
         """
         for number, other in list(self._links.items()):
             if other is link or other.peer is None or other.closing is not None:
@@ -254,7 +258,7 @@
             lower_dialed = link.dialed == (self._own.incarnation < peer.incarnation)
             if not lower_dialed and other.dialed != link.dialed:
                 return False
-            self.close(number, "replaced by another link")
+            self.close(number, "replaced by another link to the same incarnation")
         return True
 
     async def _reject(self, link: _Link, reason: str) -> str:
@@ -304,10 +308,13 @@
             for message in received:
                 try:
                     handler.handle(number, message)
-                # Whatever one peer's message sets off must end with its link.
+                # A fault that one peer's message causes must only close that link.
                 except Exception:
-                    _log.exception("message not handled", peer=_peer_name(link))
-                    return "message not handled"
+                    _log.exception(
+                        "message handler failed; closing the link",
+                        peer=_peer_name(link),
+                    )
+                    return "message handler failed"
 
 
 def _next_batch(
@@ -322,7 +329,7 @@
 
 
 def _is_large(message: messages.Message) -> bool:
-    """Tell whether a message takes a frame of its own, to stay under the limit."""
+    """Return whether a message needs its own frame, to stay below the size limit."""
     match message:
         case messages.Part() | messages.DomainViews() | messages.ConfigurationHead():
             return True
--- a/src/pimentolatch/membership/node.py
+++ b/src/pimentolatch/membership/node.py
@@ -1,9 +1,10 @@
-"""The protocol between instances, without network: messages in, messages out.
+"""The peer protocol of an instance as a state machine that does no I/O itself.
 
-Every link carries a heartbeat at a fixed interval and at once when something changed:
-the number of the document in force, the views adopted, and who became known. Whoever
-sees a higher number than its own asks the sender for the rest. So a change travels as
-a few bytes on each link and its content once to each instance.
+Each link carries a heartbeat at a fixed interval, and at once after a change, with the
+number of the document in force, the views adopted and the incarnations that became
+known. An instance that receives a higher number than its own requests the content from
+the sender. So a change costs a few bytes on each link, and its content is sent once to
+each instance.
 """
 
 import dataclasses
@@ -32,11 +33,11 @@
 __all__ = ["Node"]
 
 _log = logbook.Logger("membership")
-# A peer asked about is one of a few; more would make each outage of a failure domain
-# a burst of questions. The rest is asked about in later heartbeats.
+# Incarnations queried in one heartbeat. Without a limit the outage of a failure domain
+# would cause a burst of queries. Later heartbeats query the rest.
 _MAX_QUERIED = 8
-# Ends of engines that are told between two heartbeats, at once as they are noticed.
-# After the loss of many engines the rest follows with later heartbeats.
+# Crash reports that may be sent between two heartbeats, each as soon as the crash is
+# detected. After the loss of many engines the rest follows with later heartbeats.
 _CRASHES_PER_HEARTBEAT = 64
 
 
@@ -50,17 +51,18 @@
 
 
 class Node:
-    """One instance among its peers.
+    """The state of one instance and its links to peers.
 
     Args:
-        own: This process.
-        documents: Moves documents.
-        table: The domain views routed by here.
-        suspect_after: Silence after which a peer is suspected.
-        list_lag: Bound on how late the platform's instance list may be.
-        spread: Tells peers of the work carried here, and holds theirs.
-        leaving_servers: Backend servers that the platform's list shows as leaving.
-        crashes: Completions that have ended engines.
+        own: Identity of this process.
+        network: Sends messages and closes links.
+        documents: Transfers documents.
+        crashes: Records of completions during which engines crashed.
+        table: The domain views by which this instance routes.
+        work: Exchanges work reports with the peers.
+        leaving: Backend servers that the platform lists as leaving.
+        suspect_after: Time without a message after which a peer is suspected.
+        list_lag: Maximum age of the information in the platform's instance list.
     """
 
     def __init__(
@@ -110,18 +112,19 @@
 
     @property
     def peers(self) -> dict[int, messages.Hello]:
-        """The peers at the open links, by link."""
+        """The peers of the open links, by link number."""
         return {number: link.peer for number, link in self._links.items()}
 
     def opened(self, number: int, peer: messages.Hello) -> None:
-        """Start to use a link whose peer has said who it is.
+        """Start to use a link after the handshake.
 
-        The peer listens at the address it names, so an earlier process of the same
-        instance there has ended. Its other links are left to end by silence.
+        The peer listens at the address in its hello, so an earlier process of the same
+        instance at that address has terminated. Links to that process are left to time
+        out.
         """
         self._links[number] = _Link(peer)
         self._relay.opened(number)
-        # A new link starts with all of the peer's work; what a lost one left is stale.
+        # The peer sends all of its work on a new link, so older entries are stale.
         self._work.forget(peer.incarnation)
         self.detector.record_message(peer.incarnation, peer.failure_domain)
         self._remove_ended(
@@ -130,7 +133,8 @@
             )
         )
         if peer.failure_domain == self._own.failure_domain:
-            # Work goes first: what follows may acknowledge a view.
+            # Work is sent first, since a later message may acknowledge a view; see
+            # `_send_work_at`.
             for delta in self._work.snapshot():
                 self._network.send(number, delta)
             if self._is_leader:
@@ -142,7 +146,7 @@
         self._send_heartbeats()
 
     def closed(self, number: int) -> None:
-        """Take note that a link is gone."""
+        """Drop a link that is closed."""
         link = self._links.pop(number, None)
         if link is None:
             return
@@ -157,8 +161,8 @@
     def handle(self, number: int, message: messages.Message) -> None:
         """Handle a message of an open link."""
         link = self._links.get(number)
-        # A heartbeat can follow a farewell on its link. Counted as a sign of life it
-        # would have the peer listened for again, and suspected seconds later.
+        # A heartbeat can follow a farewell on the same link. If it counted, the peer
+        # would be monitored again and suspected seconds later.
         if link is None or link.finished:
             return
         self.detector.record_message(link.peer.incarnation, link.peer.failure_domain)
@@ -188,12 +192,15 @@
                 near = link.peer.failure_domain == self._own.failure_domain
                 self._crashes.take(message.crashes, near=near)
             case messages.Hello():
-                self._network.close(number, "second hello")
+                self._network.close(number, "unexpected second hello")
             case _:
                 self._documents.handle(number, message)
 
     def tick(self) -> None:
-        """Send a heartbeat on every link; called at the heartbeat interval."""
+        """Send heartbeats, relayed acknowledgements, crash notices and a work delta.
+
+        Called at the heartbeat interval.
+        """
         self._views.acknowledge()
         self._views.retry_requests()
         self._crashes_left = _CRASHES_PER_HEARTBEAT
@@ -208,7 +215,7 @@
                 self._network.send(number, delta)
 
     def announce(self, view: views.DomainView) -> None:
-        """Adopt a view that this instance wrote and gather its acknowledgements."""
+        """Adopt a view that this instance wrote and collect its acknowledgements."""
         if not self._is_leader:
             self._is_leader = True
             notice = messages.LeaderNotice(view.failure_domain)
@@ -220,7 +227,12 @@
     def adopt_views(
         self, found: abc.Iterable[views.DomainView], *, complete: bool
     ) -> None:
-        """Adopt views from the store or a peer and tell the peers at once."""
+        """Adopt views from the store or a peer and notify the peers at once.
+
+        Args:
+            found: The views.
+            complete: Whether `found` includes the views of all failure domains.
+        """
         withdrawn = self._views.adopt(found, complete=complete)
         if withdrawn is not None:
             self._send_work_at(withdrawn)
@@ -228,7 +240,7 @@
             self._send_heartbeats()
 
     def send_crash_notices(self) -> None:
-        """Tell the peers at once which completions have ended engines."""
+        """Report completions during which engines crashed to the peers at once."""
         if not self._crashes_left:
             return
         near = self._crashes.take_near(self._crashes_left)
@@ -240,7 +252,7 @@
                 self._network.send(number, messages.CrashNotice(ends))
 
     def configuration_changed(self) -> None:
-        """Tell the peers at once that another document is in force here."""
+        """Notify the peers at once that another document is in force here."""
         self._send_heartbeats()
 
     def apply_registrations(
@@ -248,13 +260,13 @@
         rows: abc.Iterable[registrations.Registration],
         covers: dict[str, int],
     ) -> None:
-        """Take a listing of registrations; see `AcknowledgementTable.registered`."""
+        """See `AcknowledgementTable.apply_registrations`."""
         self._remove_ended(self.acknowledged.apply_registrations(rows, covers))
 
     def apply_instance_list(
         self, rows: abc.Iterable[store.Instance], asked: datetime.timedelta
     ) -> None:
-        """Take the platform's instance list; see `AcknowledgementTable.listed`."""
+        """See `AcknowledgementTable.apply_instance_list`."""
         rows = tuple(rows)
         self._remove_ended(self.acknowledged.apply_instance_list(rows, asked))
         new = self._leaving.apply_instance_list(rows)
@@ -263,7 +275,7 @@
                 self._network.send(number, messages.LeavingNotice(new))
 
     def farewell(self) -> None:
-        """Tell the peers that this process sends nothing to anybody any more."""
+        """Notify the peers that this process sends no more requests."""
         for number in self._links:
             self._network.send(number, messages.Farewell())
 
@@ -277,11 +289,11 @@
             self._send_heartbeat(number)
 
     def _send_work_at(self, servers: frozenset[str]) -> None:
-        """Tell the work at withdrawn servers before the acknowledgement goes out.
+        """Report the work at withdrawn servers before the view is acknowledged.
 
-        The holder orders an engine away when all have acknowledged and nobody has work
-        there. A request that this instance chose the engine for just before it adopted
-        the view would be unknown to the holder if the count came later.
+        The leader reassigns an engine once all instances have acknowledged and none
+        has work there. If the report came after the acknowledgement, the leader would
+        miss a request that was dispatched just before this instance adopted the view.
         """
         delta = self._work.delta_for(servers)
         if delta is not None:
@@ -355,6 +367,7 @@
 
     def _relay_acknowledgements(self, number: int, link: _Link) -> None:
         for message in self._relay.next_messages(number, link.peer):
-            # Introductions that came before travel before.
+            # The heartbeat carries introductions that arrived before these
+            # acknowledgements, so that the receiver also gets them first.
             self._send_heartbeat(number)
             self._network.send(number, message)
--- a/src/pimentolatch/membership/peering.py
+++ b/src/pimentolatch/membership/peering.py
@@ -1,4 +1,4 @@
-"""The node and its links, with the tasks that keep them up with the platform."""
+"""Runs the node and its links, with the tasks that exchange data with the platform."""
 
 import asyncio
 import datetime
@@ -26,8 +26,8 @@
 _log = logbook.Logger("membership")
 _FIRST_PAUSE = datetime.timedelta(seconds=0.5)
 _MAX_PAUSE = datetime.timedelta(seconds=10)
-# While somebody's acknowledgement is missing the registrations are read again: an
-# instance that is cut off from its peers acknowledges there.
+# Interval at which registrations are read again while acknowledgements are missing: an
+# instance that is partitioned from its peers acknowledges in its registration.
 _REREAD_AFTER = datetime.timedelta(seconds=5)
 _DOCUMENT_POLL = datetime.timedelta(seconds=0.05)
 _ROUND = datetime.timedelta(seconds=1)
@@ -38,17 +38,18 @@
 
 
 class Peering:
-    """This instance among its peers; implements `views.Acknowledgements`.
+    """Connects this instance to its peers; implements `views.Acknowledgements`.
 
     Args:
-        own: This process.
+        own: Identity of this process.
         chosen: Settings of the links.
-        objects: The platform.
-        documents: Moves documents between instances.
-        table: The domain views routed by here.
-        spread: Tells peers of the work carried here.
-        leaving_servers: Backend servers that the platform's list shows as leaving.
-        crashes: Completions that have ended engines.
+        objects: The platform's object store.
+        documents: Transfers documents between instances.
+        table: The domain views by which this instance routes.
+        work: Exchanges work reports with the peers.
+        leaving: Backend servers that the platform lists as leaving.
+        crashes: Records of completions during which engines crashed.
+        peer_links: Links to the peers.
     """
 
     def __init__(
@@ -95,7 +96,7 @@
 
     @property
     def node(self) -> node.Node:
-        """The protocol between instances."""
+        """The state machine of the peer protocol."""
         return self._node
 
     @property
@@ -105,14 +106,14 @@
 
     @property
     def suspected(self) -> tuple[str, ...]:
-        """Incarnations that neither this instance nor any peer hears."""
+        """Incarnations from which neither this instance nor a peer gets messages."""
         return tuple(sorted(self._node.detector.suspected()))
 
     def rank(self, duty: str) -> int:
-        """Return this instance's place, from 0, among those that may hold a duty.
+        """Return this instance's rank, from 0, among the candidates for a task.
 
-        Only peers that can be reached and whose links don't flap are counted, so in a
-        cut each side finds holders of its own.
+        Only reachable peers whose links don't flap are counted, so each side of a
+        network partition assigns the task to instances of its own.
         """
         near = self._node.detector.steady(self._own.failure_domain)
         names = {incarnations.instance_of(name) for name in near}
@@ -132,7 +133,7 @@
         return self._node.acknowledged.missing(failure_domain, number)
 
     async def start(self) -> None:
-        """Listen and begin; raises `OSError` if the address can't be had."""
+        """Listen and start tasks; raises `OSError` if the address is unavailable."""
         await self._links.start(self._node)
         for work in (
             self._beat,
@@ -146,7 +147,7 @@
             self._tasks.append(asyncio.create_task(kept))
 
     async def stop(self) -> None:
-        """Say farewell and close the links; called when no request is left."""
+        """Send farewells and close the links; called when no request is in flight."""
         self._node.farewell()
         await self._clock.sleep(_FAREWELL_TIME)
         for task in self._tasks:
@@ -157,8 +158,9 @@
     async def _beat(self) -> None:
         interval = datetime.timedelta(seconds=self._settings.heartbeat_interval_s)
         while True:
-            # Headers and acknowledgements make most of a heartbeat's bytes. With many
-            # links there are fewer, still three within the time for suspicion.
+            # TCP headers and acknowledgements make up most of a heartbeat's bytes, so
+            # with many links heartbeats are sent less often. The limit still leaves
+            # three within the suspicion time-out.
             stretch = max(1.0, len(self._node.peers) / _LINKS_AT_FULL_RATE)
             await self._clock.sleep(interval * min(stretch, _MAX_STRETCH))
             self._node.tick()
@@ -178,10 +180,10 @@
             await self._wait_for_next_read()
 
     async def _wait_for_next_read(self) -> None:
-        """Wait for this instance's turn among those of its failure domain.
+        """Wait until it is this instance's turn in its failure domain to read the list.
 
-        While acknowledgements are missing it reads more often: the list may show that
-        the process that is waited for has ended.
+        While acknowledgements are missing the wait is shorter: the list may show that
+        a process whose acknowledgement is missing has terminated.
         """
         near = len(self._node.detector.steady(self._own.failure_domain)) + 1
         interval = datetime.timedelta(seconds=self._settings.list_interval_s)
@@ -193,7 +195,7 @@
             now = self._clock.monotonic()
 
     async def _join(self) -> None:
-        """Register and then read the views; the order is what makes it safe."""
+        """Register and then read the views, in this order; see `acknowledgements`."""
         pauses = backoff.Backoff(_FIRST_PAUSE, _MAX_PAUSE, self._chance)
         while not await self._registrations.register():
             await self._clock.sleep(pauses.next_pause())
@@ -205,18 +207,18 @@
                 continue
             found = [view_table.view_from_object(row) for row in listing.objects]
             self._node.adopt_views(found, complete=True)
-            _log.info("views read", views=len(found))
+            _log.info("domain views read from the store", views=len(found))
         await self._acknowledge_in_store()
 
     async def _acknowledge_in_store(self) -> None:
-        """Acknowledge through the store while no peer of the own domain is heard."""
+        """Acknowledge in the store while no peer of the own domain is reachable."""
         written: dict[str, int] = {}
         while True:
             await self._clock.sleep(_REREAD_AFTER)
             alone = not self._node.detector.reachable(self._own.failure_domain)
             numbers = self._table.numbers
-            # A single instance in its failure domain is always alone; it writes only
-            # when a view changed.
+            # The only instance of a failure domain never has a reachable peer, so it
+            # writes only after a view changed.
             if (
                 alone
                 and numbers != written
--- a/src/pimentolatch/membership/registrations.py
+++ b/src/pimentolatch/membership/registrations.py
@@ -1,8 +1,9 @@
-"""Registrations in the store: which process now stands behind each instance's name.
+"""Registrations in the store: the current process of each instance.
 
-One object for each instance, written once at each start, so their number is that of
-the instances and nobody has to clean up. A process that takes over its instance's name
-at another address keeps its predecessor in the object, since that one may still run.
+There is one object for each instance, written at each start, so the number of objects
+is bounded by that of the instances and no cleanup is needed. A process that starts at
+another address than its predecessor keeps that one in the object, since it may still
+run.
 """
 
 import dataclasses
@@ -20,13 +21,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Registration:
-    """A process and, if it could tell no peer, the views that it acknowledges."""
+    """A process and, if it can reach no peer, the views that it acknowledges."""
 
     introduction: messages.Introduction
     views: tuple[messages.ViewNumber, ...] = ()
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Return the value that is stored."""
+        """Return the value to store."""
         return dataclasses.asdict(self.introduction) | {
             "views": {view.failure_domain: view.number for view in self.views}
         }
@@ -42,7 +43,7 @@
 
 
 class Registrations:
-    """Writes this process's registration and reads everybody's."""
+    """Writes the registration of this process and reads those of all."""
 
     def __init__(self, objects: store.Store, own: incarnations.Identity) -> None:
         self._store = objects
@@ -50,11 +51,11 @@
         self._introduction = messages.Introduction(own.incarnation, own.host, own.port)
 
     async def register(self) -> bool:
-        """Register this process; False if that is not certain yet."""
+        """Register this process; False if the write failed or may have failed."""
         return await self._write(Registration(self._introduction))
 
     async def acknowledge(self, numbers: dict[str, int]) -> bool:
-        """Write the views that this process routes by; False if not certain yet."""
+        """Write the views by which this process routes; False as for `register`."""
         views = tuple(messages.ViewNumber(*item) for item in sorted(numbers.items()))
         return await self._write(Registration(self._introduction, views))
 
--- a/src/pimentolatch/membership/sender_counts.py
+++ b/src/pimentolatch/membership/sender_counts.py
@@ -1,4 +1,4 @@
-"""Requests in flight at a backend server, over all instances that may send there."""
+"""Requests in flight at a backend server, summed over all instances."""
 
 import typing
 from collections import abc
@@ -10,19 +10,20 @@
 
 
 class SenderCounts:
-    """Adds up what this instance has at a server and what its peers last told.
+    """Adds up this instance's requests at a server and those last reported by peers.
 
-    The table that routing uses drops a peer that falls silent, so that a dead one does
-    not keep its engines looking busy. For a drain that would be wrong: a peer that is
-    cut off after its acknowledgement may still read a long answer from the engine,
-    and the order would cut it. So here a peer's last word stands until the peer is
-    proved ended or a new link brings its next word. A peer tells its work at withdrawn
-    servers before it acknowledges, so its last word is never older than that.
+    The table for routing drops an unresponsive peer, so that a crashed one does not
+    keep its engines looking busy. For a drain that would be wrong: a peer that is
+    partitioned after its acknowledgement may still receive a long response from the
+    engine, which the order would cut. So here a peer's last report counts until the
+    peer is proved to have terminated or sends a report on a new link. A peer reports
+    its work at withdrawn servers before it acknowledges, so its last report is never
+    older than its acknowledgement.
 
     Args:
-        own: Returns this instance's requests at a server.
-        known: Returns the incarnations that have not been proved ended.
-        routing: The table that routing uses.
+        own: Returns this instance's number of requests at a server.
+        known: Returns the incarnations that are not proved to have terminated.
+        routing: The table that is used for routing.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
         self._routing.update(peer, work)
 
     def forget(self, peer: str) -> None:
-        """Drop a silent peer for routing, but not for the drain."""
+        """Drop an unresponsive peer for routing, but keep it for drains."""
         self._routing.forget(peer)
 
     def in_flight(self, server: str) -> int | None:
--- a/src/pimentolatch/membership/topology.py
+++ b/src/pimentolatch/membership/topology.py
@@ -1,12 +1,11 @@
-"""Chooses whom to link to: all of the own failure domain, few of each other one.
+"""Selects peers: a full mesh in the own failure domain, few links to each other domain.
 
-Weighed: a bounded number of links with gossip against a full mesh inside the failure
-domain. A failure domain of the size designed for has 41 instances. With a link to each
-of the 40 others, every acknowledgement, heartbeat and share of work is one hop away and
-needs no table of what others said; an idle heartbeat is a few tens of bytes. Gossip
-would save links and pay with delay and with copies of everybody's state. Across failure
-domains only numbers, views, documents and acknowledgements travel, and two links for
-each pair of failure domains carry them.
+At the design size a failure domain has 41 instances. With a link to each of the 40
+others, each acknowledgement, heartbeat and work report needs one hop and no table of
+relayed state; an idle heartbeat is a few tens of bytes. Gossip over fewer links would
+add delay and copies of each instance's state. Across failure domains only numbers,
+views, documents and acknowledgements are sent, for which two links for each pair of
+failure domains suffice.
 """
 
 import hashlib
@@ -21,10 +20,10 @@
 
 
 def rendezvous_order(names: abc.Iterable[str], key: str) -> list[str]:
-    """Return names in an order that all instances agree on and that varies by key.
+    """Return names in rendezvous hashing order, which is the same at all instances.
 
-    Rendezvous hashing: when a name comes or goes, the others keep their order, so a
-    duty moves only if its holder came or went.
+    When a name is added or removed, the others keep their order. So a task moves only
+    if the instance that performs it is added or removed.
     """
 
     def weight(name: str) -> bytes:
@@ -38,13 +37,13 @@
     listed: abc.Iterable[store.Instance],
     failed: abc.Set[str] = frozenset(),
 ) -> frozenset[str]:
-    """Return the names of the instances this one keeps a link to.
+    """Return the names of the instances to which this one keeps a link.
 
     Args:
-        own: This process.
+        own: Identity of this process.
         listed: The platform's instance list.
-        failed: Instances that lately could not be reached; others take their place
-            in links across failure domains.
+        failed: Instances that recently could not be reached; others replace them in
+            links across failure domains.
     """
     entries = [row for row in listed if row.kind == "entry"]
     by_domain: dict[str, list[str]] = {}
@@ -67,8 +66,8 @@
     names: list[str],
     failed: abc.Set[str],
 ) -> set[str]:
-    # Both failure domains of a pair compute the same pairs, so each link has two ends
-    # that mean to keep it, and either may dial.
+    # Both failure domains compute the same pairs of instances, so both ends of a link
+    # keep it open, and either may dial.
     first, second = sorted((own.failure_domain, other))
     near = rendezvous_order(here - (failed - {own.instance}), f"{first}|{second}")
     far = rendezvous_order(set(names) - failed, f"{first}|{second}")
--- a/src/pimentolatch/membership/view_exchange.py
+++ b/src/pimentolatch/membership/view_exchange.py
@@ -1,4 +1,4 @@
-"""Asks peers for domain views, hands them on, and says what is acknowledged here."""
+"""Exchanges domain views with peers and derives this instance's acknowledgements."""
 
 import datetime
 import typing
@@ -25,10 +25,15 @@
 
 
 class ViewExchange:
-    """The domain views of one instance among its peers.
+    """Requests views from peers, sends views to them and acknowledges own ones.
 
     Args:
-        changed: Sends a heartbeat on every link.
+        own: Identity of this process.
+        network: Sends messages.
+        table: The domain views by which this instance routes.
+        work: Work of this instance at backend servers.
+        acknowledged: Acknowledgements of all instances.
+        send_heartbeats: Sends a heartbeat on every link.
     """
 
     def __init__(
@@ -61,7 +66,11 @@
     def adopt(
         self, found: abc.Iterable[views.DomainView], *, complete: bool
     ) -> frozenset[str] | None:
-        """Adopt later views; returns the servers withdrawn, None if nothing is new."""
+        """Adopt newer views.
+
+        Returns:
+            The servers that the adopted views withdraw; None if nothing changed.
+        """
         adopted = [view for view in found if self._table.adopt(view)]
         if complete:
             self._table.set_complete()
@@ -70,10 +79,11 @@
         return frozenset().union(*(view.withdrawn for view in adopted))
 
     def acknowledge(self) -> None:
-        """Work out again what this instance acknowledges.
+        """Update the view numbers that this instance acknowledges.
 
-        Counts of work don't travel across failure domains. So a view of another one is
-        acknowledged only when no work is left here at what it withdraws.
+        Work reports are not sent across failure domains. So a view of another domain is
+        acknowledged only when this instance has no work left at the servers that the
+        view withdraws.
         """
         if not self._table.complete:
             return
@@ -89,32 +99,32 @@
     def receive_offer(
         self, link: int, numbers: tuple[messages.ViewNumber, ...]
     ) -> None:
-        """Take note of the views that a peer routes by, and ask for later ones."""
+        """Record the views by which a peer routes, and request newer ones."""
         offers = self._offers.setdefault(link, {})
         offers |= {view.failure_domain: view.number for view in numbers}
         self._request(link)
 
     def retry_requests(self) -> None:
-        """Ask for views that were offered and have not come; called now and then.
+        """Request offered views that were not received; called at each heartbeat.
 
-        A peer offers a view once. If the answer is lost with its link, or if a later
-        view was offered while an earlier one was on its way, nobody offers it again.
+        A peer offers a view once. If the response is lost with its link, or a newer
+        view is offered while an older one is in transit, no peer offers it again.
         """
         for link in list(self._offers):
             self._request(link)
 
     def closed(self, link: int) -> None:
-        """Take note that a link is gone."""
+        """Drop the offers of a closed link."""
         self._offers.pop(link, None)
 
     def send_views(
         self, link: int, peer: messages.Hello, wanted: messages.WantViews
     ) -> None:
-        """Hand views to a peer, and name the peer to all others first.
+        """Send views to a peer, after introducing the peer to all others.
 
-        The peer may start to route by these views. If nobody but this instance knew
-        of it, a later view could be taken for acknowledged by all while the peer
-        still sends to an engine that it withdraws.
+        The peer may start to route by these views. If only this instance knew of it, a
+        later view could seem acknowledged by all while the peer still dispatches to an
+        engine that the view withdraws.
         """
         if not self._table.complete:
             return
@@ -135,7 +145,7 @@
             if number > self._table.number(name)
         ]
         if not self._table.complete:
-            # Until all views are here, one peer at a time is asked for all of them.
+            # Until all views are known, one peer at a time is asked for all of them.
             behind = [""]
         due = [
             name
--- a/src/pimentolatch/membership/view_table.py
+++ b/src/pimentolatch/membership/view_table.py
@@ -1,4 +1,4 @@
-"""The domain views that this instance routes by."""
+"""The domain views by which this instance routes."""
 
 import json
 import typing
@@ -12,13 +12,13 @@
 
 
 class ViewTable:
-    """Views of all failure domains; each only ever gets a higher number.
+    """The newest known view of each failure domain.
 
     Args:
-        adopted: Called with each view as it is adopted, before anything else can
-            see its number: the number is the acknowledgement, so the withdrawal has
-            to be in force first.
-        completed: Called once, when the views of all failure domains are here.
+        adopted: Called with each adopted view before its number becomes visible. The
+            number serves as the acknowledgement, so the withdrawal must take effect
+            first.
+        completed: Called once, when the views of all failure domains are known.
     """
 
     def __init__(
@@ -33,7 +33,10 @@
 
     @property
     def complete(self) -> bool:
-        """Whether a failure domain without a view here has none in the store."""
+        """Whether the views of all failure domains are known.
+
+        If so, a failure domain without a view here has none in the store.
+        """
         return self._complete
 
     @property
@@ -42,15 +45,15 @@
         return {name: view.number for name, view in self._views.items()}
 
     def number(self, failure_domain: str) -> int:
-        """Return the number of a failure domain's view, 0 for none."""
+        """Return the number of a failure domain's adopted view, 0 for none."""
         view = self._views.get(failure_domain)
         return 0 if view is None else view.number
 
     def adopt(self, view: views.DomainView) -> bool:
-        """Route by a view unless a later one is known.
+        """Adopt a view; False if the known one is as new or newer.
 
-        A peer that was frozen hands out old views when it wakes. Adopting one would
-        send work to an engine whose drain others believe to be over.
+        A peer that resumes after a pause may send outdated views. If one was adopted,
+        this instance would dispatch to an engine whose drain others take for complete.
         """
         if view.number <= self.number(view.failure_domain):
             return False
@@ -59,7 +62,7 @@
         return True
 
     def set_complete(self) -> None:
-        """Take note that all views of the store are here."""
+        """Record that all views in the store are known."""
         if not self._complete:
             self._complete = True
             self._completed()
@@ -67,20 +70,20 @@
     def selected(
         self, failure_domains: abc.Collection[str]
     ) -> tuple[views.DomainView, ...]:
-        """Return the views of some failure domains; of all, if none is named."""
+        """Return the views of the named failure domains, of all if none is named."""
         if not failure_domains:
             return tuple(self._views.values())
         return tuple(v for n, v in self._views.items() if n in failure_domains)
 
 
 def stored_view(view: views.DomainView) -> messages.StoredView:
-    """Return the message that hands a view to a peer."""
+    """Return the message form of a view."""
     value = json.dumps(view.to_json(), separators=(",", ":"))
     return messages.StoredView(view.failure_domain, view.number, value)
 
 
 def view_from_message(stored: messages.StoredView) -> views.DomainView | None:
-    """Return the view that a peer handed over, or None if it can't be read."""
+    """Return the view in a peer's message, or None if it is malformed."""
     try:
         return views.DomainView.from_json(
             stored.failure_domain, stored.number, json.loads(stored.value)
@@ -90,5 +93,5 @@
 
 
 def view_from_object(row: store.Found) -> views.DomainView:
-    """Return the view that an object of the store holds."""
+    """Return the view in an object of the store."""
     return views.DomainView.from_json(row.name, row.version, row.value)
--- a/src/pimentolatch/membership/views.py
+++ b/src/pimentolatch/membership/views.py
@@ -1,10 +1,10 @@
 """Domain views: which backend servers of a failure domain take no new work.
 
-The holder of a failure domain's duty lease writes the domain's view, one object in the
-platform's store, by conditional update. The object's version is the view's number, so
-numbers never repeat and a later decision always has the higher one. Instances take
-views from the store or from peers, adopt only higher numbers, and acknowledge to the
-duty holder once they send nothing new to what the view withdraws.
+The leader of a failure domain, which holds the domain's lease, writes the domain's view
+as one object in the platform's store by conditional update. The object's version is the
+view's number, so numbers never repeat and a later decision always has a higher number.
+Instances get views from the store or from peers, adopt only higher numbers, and
+acknowledge a view once they dispatch nothing more to the servers that it withdraws.
 """
 
 import dataclasses
@@ -17,12 +17,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DomainView:
-    """What all instances have to know of one failure domain's backend servers.
+    """State of one failure domain's backend servers that all instances route by.
 
     Attributes:
         number: Version of the stored object; 0 before the first write.
         withdrawn: Backend servers that take no new work.
-        roles: Engines whose role differs from the document's, with the role.
+        roles: Engines whose role differs from the one in the document, each with its
+            role.
     """
 
     failure_domain: str
@@ -31,7 +32,7 @@
     roles: tuple[tuple[str, str], ...] = ()
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Return the value that is stored; the number is the object's version."""
+        """Return the value to store; the object's version is the view's number."""
         return {"withdrawn": sorted(self.withdrawn), "roles": dict(self.roles)}
 
     @classmethod
@@ -48,16 +49,16 @@
 
 
 class Acknowledgements(typing.Protocol):
-    """What the duty holder needs to know before it orders a withdrawn engine."""
+    """Tells the leader when all instances stopped dispatching to withdrawn engines."""
 
     def announce(self, view: DomainView) -> None:
-        """Hand a newly written view to this instance and its peers."""
+        """Pass a newly written view to this instance and its peers."""
 
     def missing(self, failure_domain: str, number: int) -> frozenset[str]:
         """Return the instances that may still route by an older view.
 
-        An instance counts until it has acknowledged `number` or a higher one, or the
-        platform's list no longer holds it. Instances that only a peer has heard of
-        count too: a peer that hands its view to a starting instance names that
-        instance in its own acknowledgements.
+        An instance is included until it has acknowledged `number` or a higher one, or
+        is proved to have terminated. Instances that only a peer knows are included
+        too: a peer that sends its views to a starting instance introduces that
+        instance before its own next acknowledgement.
         """
--- a/src/pimentolatch/membership/work_exchange.py
+++ b/src/pimentolatch/membership/work_exchange.py
@@ -1,8 +1,8 @@
-"""Tells peers of the work carried here, within a fixed number of bytes a second.
+"""Exchanges work reports with peers, within a fixed number of bytes a second.
 
-All peers of a failure domain get the same entries, and links lose nothing while they
-last, so only entries that changed have to go out, the largest changes first. The
-receiving side puts them together again.
+All peers of a failure domain get the same entries, and an open link loses no messages.
+So only changed entries are sent, the largest changes first, and the receiver merges
+them into the sender's whole report.
 """
 
 import datetime
@@ -14,38 +14,38 @@
 
 __all__ = ["PeerWorkTable", "WorkExchange"]
 
-# A sixth of the 18 KB/s that control may take, sent on all links together; as much
-# comes in. Heartbeats with their headers take most of the rest.
+# Limit for all links together: a sixth of the 18 KB/s that control traffic may use. As
+# much is received, and heartbeats with their headers use most of the rest.
 _BYTES_PER_SECOND = 3000
-# An entry as encoded, with a name of some fifteen bytes.
+# Size of an encoded entry with a name of about 15 bytes.
 _ENTRY_BYTES = 26
 _MIN_ENTRIES = 3
-# Of the entries of one delta, so many may be callers'.
+# A third of a delta's entries is reserved for callers.
 _CALLERS_DIVISOR = 3
 _MAX_ENTRIES = 64
 _SNAPSHOT_ENTRIES = 500
-# An entry that is off by less than this share is left for later.
+# Entries that changed by no more than this share are not sent.
 _CHANGE_SHARE = 0.05
-# The planner of roles takes a sample every five seconds; fresher ones tell no more.
+# The role planner samples demand every five seconds, so more updates gain nothing.
 _DEMAND_INTERVAL = datetime.timedelta(seconds=5)
 
 
 class PeerWorkTable(typing.Protocol):
-    """Holds the shares of peers for decisions."""
+    """Holds the work reports of peers."""
 
     def update(self, peer: str, work: work_reports.WorkReport) -> None:
-        """Take a peer's whole work as it now stands."""
+        """Replace the work report of a peer."""
 
     def forget(self, peer: str) -> None:
-        """Drop a peer that can't be heard."""
+        """Drop the report of a peer that can't be reached."""
 
 
 class WorkExchange:
-    """Selects what to send and keeps what came in.
+    """Selects the entries to send, and merges those received from peers.
 
     Args:
-        source: Returns the work of this instance.
-        table: Takes the work of the peers.
+        source: Returns the work report of this instance.
+        table: Receives the work reports of the peers.
         interval: Time between two deltas.
     """
 
@@ -67,10 +67,11 @@
         self._peers: dict[str, _PeerWork] = {}
 
     def snapshot(self) -> tuple[messages.WorkDelta, ...]:
-        """Return what a new link has to carry before its first delta.
+        """Return the messages to send on a new link before its first delta.
 
-        Never nothing: a peer keeps the last word of a broken link, and without an
-        empty one it would go on counting work that ended while the link was down.
+        There is at least one, if need be an empty one. A peer keeps the last report of
+        a broken link, and without a new one it would go on counting work that ended
+        while the link was down.
         """
         servers = tuple(self._sent_servers.values())
         callers = tuple(self._sent_callers.values())
@@ -84,7 +85,11 @@
         )
 
     def next_delta(self, links: int) -> messages.WorkDelta | None:
-        """Return the largest changes that `links` links may carry, or None."""
+        """Return the largest changes that fit the byte limit, None without changes.
+
+        Args:
+            links: Number of links on which the delta is sent.
+        """
         if links == 0:
             return None
         budget = _BYTES_PER_SECOND * self._interval.total_seconds() / links
@@ -102,7 +107,7 @@
         return delta
 
     def delta_for(self, servers: frozenset[str]) -> messages.WorkDelta | None:
-        """Return the work at these servers, however small the change."""
+        """Return the work at some servers, also where it changed little or not."""
         if not servers:
             return None
         work = tuple(s for s in self._source().servers if s.server in servers)
@@ -113,13 +118,13 @@
         return delta
 
     def has_work_at(self, servers: frozenset[str]) -> bool:
-        """Tell whether this instance has work at one of these servers."""
+        """Return whether this instance has work at any of some servers."""
         if not servers:
             return False
         return any(s.streams and s.server in servers for s in self._source().servers)
 
     def receive(self, peer: str, delta: messages.WorkDelta) -> None:
-        """Add a peer's delta to what is known of it."""
+        """Merge a peer's delta into its report."""
         work = self._peers.setdefault(peer, _PeerWork({}, {}))
         _apply(delta, work.servers, work.callers)
         report = work_reports.WorkReport(
@@ -138,7 +143,7 @@
         return current.totals
 
     def forget(self, peer: str) -> None:
-        """Drop a peer whose link is gone; a new link starts with a snapshot."""
+        """Drop a peer whose link is closed; a new link starts with a snapshot."""
         if self._peers.pop(peer, None) is not None:
             self._table.forget(peer)
 
