--- a/src/pimentolatch/protocol/__init__.py
+++ b/src/pimentolatch/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between the system's own instances and their codec, and nothing else."""
+"""Messages between the instances of the system, and their encoding."""
--- a/src/pimentolatch/protocol/beacons.py
+++ b/src/pimentolatch/protocol/beacons.py
@@ -1,9 +1,9 @@
-"""Datagrams in which instances tell each other what they know and have under way.
+"""Datagrams by which instances gossip their state and outstanding work.
 
-A count of outstanding work is worth something for a fraction of a second, so a lost one
-is not sent again: the next is on its way. That makes datagrams the better carrier than
-the links between instances of the other protocol, whose connections would have to be
-opened, probed and given up at every partition.
+A count of outstanding work is useful for a fraction of a second, so a lost one is not
+sent again: the next beacon replaces it. Datagrams therefore suit it better than the TCP
+links of `messages`, which would have to be opened, probed and closed at every network
+partition.
 """
 
 import dataclasses
@@ -37,12 +37,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """Work at one engine, of the sender or of all instances.
+    """Load of one engine that the sender, or all instances of its domain, caused.
 
     Attributes:
-        reading: Prompt tokens that are not read yet, by urgency.
-        writing: Streams that run.
-        held: Tokens that these streams keep in memory.
+        prefill_tokens: Prompt tokens that are not prefilled yet, by urgency.
+        streams: Number of running streams.
+        kv_tokens: Tokens that these streams have in the KV cache.
     """
 
     engine: servers.Incarnation
@@ -53,10 +53,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CachedPrefix:
-    """A part of prompts that an engine keeps in its prefix cache.
+    """A part of prompts that an engine has in its prefix cache.
 
     Attributes:
         key: `prompts.part_key` of the part's name.
+        tokens: Length of the part.
     """
 
     engine: servers.Incarnation
@@ -66,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TotalsChunk:
-    """Which of the engines the totals of a beacon cover: one part of them by a hash."""
+    """The engines that the totals of a beacon cover, as one of `count` hash buckets."""
 
     number: int = 0
     count: int = 1
@@ -77,7 +78,7 @@
     """An engine that is changing its stage.
 
     Attributes:
-        left_ms: Until the change is over at the latest.
+        remaining_ms: Time until the change has ended at the latest.
     """
 
     engine: servers.Incarnation
@@ -87,9 +88,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """What clients ask of a service through the sender, in tokens a second.
+    """Demand of clients on a service at the sender, in tokens a second.
 
     Attributes:
+        prefill: Prompt tokens to prefill.
+        decode: Tokens to decode.
         prefill_rate: Prompt tokens a second that one engine prefills, as learned.
     """
 
@@ -101,7 +104,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """An instance that the sender knows of; its domain is empty if not known."""
+    """An instance that the sender knows; its domain is empty if not known."""
 
     host: str
     failure_domain: str
@@ -109,10 +112,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reader:
-    """An instance of the sender's domain that would read the platform's store.
+    """An instance of the sender's domain that can watch the platform's store.
 
     Attributes:
-        age_ms: How long ago it said so.
+        age_ms: Time since it reported so.
     """
 
     instance: str
@@ -121,14 +124,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashReport:
-    """A server's connection ended while it ran a request.
+    """A server's connection closed while the server ran a request.
 
     Attributes:
         digest: `digests.request_digest` of the request.
-        cleared: The server lives on, or the request has run to its end since.
-        age_ms: How long ago it ended at the most.
-        lasted_ms: How long the server had had the request by then; 0 if not known.
-        server_lives: The server has answered since, so that it has not ended.
+        cleared: Whether the server proved alive or the request has completed since.
+        age_ms: Maximum time since the connection closed.
+        ran_for_ms: Time for which the server had run the request; 0 if not known.
+        server_alive: Whether the server has responded since, so that it did not crash.
     """
 
     digest: int
@@ -141,12 +144,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Leader:
-    """The instance that does the duties of one holder, or did so last.
+    """The current or last leader.
 
     Attributes:
-        fence: Fencing token of its tenure; a higher one is a later holder.
-        released: It sends nothing more in that tenure.
-        age_ms: How long ago it said so at the most.
+        fence: Fencing token of its leadership; a later leader has a higher one.
+        released: Whether it has released the lease and sends no more orders under it.
+        age_ms: Maximum time since it announced this.
     """
 
     host: str
@@ -157,24 +160,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Beacon:
-    """What one instance tells its peers several times a second.
+    """State that an instance sends to its peers several times a second.
 
     Attributes:
         instance: Name of the sender.
-        failure_domain: Where the sender stands.
-        life: Differs for each start of the sender.
-        configuration: Version that the sender has in force.
+        failure_domain: Failure domain of the sender.
+        incarnation: Unique for each start of the sender.
+        configuration: Version of the configuration in force at the sender.
         servers: Revision of the store up to which the sender knows the servers.
-        stopping: The sender is about to end.
-        readers: Who would read the store for the sender's domain, first by name.
-        members: Some of the instances that the sender knows of.
-        loads: Work of the sender.
-        totals: Work of all instances of the sender's domain, for those of other ones.
-        piece: The engines that the totals cover; the others among these are idle.
-        cached: Parts that engines keep, as far as the sender has just learned.
-        changing: Engines that are changing their stage, as the sender has heard.
-        suspicions: Requests under which servers have ended.
-        holder: Who does the duties of one holder, as the sender has heard.
+        stopping: Whether the sender is shutting down.
+        readers: Candidates to watch the store for the sender's domain, first by name.
+        members: Some of the instances that the sender knows.
+        loads: Engine loads that the sender caused.
+        cached: Parts that the sender just learned to be in engines' prefix caches.
+        demands: Demand of the sender's clients, by service.
+        totals: Engine loads that all instances of the sender's domain caused, for
+            instances of other domains.
+        stage_changes: Engines that are changing their stage, as known to the sender.
+        chunk: The engines that the totals cover; those of them not listed are idle.
+        crash_reports: Requests during which servers crashed.
+        leader: The newest leader that the sender knows.
     """
 
     instance: str
@@ -197,7 +202,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Malformed:
-    """A datagram that is no beacon of this version."""
+    """A datagram that is not a beacon of this version."""
 
     reason: str
 
@@ -239,7 +244,7 @@
 
 
 class _EngineNumbering:
-    """Numbers the engines of a beacon, most of which it names more than once.
+    """Numbers the engines of a beacon, since it refers to most of them repeatedly.
 
     Attributes:
         numbered: The engines in the order of their numbers.
@@ -279,11 +284,11 @@
 
 
 def decode(datagram: bytes) -> Beacon | Malformed:
-    """Return the beacon of a datagram; anybody may have sent it."""
+    """Return the beacon of a datagram, which is untrusted."""
     try:
         rows = cbor2.loads(datagram)
         if not isinstance(rows, list) or len(rows) != _FIELDS or rows[0] != _VERSION:
-            return Malformed("not a beacon of this version")
+            return Malformed("not a beacon of this protocol version")
         engines = [_engine(row) for row in rows[9]]
         return Beacon(
             fields.text(rows[1]),
@@ -360,5 +365,5 @@
 def _chunk(row: typing.Any) -> TotalsChunk:
     chunk = TotalsChunk(*fields.counts(row))
     if not chunk.number < chunk.count:
-        raise ValueError(f"not a piece of several: {row!r}")
+        raise ValueError(f"chunk number must be below the count: {row!r}")
     return chunk
--- a/src/pimentolatch/protocol/codec.py
+++ b/src/pimentolatch/protocol/codec.py
@@ -1,8 +1,8 @@
-"""Turns messages into CBOR and back, and checks everything that comes in.
+"""Encodes messages as CBOR, and decodes and validates received frames.
 
 A frame is an array of messages; a message is its type's number and then its fields in
-order. Names of fields are not sent: at 40 links and a heartbeat a second they would be
-most of the bytes.
+order. Field names are not sent: with 40 links and a heartbeat a second they would make
+up most of the bytes.
 """
 
 import dataclasses
@@ -17,8 +17,8 @@
 __all__ = ["FRAME_LIMIT_BYTES", "PROTOCOL_VERSION", "Malformed", "decode", "encode"]
 
 PROTOCOL_VERSION = 1
-# Above the largest part of a document after compression, and small enough that 41
-# peers that all send their largest frame at once stay far below 128 MB.
+# The limit exceeds the largest compressed part of a document, and is so low that 41
+# peers that all send a frame of this size at once stay far below 128 MB.
 FRAME_LIMIT_BYTES = 512_000
 _TEXT_LIMIT = 400_000
 _SEQUENCE_LIMIT = 20_000
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Malformed:
-    """A frame that is not one of this protocol."""
+    """A frame that does not follow the protocol."""
 
     reason: str
 
@@ -59,15 +59,16 @@
 
 
 def encode(batch: abc.Iterable[messages.Message]) -> bytes:
-    """Return the frame that holds the messages, in order."""
+    """Return a frame with the messages in order."""
     return cbor2.dumps([[_NUMBERS[type(item)], *_fields(item)] for item in batch])
 
 
 def decode(frame: bytes) -> tuple[messages.Message, ...] | Malformed:
-    """Return the messages of a frame, or what is wrong with it."""
+    """Return the messages of a frame, or the reason why it is malformed."""
     if len(frame) > FRAME_LIMIT_BYTES:
-        return Malformed(f"{len(frame)} bytes")
-    # The decoder meets hostile nesting and lengths before any check of ours.
+        return Malformed(f"frame has {len(frame)} bytes, over the limit")
+    # cbor2 parses the untrusted frame before any check here, so hostile nesting and
+    # lengths can raise any of these errors.
     try:
         raw = cbor2.loads(frame)
         return tuple(_message(item) for item in _array(raw))
@@ -107,7 +108,7 @@
 def _decode_record(kind: type, raw: list[typing.Any]) -> typing.Any:
     decoders = _field_decoders(kind)
     if len(raw) != len(decoders):
-        raise _FieldError(f"{kind.__name__}: {len(raw)} fields")
+        raise _FieldError(f"{kind.__name__}: unexpected number of fields: {len(raw)}")
     values = []
     for (name, decoder), value in zip(decoders, raw, strict=True):
         try:
@@ -119,19 +120,19 @@
 
 def _array(raw: typing.Any) -> list[typing.Any]:
     if not isinstance(raw, list) or len(raw) > _SEQUENCE_LIMIT:
-        raise _FieldError("must be a bounded array")
+        raise _FieldError("must be an array within the length limit")
     return raw
 
 
 def _integer(raw: typing.Any) -> int:
     if type(raw) is not int or not 0 <= raw < _INTEGER_LIMIT:
-        raise _FieldError("must be a number from 0")
+        raise _FieldError("must be an integer from 0 and within the limit")
     return raw
 
 
 def _number(raw: typing.Any) -> float:
     if type(raw) not in (int, float) or not 0 <= raw < _INTEGER_LIMIT:
-        raise _FieldError("must be a number from 0")
+        raise _FieldError("must be a number from 0 and within the limit")
     return float(raw)
 
 
@@ -143,7 +144,7 @@
 
 def _text(raw: typing.Any) -> str:
     if type(raw) is not str or len(raw) > _TEXT_LIMIT:
-        raise _FieldError("must be bounded text")
+        raise _FieldError("must be text within the length limit")
     return raw
 
 
--- a/src/pimentolatch/protocol/fields.py
+++ b/src/pimentolatch/protocol/fields.py
@@ -1,4 +1,4 @@
-"""Checks of single fields of datagrams, which anybody may have sent."""
+"""Validates single fields of datagrams, which are untrusted."""
 
 import typing
 from collections import abc
@@ -7,9 +7,9 @@
 
 __all__ = ["DECODE_ERRORS", "count", "counts", "text"]
 
-# No count of ours comes near; above it sums of counts would no longer be exact.
+# Far above all real counts. Sums of larger counts would no longer be exact.
 _MAX_COUNT = 2**53
-# What decoding raises for what is not a message of ours.
+# Exceptions that decoding an untrusted datagram can raise.
 DECODE_ERRORS = (
     cbor2.CBORError,
     ValueError,
@@ -21,22 +21,22 @@
 
 
 def text(value: typing.Any) -> str:
-    """Return a text; raises `ValueError` for anything else."""
+    """Return a string; raises `ValueError` for anything else."""
     if not isinstance(value, str):
-        raise ValueError(f"not a text: {value!r:.60}")
+        raise ValueError(f"must be a string: {value!r:.60}")
     return value
 
 
 def count(value: typing.Any) -> int:
-    """Return a whole number from 0 on; raises `ValueError` for anything else."""
+    """Return an integer from 0; raises `ValueError` for anything else."""
     if not isinstance(value, int) or not 0 <= value < _MAX_COUNT:
-        raise ValueError(f"not a count: {value!r:.60}")
+        raise ValueError(f"must be an integer from 0: {value!r:.60}")
     return value
 
 
 def counts(values: abc.Collection[typing.Any]) -> tuple[int, ...]:
-    """Return whole numbers from 0 on; raises `ValueError` for anything else."""
+    """Return integers from 0; raises `ValueError` for anything else."""
     for value in values:
         if not isinstance(value, int) or not 0 <= value < _MAX_COUNT:
-            raise ValueError(f"not a count: {value!r:.60}")
+            raise ValueError(f"must be an integer from 0: {value!r:.60}")
     return tuple(values)
--- a/src/pimentolatch/protocol/messages.py
+++ b/src/pimentolatch/protocol/messages.py
@@ -1,8 +1,8 @@
 """Messages between instances.
 
-Links are TCP connections, so messages on one link arrive in order or the link ends.
-Therefore a message may carry only what changed since the last one on that link, and a
-new link starts with everything.
+Links are TCP connections, so messages on one link arrive in order or the link closes.
+Therefore a message may hold only what changed since the last one on its link, and a new
+link starts with the whole state.
 """
 
 import dataclasses
@@ -38,11 +38,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hello:
-    """First message of each side; an unknown `version` ends the link.
+    """First message of each side; an unknown `version` closes the link.
 
     Attributes:
         incarnation: The sending process, unique for each start.
-        host: IP number the sender listens at for peers.
+        host: IP address at which the sender listens for peers.
     """
 
     version: int
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Introduction:
-    """An incarnation that may route, and where it listens for peers."""
+    """An incarnation that may route, and the address at which it listens for peers."""
 
     incarnation: str
     host: str
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ViewNumber:
-    """Number of the view of a failure domain that the sender routes by."""
+    """Number of the view by which the sender routes in a failure domain."""
 
     failure_domain: str
     number: int
@@ -71,17 +71,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Sent at a fixed interval and at once when something in it changes.
+    """Sent at a fixed interval, and at once when a value in it changes.
 
     Attributes:
         sequence: Grows by one with each heartbeat of the incarnation.
         configuration: Number of the document in force at the sender; 0 for none.
-        views: Views adopted since the last heartbeat; the sender sends nothing new to
-            what they withdraw, so this is its acknowledgement.
-        introduced: Incarnations that the sender came to know of. They stand before
-            any acknowledgement that the link carries, so that whoever counts
-            acknowledgements knows of everyone the sender knew of.
-        asking: Incarnations the sender has not heard of lately.
+        views: Views adopted since the last heartbeat. The sender dispatches nothing
+            more to the servers that they withdraw, so this is its acknowledgement.
+        introduced: Incarnations new to the sender. They precede any acknowledgement on
+            the link, so that the receiver of acknowledgements knows each incarnation
+            that the sender knew.
+        queried: Incarnations from which the sender has got no recent message.
     """
 
     sequence: int
@@ -93,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LivenessEntry:
-    """When another incarnation was last heard directly, and what it routes by."""
+    """Age of the last direct message of an incarnation, and the views it routes by."""
 
     incarnation: str
     age_ms: int
@@ -102,26 +102,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LivenessReport:
-    """Answer to a heartbeat that asks."""
+    """Response to the `queried` incarnations of a heartbeat."""
 
     entries: tuple[LivenessEntry, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Farewell:
-    """The sender has stopped and sends nothing to any backend server any more."""
+    """The sender has stopped and sends nothing more to any backend server."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaderNotice:
-    """The sender gathers acknowledgements of its failure domain's views."""
+    """The sender is the leader and collects acknowledgements of its domain's views."""
 
     failure_domain: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """An incarnation routes by this or a later view."""
+    """An incarnation routes by the view of this number or a later one."""
 
     incarnation: str
     number: int
@@ -129,7 +129,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RelayedAcknowledgements:
-    """Acknowledgements of one failure domain's view, passed on to its holder."""
+    """Acknowledgements of one failure domain's view, relayed towards its leader."""
 
     failure_domain: str
     rows: tuple[Acknowledgement, ...]
@@ -137,14 +137,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WantViews:
-    """Asks for the views of failure domains; none named asks for all."""
+    """Requests the views of some failure domains, of all if none is named."""
 
     failure_domains: tuple[str, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredView:
-    """A domain view with its stored value as JSON text."""
+    """A domain view, with its stored value as JSON text."""
 
     failure_domain: str
     number: int
@@ -153,7 +153,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DomainViews:
-    """Answer to `WantViews`.
+    """Response to `WantViews`.
 
     Attributes:
         complete: Whether the sender knows the views of all failure domains, so that
@@ -166,26 +166,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WantHead:
-    """Asks for the head of the document in force at the receiver."""
+    """Requests the head of the document in force at the receiver."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationHead:
-    """Answer to `WantHead`: the head object's value as JSON text."""
+    """Response to `WantHead`: the head object's value as JSON text."""
 
     value: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WantParts:
-    """Asks for parts of a document by their names."""
+    """Requests parts of a document by their names."""
 
     names: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """One part of a document, compressed by zlib."""
+    """One part of a document, compressed with zlib."""
 
     name: str
     data: bytes
@@ -200,7 +200,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkDelta:
-    """Entries of the sender's work that changed; zero stands for none left."""
+    """Changed entries of the sender's work report; zero removes an entry."""
 
     servers: tuple[work_reports.ServerWork, ...]
     callers: tuple[work_reports.CallerWork, ...]
@@ -209,20 +209,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeavingNotice:
-    """Backend servers that the platform's list newly shows as leaving."""
+    """Backend servers that the platform's list shows as leaving for the first time."""
 
     servers: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineCrash:
-    """An engine's connection ended while it ran a completion.
+    """An engine's connection closed while the engine ran a completion.
 
     Attributes:
         digest: `stream.Completion.digest` of the completion.
-        cleared: The completion has run to its end since.
-        age_ms: How long ago it ended.
-        lasted_ms: How long the engine had had the completion by then.
+        cleared: Whether the completion has run to its end since.
+        age_ms: Time since the connection closed.
+        ran_for_ms: Time for which the engine had run the completion by then.
     """
 
     digest: int
@@ -234,7 +234,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashNotice:
-    """Completions under which engines have ended lately."""
+    """Completions during which engines crashed recently."""
 
     crashes: tuple[EngineCrash, ...]
 
--- a/src/pimentolatch/protocol/snapshots.py
+++ b/src/pimentolatch/protocol/snapshots.py
@@ -1,4 +1,4 @@
-"""What an instance tells a peer that is behind: configuration and servers, whole."""
+"""Snapshots of the configuration and the servers, for peers that are out of date."""
 
 import dataclasses
 import datetime
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """The operator's configuration as the store holds it; None before one is known."""
+    """The operator's configuration as stored; None before one is known."""
 
     spec: typing.Any
 
@@ -45,7 +45,7 @@
     Attributes:
         revision: Revision of the store up to which they are known.
         listed: The servers.
-        expired: How long those that the store lacks may still stay away.
+        expired: Remaining grace period of servers whose entries the store lacks.
     """
 
     revision: int
@@ -55,18 +55,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Malformed:
-    """Bytes that are no snapshot."""
+    """Bytes that are not a snapshot."""
 
     reason: str
 
 
 def encode_configuration(snapshot: Configuration) -> bytes:
-    """Return the body of a configuration."""
+    """Return the encoded body of a configuration."""
     return cbor2.dumps(snapshot.spec)
 
 
 def decode_configuration(body: bytes) -> Configuration | Malformed:
-    """Return the configuration of a body; whether it is a valid one is not checked."""
+    """Return the configuration of a body; its content is not validated."""
     try:
         return Configuration(cbor2.loads(body))
     except _DECODE_ERRORS as error:
@@ -74,7 +74,7 @@
 
 
 def encode_servers(snapshot: Servers) -> bytes:
-    """Return the body of a list of servers."""
+    """Return the encoded body of a list of servers."""
     expired = {name: span / _MS for name, span in snapshot.expired.items()}
     rows = [_server_row(server) for server in snapshot.listed]
     return cbor2.dumps([snapshot.revision, rows, expired])
@@ -126,5 +126,5 @@
 
 def _text(value: typing.Any) -> str:
     if not isinstance(value, str):
-        raise ValueError(f"not a text: {value!r:.60}")
+        raise ValueError(f"must be a string: {value!r:.60}")
     return value
--- a/src/pimentolatch/protocol/usage_rows.py
+++ b/src/pimentolatch/protocol/usage_rows.py
@@ -1,4 +1,4 @@
-"""Datagrams in which instances tell what customers' requests began."""
+"""Datagrams in which instances report how many requests customers started."""
 
 import dataclasses
 from collections import abc
@@ -11,13 +11,13 @@
 __all__ = ["Malformed", "decode", "encode"]
 
 _VERSION = 1
-# Customers in one datagram, so that it passes every link unfragmented.
+# Customers in one datagram, so few that no link has to fragment it.
 _MAX_CUSTOMERS = 50
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Malformed:
-    """A datagram that is no row of this version."""
+    """A datagram that is not a row of this version."""
 
     reason: str
 
@@ -32,11 +32,11 @@
 
 
 def decode(datagram: bytes) -> usage.Row | Malformed:
-    """Return the row of a datagram; anybody may have sent it."""
+    """Return the row of a datagram, which is untrusted."""
     try:
         version, instance, life, window, final, total, counts = cbor2.loads(datagram)
         if version != _VERSION:
-            raise ValueError(f"version {version!r:.20}")
+            raise ValueError(f"unknown version {version!r:.20}")
         return usage.Row(
             usage.Origin(fields.text(instance), fields.text(life)),
             fields.count(window),
