--- a/src/pimentolatch/membership/acknowledgements.py
+++ b/src/pimentolatch/membership/acknowledgements.py
@@ -120,13 +120,13 @@
         self._remove_ended([incarnation])
 
     def apply_instance_list(
-        self, rows: abc.Iterable[store.Instance], asked: datetime.timedelta
+        self, rows: abc.Iterable[store.Instance], requested_at: datetime.timedelta
     ) -> frozenset[str]:
         """Apply the platform's instance list; returns incarnations proved terminated.
 
         Args:
             rows: The list.
-            asked: Monotonic time at which the list was requested.
+            requested_at: Monotonic time at which the list was requested.
         """
         entries = {row.name: row for row in rows if row.kind == "entry"}
         self._listed = frozenset(entries)
@@ -136,7 +136,7 @@
         ended = []
         for name, known in self._known.items():
             row = entries.get(incarnations.instance_of(name))
-            old_enough = credible and asked - known.since >= self._list_lag
+            old_enough = credible and requested_at - known.since >= self._list_lag
             named = row is not None and name in row.ended
             if named or (old_enough and not _is_at(row, known.introduction)):
                 ended.append(name)
--- a/src/pimentolatch/membership/failure_detector.py
+++ b/src/pimentolatch/membership/failure_detector.py
@@ -73,7 +73,7 @@
         """Remove an incarnation that has terminated."""
         self._peers.pop(incarnation, None)
 
-    def silence(self, incarnation: str) -> datetime.timedelta | None:
+    def message_age(self, incarnation: str) -> datetime.timedelta | None:
         """Return the time since the last direct message, None if there was none."""
         peer = self._peers.get(incarnation)
         return None if peer is None else self._clock.monotonic() - peer.last_message
--- a/src/pimentolatch/membership/indirect_liveness.py
+++ b/src/pimentolatch/membership/indirect_liveness.py
@@ -22,7 +22,7 @@
     """Return an entry for each queried incarnation that is reachable from here."""
     found = []
     for incarnation in queried:
-        age = known.silence(incarnation)
+        age = known.message_age(incarnation)
         if age is not None and known.is_reachable(incarnation):
             age_ms = max(0, int(age / _MILLISECOND))
             numbers = acknowledged.numbers_of(incarnation)
--- a/src/pimentolatch/membership/links.py
+++ b/src/pimentolatch/membership/links.py
@@ -66,7 +66,7 @@
     Args:
         own: Identity of this process, with the address that peers dial.
         address: Address to listen at.
-        silence_s: Time-out of one send or receive, in seconds.
+        io_timeout_s: Time-out of one send or receive, in seconds.
     """
 
     def __init__(
@@ -74,12 +74,12 @@
         own: incarnations.Identity,
         address: settings.Address,
         time: clock.Clock,
-        silence_s: float,
+        io_timeout_s: float,
     ) -> None:
         self._own = own
         self._address = address
         self._clock = time
-        self._silence_s = silence_s
+        self._io_timeout_s = io_timeout_s
         self._numbers = itertools.count(1)
         self._links: dict[int, _Link] = {}
         self._handler: LinkHandler | None = None
@@ -288,7 +288,7 @@
                 frame = codec.encode(_next_batch(link.queue))
                 self.bytes_sent += len(frame)
                 self.frames += 1
-                async with asyncio.timeout(self._silence_s):
+                async with asyncio.timeout(self._io_timeout_s):
                     await link.socket.send(frame)
             elif link.closing is not None:
                 return link.closing
@@ -298,7 +298,7 @@
 
     async def _read(self, number: int, link: _Link, handler: LinkHandler) -> str:
         while True:
-            async with asyncio.timeout(self._silence_s):
+            async with asyncio.timeout(self._io_timeout_s):
                 frame = _as_bytes(await link.socket.recv())
             self.bytes_received += len(frame)
             self.frames += 1
--- a/src/pimentolatch/membership/node.py
+++ b/src/pimentolatch/membership/node.py
@@ -264,11 +264,11 @@
         self._remove_ended(self.acknowledged.apply_registrations(rows, covers))
 
     def apply_instance_list(
-        self, rows: abc.Iterable[store.Instance], asked: datetime.timedelta
+        self, rows: abc.Iterable[store.Instance], requested_at: datetime.timedelta
     ) -> None:
         """See `AcknowledgementTable.apply_instance_list`."""
         rows = tuple(rows)
-        self._remove_ended(self.acknowledged.apply_instance_list(rows, asked))
+        self._remove_ended(self.acknowledged.apply_instance_list(rows, requested_at))
         new = self._leaving.apply_instance_list(rows)
         if new:
             for number in self._links:
--- a/src/pimentolatch/membership/peering.py
+++ b/src/pimentolatch/membership/peering.py
@@ -31,7 +31,7 @@
 _REREAD_AFTER = datetime.timedelta(seconds=5)
 _DOCUMENT_POLL = datetime.timedelta(seconds=0.05)
 _ROUND = datetime.timedelta(seconds=1)
-_TURNS_WHEN_AWAITED = 5
+_MAX_TURNS_WHILE_MISSING = 5
 _LINKS_AT_FULL_RATE = 30
 _MAX_STRETCH = 4 / 3
 _FAREWELL_TIME = datetime.timedelta(seconds=0.2)
@@ -109,7 +109,7 @@
         """Incarnations from which neither this instance nor a peer gets messages."""
         return tuple(sorted(self._node.detector.suspected()))
 
-    def rank(self, duty: str) -> int:
+    def rank(self, task: str) -> int:
         """Return this instance's rank, from 0, among the candidates for a task.
 
         Only reachable peers whose links don't flap are counted, so each side of a
@@ -118,7 +118,7 @@
         near = self._node.detector.steady(self._own.failure_domain)
         names = {incarnations.instance_of(name) for name in near}
         names.add(self._own.instance)
-        order = topology.rendezvous_order(names, f"{self._own.failure_domain}|{duty}")
+        order = topology.rendezvous_order(names, f"{self._own.failure_domain}|{task}")
         return order.index(self._own.instance)
 
     def announce(self, view: views.DomainView) -> None:
@@ -143,8 +143,8 @@
             self._read_registrations,
             self._move_documents,
         ):
-            kept = tasks.keep_running(work.__qualname__, work, self._clock)
-            self._tasks.append(asyncio.create_task(kept))
+            supervised = tasks.keep_running(work.__qualname__, work, self._clock)
+            self._tasks.append(asyncio.create_task(supervised))
 
     async def stop(self) -> None:
         """Send farewells and close the links; called when no request is in flight."""
@@ -168,7 +168,7 @@
     async def _read_list(self) -> None:
         pauses = backoff.Backoff(_FIRST_PAUSE, _MAX_PAUSE, self._chance)
         while True:
-            asked = self._clock.monotonic()
+            requested_at = self._clock.monotonic()
             rows = await self._store.instances()
             if isinstance(rows, store.Unavailable):
                 await self._clock.sleep(pauses.next_pause())
@@ -176,7 +176,7 @@
             pauses.reset()
             self._rows = tuple(row for row in rows if row.kind == "entry")
             self._dialer.apply_instance_list(self._rows)
-            self._node.apply_instance_list(rows, asked)
+            self._node.apply_instance_list(rows, requested_at)
             await self._wait_for_next_read()
 
     async def _wait_for_next_read(self) -> None:
@@ -189,7 +189,7 @@
         interval = datetime.timedelta(seconds=self._settings.list_interval_s)
         now = self._clock.monotonic()
         full = now + interval * near * (0.5 + self._chance.random())
-        short = now + interval * min(near, _TURNS_WHEN_AWAITED)
+        short = now + interval * min(near, _MAX_TURNS_WHILE_MISSING)
         while now < (short if self._acknowledgements_missing() else full):
             await self._clock.sleep(min(_ROUND, interval))
             now = self._clock.monotonic()
--- a/src/pimentolatch/membership/view_exchange.py
+++ b/src/pimentolatch/membership/view_exchange.py
@@ -134,8 +134,8 @@
         self._send_heartbeats()
         chosen = self._table.selected(wanted.failure_domains)
         stored = tuple(view_table.stored_view(view) for view in chosen)
-        whole = not wanted.failure_domains
-        self._network.send(link, messages.DomainViews(whole, stored))
+        complete = not wanted.failure_domains
+        self._network.send(link, messages.DomainViews(complete, stored))
 
     def _request(self, link: int) -> None:
         now = self._clock.monotonic()
--- a/src/pimentolatch/protocol/usage_rows.py
+++ b/src/pimentolatch/protocol/usage_rows.py
@@ -34,11 +34,13 @@
 def decode(datagram: bytes) -> usage.Row | Malformed:
     """Return the row of a datagram, which is untrusted."""
     try:
-        version, instance, life, window, final, total, counts = cbor2.loads(datagram)
+        version, instance, incarnation, window, final, total, counts = cbor2.loads(
+            datagram
+        )
         if version != _VERSION:
             raise ValueError(f"unknown version {version!r:.20}")
         return usage.Row(
-            usage.Origin(fields.text(instance), fields.text(life)),
+            usage.Origin(fields.text(instance), fields.text(incarnation)),
             fields.count(window),
             bool(final),
             fields.count(total),
