--- a/src/pimentolatch/membership/node.py
+++ b/src/pimentolatch/membership/node.py
@@ -1,9 +1,10 @@
-"""The protocol between instances, without network: messages in, messages out.
+"""The peer protocol of an instance as a state machine that does no I/O itself.
 
-Every link carries a heartbeat at a fixed interval and at once when something changed:
-the number of the document in force, the views adopted, and who became known. Whoever
-sees a higher number than its own asks the sender for the rest. So a change travels as
-a few bytes on each link and its content once to each instance.
+Each link carries a heartbeat at a fixed interval, and at once after a change, with the
+number of the document in force, the views adopted and the incarnations that became
+known. An instance that receives a higher number than its own requests the content from
+the sender. So a change costs a few bytes on each link, and its content is sent once to
+each instance.
 """
 
 import dataclasses
@@ -14,30 +15,30 @@
 
 from pimentolatch import clock, store
 from pimentolatch.membership import (
+    acknowledgement_relay,
     acknowledgements,
-    gathering,
+    failure_detector,
     incarnations,
+    indirect_liveness,
     interfaces,
-    leaving,
-    members,
+    leaving_servers,
     registrations,
-    share_spread,
-    testimony,
     view_exchange,
     view_table,
     views,
+    work_exchange,
 )
 from pimentolatch.protocol import messages
 
 __all__ = ["Node"]
 
 _log = logbook.Logger("membership")
-# A peer asked about is one of a few; more would make each outage of a failure domain
-# a burst of questions. The rest is asked about in later heartbeats.
-_ASKED_AT_ONCE = 8
-# Ends of engines that are told between two heartbeats, at once as they are noticed.
-# After the loss of many engines the rest follows with later heartbeats.
-_ENDS_PER_HEARTBEAT = 64
+# Incarnations queried in one heartbeat. Without a limit the outage of a failure domain
+# would cause a burst of queries. Later heartbeats query the rest.
+_MAX_QUERIED = 8
+# Crash reports that may be sent between two heartbeats, each as soon as the crash is
+# detected. After the loss of many engines the rest follows with later heartbeats.
+_CRASHES_PER_HEARTBEAT = 64
 
 
 @dataclasses.dataclass(slots=True)
@@ -50,17 +51,18 @@
 
 
 class Node:
-    """One instance among its peers.
+    """The state of one instance and its links to peers.
 
     Args:
-        own: This process.
-        documents: Moves documents.
-        table: The domain views routed by here.
-        suspect_after: Silence after which a peer is suspected.
-        list_lag: Bound on how late the platform's instance list may be.
-        spread: Tells peers of the work carried here, and holds theirs.
-        leaving_servers: Backend servers that the platform's list shows as leaving.
-        crashes: Completions that have ended engines.
+        own: Identity of this process.
+        network: Sends messages and closes links.
+        documents: Transfers documents.
+        crashes: Records of completions during which engines crashed.
+        table: The domain views by which this instance routes.
+        work: Exchanges work reports with the peers.
+        leaving: Backend servers that the platform lists as leaving.
+        suspect_after: Time without a message after which a peer is suspected.
+        list_lag: Maximum age of the information in the platform's instance list.
     """
 
     def __init__(
@@ -71,8 +73,8 @@
         documents: interfaces.ConfigurationPeer,
         crashes: interfaces.CrashTable,
         table: view_table.ViewTable,
-        spread: share_spread.ShareSpread,
-        leaving_servers: leaving.LeavingServers,
+        work: work_exchange.WorkExchange,
+        leaving: leaving_servers.LeavingServers,
         time: clock.Clock,
         suspect_after: datetime.timedelta,
         list_lag: datetime.timedelta,
@@ -81,12 +83,12 @@
         self._network = network
         self._documents = documents
         self._table = table
-        self._spread = spread
-        self._leaving = leaving_servers
+        self._work = work
+        self._leaving = leaving
         self._crashes = crashes
-        self._ends_left = _ENDS_PER_HEARTBEAT
+        self._crashes_left = _CRASHES_PER_HEARTBEAT
         self._clock = time
-        self.members = members.Members(time, suspect_after)
+        self.detector = failure_detector.FailureDetector(time, suspect_after)
         self.acknowledged = acknowledgements.AcknowledgementTable(
             own.instance, time, list_lag
         )
@@ -94,124 +96,129 @@
         self.acknowledged.introduce(self._introduction)
         self._links: dict[int, _Link] = {}
         self._sequence = 0
-        self._holds = False
-        self._gathering = gathering.Gathering(
-            own.failure_domain, self.members, self.acknowledged
+        self._is_leader = False
+        self._relay = acknowledgement_relay.AcknowledgementRelay(
+            own.failure_domain, self.detector, self.acknowledged
         )
         self._views = view_exchange.ViewExchange(
             own,
             network=network,
             table=table,
-            spread=spread,
+            work=work,
             acknowledged=self.acknowledged,
             time=time,
-            changed=self._changed,
+            send_heartbeats=self._send_heartbeats,
         )
 
     @property
     def peers(self) -> dict[int, messages.Hello]:
-        """The peers at the open links, by link."""
+        """The peers of the open links, by link number."""
         return {number: link.peer for number, link in self._links.items()}
 
     def opened(self, number: int, peer: messages.Hello) -> None:
-        """Start to use a link whose peer has said who it is.
+        """Start to use a link after the handshake.
 
-        The peer listens at the address it names, so an earlier process of the same
-        instance there has ended. Its other links are left to end by silence.
+        The peer listens at the address in its hello, so an earlier process of the same
+        instance at that address has terminated. Links to that process are left to time
+        out.
         """
         self._links[number] = _Link(peer)
-        self._gathering.opened(number)
-        # A new link starts with all of the peer's work; what a lost one left is stale.
-        self._spread.forget(peer.incarnation)
-        self.members.heard(peer.incarnation, peer.failure_domain)
-        self._forget(
-            self.acknowledged.succeed(
+        self._relay.opened(number)
+        # The peer sends all of its work on a new link, so older entries are stale.
+        self._work.forget(peer.incarnation)
+        self.detector.record_message(peer.incarnation, peer.failure_domain)
+        self._remove_ended(
+            self.acknowledged.introduce_successor(
                 messages.Introduction(peer.incarnation, peer.host, peer.port)
             )
         )
         if peer.failure_domain == self._own.failure_domain:
-            # Work goes first: what follows may acknowledge a view.
-            for delta in self._spread.snapshot():
+            # Work is sent first, since a later message may acknowledge a view; see
+            # `_send_work_at`.
+            for delta in self._work.snapshot():
                 self._network.send(number, delta)
-            if self._holds:
-                notice = messages.HolderNotice(self._own.failure_domain)
+            if self._is_leader:
+                notice = messages.LeaderNotice(self._own.failure_domain)
                 self._network.send(number, notice)
         serious = self._crashes.serious()
         if serious:
             self._network.send(number, messages.CrashNotice(serious))
-        self._changed()
+        self._send_heartbeats()
 
     def closed(self, number: int) -> None:
-        """Take note that a link is gone."""
+        """Drop a link that is closed."""
         link = self._links.pop(number, None)
         if link is None:
             return
         self._documents.closed(number)
         self._views.closed(number)
-        self._gathering.closed(number)
+        self._relay.closed(number)
         incarnation = link.peer.incarnation
         if all(o.peer.incarnation != incarnation for o in self._links.values()):
-            self.members.lost(incarnation)
-            self._spread.forget(incarnation)
+            self.detector.record_link_loss(incarnation)
+            self._work.forget(incarnation)
 
     def handle(self, number: int, message: messages.Message) -> None:
         """Handle a message of an open link."""
         link = self._links.get(number)
-        # A heartbeat can follow a farewell on its link. Counted as a sign of life it
-        # would have the peer listened for again, and suspected seconds later.
+        # A heartbeat can follow a farewell on the same link. If it counted, the peer
+        # would be monitored again and suspected seconds later.
         if link is None or link.finished:
             return
-        self.members.heard(link.peer.incarnation, link.peer.failure_domain)
+        self.detector.record_message(link.peer.incarnation, link.peer.failure_domain)
         match message:
             case messages.Heartbeat():
-                self._heartbeat(number, link, message)
-            case messages.Testimony():
-                testimony.take(message, self.members, self.acknowledged)
+                self._receive_heartbeat(number, link, message)
+            case messages.LivenessReport():
+                indirect_liveness.receive(message, self.detector, self.acknowledged)
             case messages.Farewell():
                 link.finished = True
                 self.acknowledged.farewell(link.peer.incarnation)
-                self._forget({link.peer.incarnation})
-            case messages.HolderNotice():
-                self._gathering.noticed(number, message)
-                self._pass_on(number, link)
-            case messages.Acknowledged():
-                self._gathering.take(message)
+                self._remove_ended({link.peer.incarnation})
+            case messages.LeaderNotice():
+                self._relay.receive_leader_notice(number, message)
+                self._relay_acknowledgements(number, link)
+            case messages.RelayedAcknowledgements():
+                self._relay.receive(message)
             case messages.WantViews():
-                self._views.hand(number, link.peer, message)
+                self._views.send_views(number, link.peer, message)
             case messages.DomainViews():
                 self._take_views(message)
-            case messages.SharesDelta():
-                self._spread.received(link.peer.incarnation, message)
+            case messages.WorkDelta():
+                self._work.receive(link.peer.incarnation, message)
             case messages.LeavingNotice():
-                self._leaving.noticed(message.servers)
+                self._leaving.receive(message.servers)
             case messages.CrashNotice():
                 near = link.peer.failure_domain == self._own.failure_domain
-                self._crashes.take(message.ends, near=near)
+                self._crashes.take(message.crashes, near=near)
             case messages.Hello():
-                self._network.close(number, "second hello")
+                self._network.close(number, "unexpected second hello")
             case _:
                 self._documents.handle(number, message)
 
     def tick(self) -> None:
-        """Send a heartbeat on every link; called at the heartbeat interval."""
+        """Send heartbeats, relayed acknowledgements, crash notices and a work delta.
+
+        Called at the heartbeat interval.
+        """
         self._views.acknowledge()
-        self._views.ask_again()
-        self._ends_left = _ENDS_PER_HEARTBEAT
-        self.tell_crashes()
+        self._views.retry_requests()
+        self._crashes_left = _CRASHES_PER_HEARTBEAT
+        self.send_crash_notices()
         for number, link in list(self._links.items()):
-            self._beat(number)
-            self._pass_on(number, link)
-        near = self._near_links()
-        delta = self._spread.next_delta(len(near))
+            self._send_heartbeat(number)
+            self._relay_acknowledgements(number, link)
+        near = self._own_domain_links()
+        delta = self._work.next_delta(len(near))
         if delta is not None:
             for number in near:
                 self._network.send(number, delta)
 
     def announce(self, view: views.DomainView) -> None:
-        """Adopt a view that this instance wrote and gather its acknowledgements."""
-        if not self._holds:
-            self._holds = True
-            notice = messages.HolderNotice(view.failure_domain)
+        """Adopt a view that this instance wrote and collect its acknowledgements."""
+        if not self._is_leader:
+            self._is_leader = True
+            notice = messages.LeaderNotice(view.failure_domain)
             for number, link in self._links.items():
                 if link.peer.failure_domain == self._own.failure_domain:
                     self._network.send(number, notice)
@@ -220,82 +227,87 @@
     def adopt_views(
         self, found: abc.Iterable[views.DomainView], *, complete: bool
     ) -> None:
-        """Adopt views from the store or a peer and tell the peers at once."""
+        """Adopt views from the store or a peer and notify the peers at once.
+
+        Args:
+            found: The views.
+            complete: Whether `found` includes the views of all failure domains.
+        """
         withdrawn = self._views.adopt(found, complete=complete)
         if withdrawn is not None:
-            self._tell_work_at(withdrawn)
+            self._send_work_at(withdrawn)
             self._views.acknowledge()
-            self._changed()
+            self._send_heartbeats()
 
-    def tell_crashes(self) -> None:
-        """Tell the peers at once which completions have ended engines."""
-        if not self._ends_left:
+    def send_crash_notices(self) -> None:
+        """Report completions during which engines crashed to the peers at once."""
+        if not self._crashes_left:
             return
-        near = self._crashes.take_near(self._ends_left)
-        far = self._crashes.take_far(self._ends_left)
-        self._ends_left -= max(len(near), len(far))
+        near = self._crashes.take_near(self._crashes_left)
+        far = self._crashes.take_far(self._crashes_left)
+        self._crashes_left -= max(len(near), len(far))
         for number, link in self._links.items():
             own_domain = link.peer.failure_domain == self._own.failure_domain
             if ends := near if own_domain else far:
                 self._network.send(number, messages.CrashNotice(ends))
 
     def configuration_changed(self) -> None:
-        """Tell the peers at once that another document is in force here."""
-        self._changed()
+        """Notify the peers at once that another document is in force here."""
+        self._send_heartbeats()
 
-    def registered(
+    def apply_registrations(
         self,
         rows: abc.Iterable[registrations.Registration],
         covers: dict[str, int],
     ) -> None:
-        """Take a listing of registrations; see `AcknowledgementTable.registered`."""
-        self._forget(self.acknowledged.registered(rows, covers))
+        """See `AcknowledgementTable.apply_registrations`."""
+        self._remove_ended(self.acknowledged.apply_registrations(rows, covers))
 
-    def listed(
-        self, rows: abc.Iterable[store.Instance], asked: datetime.timedelta
+    def apply_instance_list(
+        self, rows: abc.Iterable[store.Instance], requested_at: datetime.timedelta
     ) -> None:
-        """Take the platform's instance list; see `AcknowledgementTable.listed`."""
+        """See `AcknowledgementTable.apply_instance_list`."""
         rows = tuple(rows)
-        self._forget(self.acknowledged.listed(rows, asked))
-        new = self._leaving.listed(rows)
+        self._remove_ended(self.acknowledged.apply_instance_list(rows, requested_at))
+        new = self._leaving.apply_instance_list(rows)
         if new:
             for number in self._links:
                 self._network.send(number, messages.LeavingNotice(new))
 
     def farewell(self) -> None:
-        """Tell the peers that this process sends nothing to anybody any more."""
+        """Notify the peers that this process sends no more requests."""
         for number in self._links:
             self._network.send(number, messages.Farewell())
 
-    def _forget(self, ended: abc.Iterable[str]) -> None:
+    def _remove_ended(self, ended: abc.Iterable[str]) -> None:
         for incarnation in ended:
-            self.members.forget(incarnation)
-            self._spread.forget(incarnation)
+            self.detector.remove(incarnation)
+            self._work.forget(incarnation)
 
-    def _changed(self) -> None:
+    def _send_heartbeats(self) -> None:
         for number in list(self._links):
-            self._beat(number)
+            self._send_heartbeat(number)
 
-    def _tell_work_at(self, servers: frozenset[str]) -> None:
-        """Tell the work at withdrawn servers before the acknowledgement goes out.
+    def _send_work_at(self, servers: frozenset[str]) -> None:
+        """Report the work at withdrawn servers before the view is acknowledged.
 
-        The holder orders an engine away when all have acknowledged and nobody has work
-        there. A request that this instance chose the engine for just before it adopted
-        the view would be unknown to the holder if the count came later.
+        The leader reassigns an engine once all instances have acknowledged and none
+        has work there. If the report came after the acknowledgement, the leader would
+        miss a request that was dispatched just before this instance adopted the view.
         """
-        delta = self._spread.delta_of(servers)
+        delta = self._work.delta_for(servers)
         if delta is not None:
-            for number in self._near_links():
+            for number in self._own_domain_links():
                 self._network.send(number, delta)
 
-    def _near_links(self) -> list[int]:
+    def _own_domain_links(self) -> list[int]:
         return [
             number
             for number, link in self._links.items()
             if link.peer.failure_domain == self._own.failure_domain
         ]
 
-    def _beat(self, number: int) -> None:
+    def _send_heartbeat(self, number: int) -> None:
         link = self._links[number]
         self._sequence += 1
         changed = {
@@ -304,8 +316,8 @@
             if link.views_sent.get(name) != view
         }
         link.views_sent |= changed
-        quiet = self.members.quiet()
-        first = self._sequence % max(1, len(quiet))
+        to_query = self.detector.to_query()
+        first = self._sequence % max(1, len(to_query))
         self._network.send(
             number,
             messages.Heartbeat(
@@ -313,7 +325,7 @@
                 self._documents.number,
                 tuple(messages.ViewNumber(*item) for item in changed.items()),
                 self._introductions(link),
-                (quiet[first:] + quiet[:first])[:_ASKED_AT_ONCE],
+                (to_query[first:] + to_query[:first])[:_MAX_QUERIED],
             ),
         )
 
@@ -326,7 +338,7 @@
         link.introduced_change = self.acknowledged.changes
         return new
 
-    def _heartbeat(
+    def _receive_heartbeat(
         self, number: int, link: _Link, heartbeat: messages.Heartbeat
     ) -> None:
         for introduction in heartbeat.introduced:
@@ -335,10 +347,10 @@
             self.acknowledged.acknowledge(
                 link.peer.incarnation, view.failure_domain, view.number
             )
-        self._views.offered(number, heartbeat.views)
+        self._views.receive_offer(number, heartbeat.views)
         self._documents.offered(number, heartbeat.configuration)
-        if heartbeat.asking:
-            self._testify(number, heartbeat.asking)
+        if heartbeat.queried:
+            self._report_liveness(number, heartbeat.queried)
 
     def _take_views(self, message: messages.DomainViews) -> None:
         found = [view_table.view_from_message(stored) for stored in message.views]
@@ -346,15 +358,16 @@
         complete = message.complete and len(readable) == len(found)
         self.adopt_views(readable, complete=complete)
 
-    def _testify(self, number: int, asking: tuple[str, ...]) -> None:
-        evidence = testimony.evidence(
-            asking[:_ASKED_AT_ONCE], self.members, self.acknowledged
+    def _report_liveness(self, number: int, queried: tuple[str, ...]) -> None:
+        entries = indirect_liveness.report(
+            queried[:_MAX_QUERIED], self.detector, self.acknowledged
         )
-        if evidence:
-            self._network.send(number, messages.Testimony(evidence))
-
-    def _pass_on(self, number: int, link: _Link) -> None:
-        for message in self._gathering.unsent(number, link.peer):
-            # Introductions that came before travel before.
-            self._beat(number)
+        if entries:
+            self._network.send(number, messages.LivenessReport(entries))
+
+    def _relay_acknowledgements(self, number: int, link: _Link) -> None:
+        for message in self._relay.next_messages(number, link.peer):
+            # The heartbeat carries introductions that arrived before these
+            # acknowledgements, so that the receiver also gets them first.
+            self._send_heartbeat(number)
             self._network.send(number, message)
--- a/src/pimentolatch/membership/peering.py
+++ b/src/pimentolatch/membership/peering.py
@@ -1,4 +1,4 @@
-"""The node and its links, with the tasks that keep them up with the platform."""
+"""Runs the node and its links, with the tasks that exchange data with the platform."""
 
 import asyncio
 import datetime
@@ -11,44 +11,45 @@
     dialer,
     incarnations,
     interfaces,
-    leaving,
+    leaving_servers,
     links,
     node,
     registrations,
-    share_spread,
     topology,
     view_table,
     views,
+    work_exchange,
 )
 
 __all__ = ["Peering"]
 
 _log = logbook.Logger("membership")
 _FIRST_PAUSE = datetime.timedelta(seconds=0.5)
-_LONGEST_PAUSE = datetime.timedelta(seconds=10)
-# While somebody's acknowledgement is missing the registrations are read again: an
-# instance that is cut off from its peers acknowledges there.
+_MAX_PAUSE = datetime.timedelta(seconds=10)
+# Interval at which registrations are read again while acknowledgements are missing: an
+# instance that is partitioned from its peers acknowledges in its registration.
 _REREAD_AFTER = datetime.timedelta(seconds=5)
 _DOCUMENT_POLL = datetime.timedelta(seconds=0.05)
 _ROUND = datetime.timedelta(seconds=1)
-_TURNS_WHEN_AWAITED = 5
+_MAX_TURNS_WHILE_MISSING = 5
 _LINKS_AT_FULL_RATE = 30
-_LONGEST_STRETCH = 4 / 3
+_MAX_STRETCH = 4 / 3
 _FAREWELL_TIME = datetime.timedelta(seconds=0.2)
 
 
 class Peering:
-    """This instance among its peers; implements `views.Acknowledgements`.
+    """Connects this instance to its peers; implements `views.Acknowledgements`.
 
     Args:
-        own: This process.
+        own: Identity of this process.
         chosen: Settings of the links.
-        objects: The platform.
-        documents: Moves documents between instances.
-        table: The domain views routed by here.
-        spread: Tells peers of the work carried here.
-        leaving_servers: Backend servers that the platform's list shows as leaving.
-        crashes: Completions that have ended engines.
+        objects: The platform's object store.
+        documents: Transfers documents between instances.
+        table: The domain views by which this instance routes.
+        work: Exchanges work reports with the peers.
+        leaving: Backend servers that the platform lists as leaving.
+        crashes: Records of completions during which engines crashed.
+        peer_links: Links to the peers.
     """
 
     def __init__(
@@ -59,8 +60,8 @@
         objects: store.Store,
         documents: interfaces.ConfigurationPeer,
         table: view_table.ViewTable,
-        spread: share_spread.ShareSpread,
-        leaving_servers: leaving.LeavingServers,
+        work: work_exchange.WorkExchange,
+        leaving: leaving_servers.LeavingServers,
         crashes: interfaces.CrashTable,
         time: clock.Clock,
         chance: random.Random,
@@ -79,8 +80,8 @@
             network=peer_links,
             documents=documents,
             table=table,
-            spread=spread,
-            leaving_servers=leaving_servers,
+            work=work,
+            leaving=leaving,
             crashes=crashes,
             time=time,
             suspect_after=datetime.timedelta(seconds=chosen.suspect_after_s),
@@ -89,13 +90,13 @@
         self._dialer = dialer.Dialer(own, peer_links, chosen.seeds, time, chance)
         self._registrations = registrations.Registrations(objects, own)
         self._rows: tuple[store.Instance, ...] = ()
-        self._covers: dict[str, int] = {}
+        self._announced: dict[str, int] = {}
         self._read_due = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
     def node(self) -> node.Node:
-        """The protocol between instances."""
+        """The state machine of the peer protocol."""
         return self._node
 
     @property
@@ -105,25 +106,25 @@
 
     @property
     def suspected(self) -> tuple[str, ...]:
-        """Incarnations that neither this instance nor any peer hears."""
-        return tuple(sorted(self._node.members.suspected()))
+        """Incarnations from which neither this instance nor a peer gets messages."""
+        return tuple(sorted(self._node.detector.suspected()))
 
-    def rank(self, duty: str) -> int:
-        """Return this instance's place, from 0, among those that may hold a duty.
+    def rank(self, task: str) -> int:
+        """Return this instance's rank, from 0, among the candidates for a task.
 
-        Only peers that can be reached and whose links don't flap are counted, so in a
-        cut each side finds holders of its own.
+        Only reachable peers whose links don't flap are counted, so each side of a
+        network partition assigns the task to instances of its own.
         """
-        near = self._node.members.steady(self._own.failure_domain)
+        near = self._node.detector.steady(self._own.failure_domain)
         names = {incarnations.instance_of(name) for name in near}
         names.add(self._own.instance)
-        order = topology.ranked(names, f"{self._own.failure_domain}|{duty}")
+        order = topology.rendezvous_order(names, f"{self._own.failure_domain}|{task}")
         return order.index(self._own.instance)
 
     def announce(self, view: views.DomainView) -> None:
         """See `views.Acknowledgements.announce`."""
-        known = self._covers.get(view.failure_domain, 0)
-        self._covers[view.failure_domain] = max(known, view.number)
+        known = self._announced.get(view.failure_domain, 0)
+        self._announced[view.failure_domain] = max(known, view.number)
         self._node.announce(view)
         self._read_due.set()
 
@@ -132,7 +133,7 @@
         return self._node.acknowledged.missing(failure_domain, number)
 
     async def start(self) -> None:
-        """Listen and begin; raises `OSError` if the address can't be had."""
+        """Listen and start tasks; raises `OSError` if the address is unavailable."""
         await self._links.start(self._node)
         for work in (
             self._beat,
@@ -142,11 +143,11 @@
             self._read_registrations,
             self._move_documents,
         ):
-            kept = tasks.keep_running(work.__qualname__, work, self._clock)
-            self._tasks.append(asyncio.create_task(kept))
+            supervised = tasks.keep_running(work.__qualname__, work, self._clock)
+            self._tasks.append(asyncio.create_task(supervised))
 
     async def stop(self) -> None:
-        """Say farewell and close the links; called when no request is left."""
+        """Send farewells and close the links; called when no request is in flight."""
         self._node.farewell()
         await self._clock.sleep(_FAREWELL_TIME)
         for task in self._tasks:
@@ -157,44 +158,45 @@
     async def _beat(self) -> None:
         interval = datetime.timedelta(seconds=self._settings.heartbeat_interval_s)
         while True:
-            # Headers and acknowledgements make most of a heartbeat's bytes. With many
-            # links there are fewer, still three within the time for suspicion.
+            # TCP headers and acknowledgements make up most of a heartbeat's bytes, so
+            # with many links heartbeats are sent less often. The limit still leaves
+            # three within the suspicion time-out.
             stretch = max(1.0, len(self._node.peers) / _LINKS_AT_FULL_RATE)
-            await self._clock.sleep(interval * min(stretch, _LONGEST_STRETCH))
+            await self._clock.sleep(interval * min(stretch, _MAX_STRETCH))
             self._node.tick()
 
     async def _read_list(self) -> None:
-        pauses = backoff.Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, self._chance)
+        pauses = backoff.Backoff(_FIRST_PAUSE, _MAX_PAUSE, self._chance)
         while True:
-            asked = self._clock.monotonic()
+            requested_at = self._clock.monotonic()
             rows = await self._store.instances()
             if isinstance(rows, store.Unavailable):
                 await self._clock.sleep(pauses.next_pause())
                 continue
             pauses.reset()
             self._rows = tuple(row for row in rows if row.kind == "entry")
-            self._dialer.listed(self._rows)
-            self._node.listed(rows, asked)
-            await self._until_next_reading()
+            self._dialer.apply_instance_list(self._rows)
+            self._node.apply_instance_list(rows, requested_at)
+            await self._wait_for_next_read()
 
-    async def _until_next_reading(self) -> None:
-        """Wait for this instance's turn among those of its failure domain.
+    async def _wait_for_next_read(self) -> None:
+        """Wait until it is this instance's turn in its failure domain to read the list.
 
-        While acknowledgements are missing it reads more often: the list may show that
-        the process that is waited for has ended.
+        While acknowledgements are missing the wait is shorter: the list may show that
+        a process whose acknowledgement is missing has terminated.
         """
-        near = len(self._node.members.steady(self._own.failure_domain)) + 1
+        near = len(self._node.detector.steady(self._own.failure_domain)) + 1
         interval = datetime.timedelta(seconds=self._settings.list_interval_s)
         now = self._clock.monotonic()
         full = now + interval * near * (0.5 + self._chance.random())
-        short = now + interval * min(near, _TURNS_WHEN_AWAITED)
-        while now < (short if self._awaited() else full):
+        short = now + interval * min(near, _MAX_TURNS_WHILE_MISSING)
+        while now < (short if self._acknowledgements_missing() else full):
             await self._clock.sleep(min(_ROUND, interval))
             now = self._clock.monotonic()
 
     async def _join(self) -> None:
-        """Register and then read the views; the order is what makes it safe."""
-        pauses = backoff.Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, self._chance)
+        """Register and then read the views, in this order; see `acknowledgements`."""
+        pauses = backoff.Backoff(_FIRST_PAUSE, _MAX_PAUSE, self._chance)
         while not await self._registrations.register():
             await self._clock.sleep(pauses.next_pause())
         pauses.reset()
@@ -205,18 +207,18 @@
                 continue
             found = [view_table.view_from_object(row) for row in listing.objects]
             self._node.adopt_views(found, complete=True)
-            _log.info("views read", views=len(found))
+            _log.info("domain views read from the store", views=len(found))
         await self._acknowledge_in_store()
 
     async def _acknowledge_in_store(self) -> None:
-        """Acknowledge through the store while no peer of the own domain is heard."""
+        """Acknowledge in the store while no peer of the own domain is reachable."""
         written: dict[str, int] = {}
         while True:
             await self._clock.sleep(_REREAD_AFTER)
-            alone = not self._node.members.reachable(self._own.failure_domain)
+            alone = not self._node.detector.reachable(self._own.failure_domain)
             numbers = self._table.numbers
-            # A single instance in its failure domain is always alone; it writes only
-            # when a view changed.
+            # The only instance of a failure domain never has a reachable peer, so it
+            # writes only after a view changed.
             if (
                 alone
                 and numbers != written
@@ -236,22 +238,22 @@
         while True:
             await self._read_due.wait()
             self._read_due.clear()
-            while self._awaited():
-                covers = dict(self._covers)
+            while self._acknowledgements_missing():
+                covers = dict(self._announced)
                 found = await self._registrations.read()
                 if not isinstance(found, store.Unavailable):
-                    self._node.registered(found, covers)
-                    if covers == self._covers:
-                        await self._wait_for_the_rest()
+                    self._node.apply_registrations(found, covers)
+                    if covers == self._announced:
+                        await self._wait_for_acknowledgements()
                 else:
                     await self._clock.sleep(_ROUND)
 
-    async def _wait_for_the_rest(self) -> None:
+    async def _wait_for_acknowledgements(self) -> None:
         until = self._clock.monotonic() + _REREAD_AFTER
-        while self._clock.monotonic() < until and self._awaited():
+        while self._clock.monotonic() < until and self._acknowledgements_missing():
             if self._read_due.is_set():
                 return
             await self._clock.sleep(_ROUND / 5)
 
-    def _awaited(self) -> bool:
-        return any(self.missing(name, n) for name, n in self._covers.items())
+    def _acknowledgements_missing(self) -> bool:
+        return any(self.missing(name, n) for name, n in self._announced.items())
--- a/src/pimentolatch/membership/view_exchange.py
+++ b/src/pimentolatch/membership/view_exchange.py
@@ -1,4 +1,4 @@
-"""Asks peers for domain views, hands them on, and says what is acknowledged here."""
+"""Exchanges domain views with peers and derives this instance's acknowledgements."""
 
 import datetime
 import typing
@@ -8,15 +8,15 @@
 from pimentolatch.membership import (
     acknowledgements,
     incarnations,
-    share_spread,
     view_table,
     views,
+    work_exchange,
 )
 from pimentolatch.protocol import messages
 
 __all__ = ["ViewExchange"]
 
-_ASK_AGAIN_AFTER = datetime.timedelta(seconds=1)
+_RETRY_AFTER = datetime.timedelta(seconds=1)
 
 
 class _Sender(typing.Protocol):
@@ -25,10 +25,15 @@
 
 
 class ViewExchange:
-    """The domain views of one instance among its peers.
+    """Requests views from peers, sends views to them and acknowledges own ones.
 
     Args:
-        changed: Sends a heartbeat on every link.
+        own: Identity of this process.
+        network: Sends messages.
+        table: The domain views by which this instance routes.
+        work: Work of this instance at backend servers.
+        acknowledged: Acknowledgements of all instances.
+        send_heartbeats: Sends a heartbeat on every link.
     """
 
     def __init__(
@@ -37,20 +42,20 @@
         *,
         network: _Sender,
         table: view_table.ViewTable,
-        spread: share_spread.ShareSpread,
+        work: work_exchange.WorkExchange,
         acknowledged: acknowledgements.AcknowledgementTable,
         time: clock.Clock,
-        changed: typing.Callable[[], None],
+        send_heartbeats: typing.Callable[[], None],
     ) -> None:
         self._own = own
         self._network = network
         self._table = table
-        self._spread = spread
+        self._work = work
         self._acknowledged = acknowledged
         self._clock = time
-        self._changed = changed
+        self._send_heartbeats = send_heartbeats
         self._offers: dict[int, dict[str, int]] = {}
-        self._asked: dict[str, datetime.timedelta] = {}
+        self._requested: dict[str, datetime.timedelta] = {}
         self._own_numbers: dict[str, int] = {}
 
     @property
@@ -61,7 +66,11 @@
     def adopt(
         self, found: abc.Iterable[views.DomainView], *, complete: bool
     ) -> frozenset[str] | None:
-        """Adopt later views; returns the servers withdrawn, None if nothing is new."""
+        """Adopt newer views.
+
+        Returns:
+            The servers that the adopted views withdraw; None if nothing changed.
+        """
         adopted = [view for view in found if self._table.adopt(view)]
         if complete:
             self._table.set_complete()
@@ -70,10 +79,11 @@
         return frozenset().union(*(view.withdrawn for view in adopted))
 
     def acknowledge(self) -> None:
-        """Work out again what this instance acknowledges.
+        """Update the view numbers that this instance acknowledges.
 
-        Counts of work don't travel across failure domains. So a view of another one is
-        acknowledged only when no work is left here at what it withdraws.
+        Work reports are not sent across failure domains. So a view of another domain is
+        acknowledged only when this instance has no work left at the servers that the
+        view withdraws.
         """
         if not self._table.complete:
             return
@@ -81,49 +91,53 @@
             view.failure_domain: view.number
             for view in self._table.selected(())
             if view.failure_domain == self._own.failure_domain
-            or not self._spread.has_work_at(view.withdrawn)
+            or not self._work.has_work_at(view.withdrawn)
         }
         for name, number in self._own_numbers.items():
             self._acknowledged.acknowledge(self._own.incarnation, name, number)
 
-    def offered(self, link: int, numbers: tuple[messages.ViewNumber, ...]) -> None:
-        """Take note of the views that a peer routes by, and ask for later ones."""
+    def receive_offer(
+        self, link: int, numbers: tuple[messages.ViewNumber, ...]
+    ) -> None:
+        """Record the views by which a peer routes, and request newer ones."""
         offers = self._offers.setdefault(link, {})
         offers |= {view.failure_domain: view.number for view in numbers}
-        self._ask(link)
+        self._request(link)
 
-    def ask_again(self) -> None:
-        """Ask for views that were offered and have not come; called now and then.
+    def retry_requests(self) -> None:
+        """Request offered views that were not received; called at each heartbeat.
 
-        A peer offers a view once. If the answer is lost with its link, or if a later
-        view was offered while an earlier one was on its way, nobody offers it again.
+        A peer offers a view once. If the response is lost with its link, or a newer
+        view is offered while an older one is in transit, no peer offers it again.
         """
         for link in list(self._offers):
-            self._ask(link)
+            self._request(link)
 
     def closed(self, link: int) -> None:
-        """Take note that a link is gone."""
+        """Drop the offers of a closed link."""
         self._offers.pop(link, None)
 
-    def hand(self, link: int, peer: messages.Hello, wanted: messages.WantViews) -> None:
-        """Hand views to a peer, and name the peer to all others first.
+    def send_views(
+        self, link: int, peer: messages.Hello, wanted: messages.WantViews
+    ) -> None:
+        """Send views to a peer, after introducing the peer to all others.
 
-        The peer may start to route by these views. If nobody but this instance knew
-        of it, a later view could be taken for acknowledged by all while the peer
-        still sends to an engine that it withdraws.
+        The peer may start to route by these views. If only this instance knew of it, a
+        later view could seem acknowledged by all while the peer still dispatches to an
+        engine that the view withdraws.
         """
         if not self._table.complete:
             return
         self._acknowledged.introduce(
             messages.Introduction(peer.incarnation, peer.host, peer.port)
         )
-        self._changed()
+        self._send_heartbeats()
         chosen = self._table.selected(wanted.failure_domains)
         stored = tuple(view_table.stored_view(view) for view in chosen)
-        whole = not wanted.failure_domains
-        self._network.send(link, messages.DomainViews(whole, stored))
+        complete = not wanted.failure_domains
+        self._network.send(link, messages.DomainViews(complete, stored))
 
-    def _ask(self, link: int) -> None:
+    def _request(self, link: int) -> None:
         now = self._clock.monotonic()
         behind = [
             name
@@ -131,14 +145,14 @@
             if number > self._table.number(name)
         ]
         if not self._table.complete:
-            # Until all views are here, one peer at a time is asked for all of them.
+            # Until all views are known, one peer at a time is asked for all of them.
             behind = [""]
         due = [
             name
             for name in behind
-            if now - self._asked.get(name, -_ASK_AGAIN_AFTER) >= _ASK_AGAIN_AFTER
+            if now - self._requested.get(name, -_RETRY_AFTER) >= _RETRY_AFTER
         ]
         if due:
-            self._asked |= dict.fromkeys(due, now)
+            self._requested |= dict.fromkeys(due, now)
             named = tuple(name for name in due if name)
             self._network.send(link, messages.WantViews(named))
--- a/src/pimentolatch/protocol/beacons.py
+++ b/src/pimentolatch/protocol/beacons.py
@@ -1,9 +1,9 @@
-"""Datagrams in which instances tell each other what they know and have under way.
+"""Datagrams by which instances gossip their state and outstanding work.
 
-A count of outstanding work is worth something for a fraction of a second, so a lost one
-is not sent again: the next is on its way. That makes datagrams the better carrier than
-the links between instances of the other protocol, whose connections would have to be
-opened, probed and given up at every partition.
+A count of outstanding work is useful for a fraction of a second, so a lost one is not
+sent again: the next beacon replaces it. Datagrams therefore suit it better than the TCP
+links of `messages`, which would have to be opened, probed and closed at every network
+partition.
 """
 
 import dataclasses
@@ -17,16 +17,16 @@
 
 __all__ = [
     "Beacon",
-    "CachedPart",
-    "Changing",
+    "CachedPrefix",
+    "CrashReport",
     "Demand",
-    "Holder",
+    "Leader",
     "Load",
     "Malformed",
     "Member",
-    "Piece",
     "Reader",
-    "Suspicion",
+    "StageChange",
+    "TotalsChunk",
     "decode",
     "encode",
 ]
@@ -37,26 +37,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """Work at one engine, of the sender or of all instances.
+    """Load of one engine that the sender, or all instances of its domain, caused.
 
     Attributes:
-        reading: Prompt tokens that are not read yet, by urgency.
-        writing: Streams that run.
-        held: Tokens that these streams keep in memory.
+        prefill_tokens: Prompt tokens that are not prefilled yet, by urgency.
+        streams: Number of running streams.
+        kv_tokens: Tokens that these streams have in the KV cache.
     """
 
     engine: servers.Incarnation
-    reading: tuple[int, ...]
-    writing: int
-    held: int
+    prefill_tokens: tuple[int, ...]
+    streams: int
+    kv_tokens: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CachedPart:
-    """A part of prompts that an engine keeps in its prefix cache.
+class CachedPrefix:
+    """A part of prompts that an engine has in its prefix cache.
 
     Attributes:
         key: `prompts.part_key` of the part's name.
+        tokens: Length of the part.
     """
 
     engine: servers.Incarnation
@@ -65,43 +66,45 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Piece:
-    """Which of the engines the totals of a beacon cover: one part of them by a hash."""
+class TotalsChunk:
+    """The engines that the totals of a beacon cover, as one of `count` hash buckets."""
 
     number: int = 0
     count: int = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Changing:
+class StageChange:
     """An engine that is changing its stage.
 
     Attributes:
-        left_ms: Until the change is over at the latest.
+        remaining_ms: Time until the change has ended at the latest.
     """
 
     engine: servers.Incarnation
     stage: servers.Stage
-    left_ms: int
+    remaining_ms: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """What clients ask of a service through the sender, in tokens a second.
+    """Demand of clients on a service at the sender, in tokens a second.
 
     Attributes:
-        rate: Prompt tokens a second that one engine reads, as the sender has learned.
+        prefill: Prompt tokens to prefill.
+        decode: Tokens to decode.
+        prefill_rate: Prompt tokens a second that one engine prefills, as learned.
     """
 
     service: str
-    reading: int
-    writing: int
-    rate: int
+    prefill: int
+    decode: int
+    prefill_rate: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """An instance that the sender knows of; its domain is empty if not known."""
+    """An instance that the sender knows; its domain is empty if not known."""
 
     host: str
     failure_domain: str
@@ -109,10 +112,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reader:
-    """An instance of the sender's domain that would read the platform's store.
+    """An instance of the sender's domain that can watch the platform's store.
 
     Attributes:
-        age_ms: How long ago it said so.
+        age_ms: Time since it reported so.
     """
 
     instance: str
@@ -120,33 +123,33 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Suspicion:
-    """A server's connection ended while it ran a request.
+class CrashReport:
+    """A server's connection closed while the server ran a request.
 
     Attributes:
         digest: `digests.request_digest` of the request.
-        cleared: The server lives on, or the request has run to its end since.
-        age_ms: How long ago it ended at the most.
-        lasted_ms: How long the server had had the request by then; 0 if not known.
-        server_lives: The server has answered since, so that it has not ended.
+        cleared: Whether the server proved alive or the request has completed since.
+        age_ms: Maximum time since the connection closed.
+        ran_for_ms: Time for which the server had run the request; 0 if not known.
+        server_alive: Whether the server has responded since, so that it did not crash.
     """
 
     digest: int
     server: servers.Incarnation
     cleared: bool
     age_ms: int
-    lasted_ms: int = 0
-    server_lives: bool = False
+    ran_for_ms: int = 0
+    server_alive: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Holder:
-    """The instance that does the duties of one holder, or did so last.
+class Leader:
+    """The current or last leader.
 
     Attributes:
-        fence: Fencing token of its tenure; a higher one is a later holder.
-        released: It sends nothing more in that tenure.
-        age_ms: How long ago it said so at the most.
+        fence: Fencing token of its leadership; a later leader has a higher one.
+        released: Whether it has released the lease and sends no more orders under it.
+        age_ms: Maximum time since it announced this.
     """
 
     host: str
@@ -157,69 +160,71 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Beacon:
-    """What one instance tells its peers several times a second.
+    """State that an instance sends to its peers several times a second.
 
     Attributes:
         instance: Name of the sender.
-        failure_domain: Where the sender stands.
-        life: Differs for each start of the sender.
-        configuration: Version that the sender has in force.
+        failure_domain: Failure domain of the sender.
+        incarnation: Unique for each start of the sender.
+        configuration: Version of the configuration in force at the sender.
         servers: Revision of the store up to which the sender knows the servers.
-        stopping: The sender is about to end.
-        readers: Who would read the store for the sender's domain, first by name.
-        members: Some of the instances that the sender knows of.
-        loads: Work of the sender.
-        totals: Work of all instances of the sender's domain, for those of other ones.
-        piece: The engines that the totals cover; the others among these are idle.
-        cached: Parts that engines keep, as far as the sender has just learned.
-        changing: Engines that are changing their stage, as the sender has heard.
-        suspicions: Requests under which servers have ended.
-        holder: Who does the duties of one holder, as the sender has heard.
+        stopping: Whether the sender is shutting down.
+        readers: Candidates to watch the store for the sender's domain, first by name.
+        members: Some of the instances that the sender knows.
+        loads: Engine loads that the sender caused.
+        cached: Parts that the sender just learned to be in engines' prefix caches.
+        demands: Demand of the sender's clients, by service.
+        totals: Engine loads that all instances of the sender's domain caused, for
+            instances of other domains.
+        stage_changes: Engines that are changing their stage, as known to the sender.
+        chunk: The engines that the totals cover; those of them not listed are idle.
+        crash_reports: Requests during which servers crashed.
+        leader: The newest leader that the sender knows.
     """
 
     instance: str
     failure_domain: str
-    life: str
+    incarnation: str
     configuration: int
     servers: int
     stopping: bool
     readers: tuple[Reader, ...]
     members: tuple[Member, ...]
     loads: tuple[Load, ...] = ()
-    cached: tuple[CachedPart, ...] = ()
+    cached: tuple[CachedPrefix, ...] = ()
     demands: tuple[Demand, ...] = ()
     totals: tuple[Load, ...] = ()
-    changing: tuple[Changing, ...] = ()
-    piece: Piece = Piece()
-    suspicions: tuple[Suspicion, ...] = ()
-    holder: Holder | None = None
+    stage_changes: tuple[StageChange, ...] = ()
+    chunk: TotalsChunk = TotalsChunk()
+    crash_reports: tuple[CrashReport, ...] = ()
+    leader: Leader | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Malformed:
-    """A datagram that is no beacon of this version."""
+    """A datagram that is not a beacon of this version."""
 
     reason: str
 
 
 def encode(beacon: Beacon) -> bytes:
     """Return the datagram of a beacon."""
-    engines = _Engines()
+    engines = _EngineNumbering()
     loads = [_load_row(load, engines) for load in beacon.loads]
     cached = [
         [engines.number(part.engine), part.key, part.tokens] for part in beacon.cached
     ]
     totals = [_load_row(load, engines) for load in beacon.totals]
-    changing = [
-        [engines.number(item.engine), item.stage.value, item.left_ms]
-        for item in beacon.changing
+    stage_changes = [
+        [engines.number(item.engine), item.stage.value, item.remaining_ms]
+        for item in beacon.stage_changes
     ]
-    suspicions = [_suspicion_row(item, engines) for item in beacon.suspicions]
+    crash_reports = [_crash_report_row(item, engines) for item in beacon.crash_reports]
     rows: list[typing.Any] = [
         _VERSION,
         beacon.instance,
         beacon.failure_domain,
-        beacon.life,
+        beacon.incarnation,
         beacon.configuration,
         beacon.servers,
         beacon.stopping,
@@ -228,18 +233,18 @@
         [[engine.server_id, engine.born] for engine in engines.numbered],
         loads,
         cached,
-        [[d.service, d.reading, d.writing, d.rate] for d in beacon.demands],
+        [[d.service, d.prefill, d.decode, d.prefill_rate] for d in beacon.demands],
         totals,
-        changing,
-        [beacon.piece.number, beacon.piece.count],
-        suspicions,
-        _holder_row(beacon.holder),
+        stage_changes,
+        [beacon.chunk.number, beacon.chunk.count],
+        crash_reports,
+        _leader_row(beacon.leader),
     ]
     return cbor2.dumps(rows)
 
 
-class _Engines:
-    """Numbers the engines of a beacon, most of which it names more than once.
+class _EngineNumbering:
+    """Numbers the engines of a beacon, since it refers to most of them repeatedly.
 
     Attributes:
         numbered: The engines in the order of their numbers.
@@ -253,15 +258,15 @@
         return self.numbered.setdefault(engine, len(self.numbered))
 
 
-def _load_row(load: Load, engines: _Engines) -> list[typing.Any]:
+def _load_row(load: Load, engines: _EngineNumbering) -> list[typing.Any]:
     number = engines.number(load.engine)
-    return [number, list(load.reading), load.writing, load.held]
+    return [number, list(load.prefill_tokens), load.streams, load.kv_tokens]
 
 
 def _load(row: typing.Any, engines: abc.Sequence[servers.Incarnation]) -> Load:
-    engine, reading, writing, held = row
-    number, writing, held = fields.counts((engine, writing, held))
-    return Load(engines[number], fields.counts(reading), writing, held)
+    engine, prefill_tokens, streams, kv_tokens = row
+    number, streams, kv_tokens = fields.counts((engine, streams, kv_tokens))
+    return Load(engines[number], fields.counts(prefill_tokens), streams, kv_tokens)
 
 
 def _engine(row: typing.Any) -> servers.Incarnation:
@@ -271,19 +276,19 @@
     )
 
 
-def _cached_part(
+def _cached_prefix(
     row: typing.Any, engines: abc.Sequence[servers.Incarnation]
-) -> CachedPart:
+) -> CachedPrefix:
     number, key, tokens = fields.counts(row)
-    return CachedPart(engines[number], key, tokens)
+    return CachedPrefix(engines[number], key, tokens)
 
 
 def decode(datagram: bytes) -> Beacon | Malformed:
-    """Return the beacon of a datagram; anybody may have sent it."""
+    """Return the beacon of a datagram, which is untrusted."""
     try:
         rows = cbor2.loads(datagram)
         if not isinstance(rows, list) or len(rows) != _FIELDS or rows[0] != _VERSION:
-            return Malformed("not a beacon of this version")
+            return Malformed("not a beacon of this protocol version")
         engines = [_engine(row) for row in rows[9]]
         return Beacon(
             fields.text(rows[1]),
@@ -295,43 +300,45 @@
             tuple(Reader(fields.text(row[0]), fields.count(row[1])) for row in rows[7]),
             tuple(Member(fields.text(row[0]), fields.text(row[1])) for row in rows[8]),
             tuple(_load(row, engines) for row in rows[10]),
-            tuple(_cached_part(row, engines) for row in rows[11]),
+            tuple(_cached_prefix(row, engines) for row in rows[11]),
             tuple(
                 Demand(fields.text(row[0]), *fields.counts(row[1:4]))
                 for row in rows[12]
             ),
             tuple(_load(row, engines) for row in rows[13]),
             tuple(
-                Changing(
+                StageChange(
                     engines[fields.count(row[0])],
                     servers.Stage(row[1]),
                     fields.count(row[2]),
                 )
                 for row in rows[14]
             ),
-            _piece(rows[15]),
-            tuple(_suspicion(row, engines) for row in rows[16]),
-            _holder(rows[17]),
+            _chunk(rows[15]),
+            tuple(_crash_report(row, engines) for row in rows[16]),
+            _leader(rows[17]),
         )
-    except fields.UNREADABLE as error:
+    except fields.DECODE_ERRORS as error:
         return Malformed(repr(error))
 
 
-def _suspicion_row(suspicion: Suspicion, engines: _Engines) -> list[typing.Any]:
+def _crash_report_row(
+    report: CrashReport, engines: _EngineNumbering
+) -> list[typing.Any]:
     return [
-        suspicion.digest,
-        engines.number(suspicion.server),
-        suspicion.cleared,
-        suspicion.age_ms,
-        suspicion.lasted_ms,
-        suspicion.server_lives,
+        report.digest,
+        engines.number(report.server),
+        report.cleared,
+        report.age_ms,
+        report.ran_for_ms,
+        report.server_alive,
     ]
 
 
-def _suspicion(
+def _crash_report(
     row: typing.Any, engines: abc.Sequence[servers.Incarnation]
-) -> Suspicion:
-    return Suspicion(
+) -> CrashReport:
+    return CrashReport(
         fields.count(row[0]),
         engines[fields.count(row[1])],
         bool(row[2]),
@@ -341,22 +348,22 @@
     )
 
 
-def _holder_row(holder: Holder | None) -> list[typing.Any] | None:
-    if holder is None:
+def _leader_row(leader: Leader | None) -> list[typing.Any] | None:
+    if leader is None:
         return None
-    return [holder.host, holder.fence, holder.released, holder.age_ms]
+    return [leader.host, leader.fence, leader.released, leader.age_ms]
 
 
-def _holder(row: typing.Any) -> Holder | None:
+def _leader(row: typing.Any) -> Leader | None:
     if row is None:
         return None
-    return Holder(
+    return Leader(
         fields.text(row[0]), fields.count(row[1]), bool(row[2]), fields.count(row[3])
     )
 
 
-def _piece(row: typing.Any) -> Piece:
-    piece = Piece(*fields.counts(row))
-    if not piece.number < piece.count:
-        raise ValueError(f"not a piece of several: {row!r}")
-    return piece
+def _chunk(row: typing.Any) -> TotalsChunk:
+    chunk = TotalsChunk(*fields.counts(row))
+    if not chunk.number < chunk.count:
+        raise ValueError(f"chunk number must be below the count: {row!r}")
+    return chunk
--- a/src/pimentolatch/protocol/codec.py
+++ b/src/pimentolatch/protocol/codec.py
@@ -1,8 +1,8 @@
-"""Turns messages into CBOR and back, and checks everything that comes in.
+"""Encodes messages as CBOR, and decodes and validates received frames.
 
 A frame is an array of messages; a message is its type's number and then its fields in
-order. Names of fields are not sent: at 40 links and a heartbeat a second they would be
-most of the bytes.
+order. Field names are not sent: with 40 links and a heartbeat a second they would make
+up most of the bytes.
 """
 
 import dataclasses
@@ -17,8 +17,8 @@
 __all__ = ["FRAME_LIMIT_BYTES", "PROTOCOL_VERSION", "Malformed", "decode", "encode"]
 
 PROTOCOL_VERSION = 1
-# Above the largest part of a document after compression, and small enough that 41
-# peers that all send their largest frame at once stay far below 128 MB.
+# The limit exceeds the largest compressed part of a document, and is so low that 41
+# peers that all send a frame of this size at once stay far below 128 MB.
 FRAME_LIMIT_BYTES = 512_000
 _TEXT_LIMIT = 400_000
 _SEQUENCE_LIMIT = 20_000
@@ -27,10 +27,10 @@
 _NUMBERS: dict[type, int] = {
     messages.Hello: 1,
     messages.Heartbeat: 2,
-    messages.Testimony: 3,
+    messages.LivenessReport: 3,
     messages.Farewell: 4,
-    messages.HolderNotice: 5,
-    messages.Acknowledged: 6,
+    messages.LeaderNotice: 5,
+    messages.RelayedAcknowledgements: 6,
     messages.WantViews: 7,
     messages.DomainViews: 8,
     messages.WantHead: 9,
@@ -38,18 +38,18 @@
     messages.WantParts: 11,
     messages.Part: 12,
     messages.PartMissing: 13,
-    messages.SharesDelta: 14,
+    messages.WorkDelta: 14,
     messages.LeavingNotice: 15,
     messages.CrashNotice: 16,
 }
 _TYPES = {number: kind for kind, number in _NUMBERS.items()}
 
-Reader = abc.Callable[[typing.Any], typing.Any]
+FieldDecoder = abc.Callable[[typing.Any], typing.Any]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Malformed:
-    """A frame that is not one of this protocol."""
+    """A frame that does not follow the protocol."""
 
     reason: str
 
@@ -59,15 +59,16 @@
 
 
 def encode(batch: abc.Iterable[messages.Message]) -> bytes:
-    """Return the frame that holds the messages, in order."""
+    """Return a frame with the messages in order."""
     return cbor2.dumps([[_NUMBERS[type(item)], *_fields(item)] for item in batch])
 
 
 def decode(frame: bytes) -> tuple[messages.Message, ...] | Malformed:
-    """Return the messages of a frame, or what is wrong with it."""
+    """Return the messages of a frame, or the reason why it is malformed."""
     if len(frame) > FRAME_LIMIT_BYTES:
-        return Malformed(f"{len(frame)} bytes")
-    # The decoder meets hostile nesting and lengths before any check of ours.
+        return Malformed(f"frame has {len(frame)} bytes, over the limit")
+    # cbor2 parses the untrusted frame before any check here, so hostile nesting and
+    # lengths can raise any of these errors.
     try:
         raw = cbor2.loads(frame)
         return tuple(_message(item) for item in _array(raw))
@@ -85,12 +86,12 @@
 
 
 def _fields(item: typing.Any) -> list[typing.Any]:
-    return [_plain(getattr(item, name)) for name, _ in _readers(type(item))]
+    return [_to_plain(getattr(item, name)) for name, _ in _field_decoders(type(item))]
 
 
-def _plain(value: typing.Any) -> typing.Any:
+def _to_plain(value: typing.Any) -> typing.Any:
     if isinstance(value, tuple):
-        return [_plain(item) for item in value]
+        return [_to_plain(item) for item in value]
     if dataclasses.is_dataclass(value):
         return _fields(value)
     return value
@@ -101,17 +102,17 @@
     number = items[0] if items else None
     if type(number) is not int or number not in _TYPES:
         raise _FieldError("unknown message type")
-    return typing.cast(messages.Message, _record(_TYPES[number], items[1:]))
+    return typing.cast(messages.Message, _decode_record(_TYPES[number], items[1:]))
 
 
-def _record(kind: type, raw: list[typing.Any]) -> typing.Any:
-    readers = _readers(kind)
-    if len(raw) != len(readers):
-        raise _FieldError(f"{kind.__name__}: {len(raw)} fields")
+def _decode_record(kind: type, raw: list[typing.Any]) -> typing.Any:
+    decoders = _field_decoders(kind)
+    if len(raw) != len(decoders):
+        raise _FieldError(f"{kind.__name__}: unexpected number of fields: {len(raw)}")
     values = []
-    for (name, reader), value in zip(readers, raw, strict=True):
+    for (name, decoder), value in zip(decoders, raw, strict=True):
         try:
-            values.append(reader(value))
+            values.append(decoder(value))
         except _FieldError as error:
             raise _FieldError(f"{kind.__name__}.{name}: {error}") from None
     return kind(*values)
@@ -119,19 +120,19 @@
 
 def _array(raw: typing.Any) -> list[typing.Any]:
     if not isinstance(raw, list) or len(raw) > _SEQUENCE_LIMIT:
-        raise _FieldError("must be a bounded array")
+        raise _FieldError("must be an array within the length limit")
     return raw
 
 
 def _integer(raw: typing.Any) -> int:
     if type(raw) is not int or not 0 <= raw < _INTEGER_LIMIT:
-        raise _FieldError("must be a number from 0")
+        raise _FieldError("must be an integer from 0 and within the limit")
     return raw
 
 
 def _number(raw: typing.Any) -> float:
     if type(raw) not in (int, float) or not 0 <= raw < _INTEGER_LIMIT:
-        raise _FieldError("must be a number from 0")
+        raise _FieldError("must be a number from 0 and within the limit")
     return float(raw)
 
 
@@ -143,7 +144,7 @@
 
 def _text(raw: typing.Any) -> str:
     if type(raw) is not str or len(raw) > _TEXT_LIMIT:
-        raise _FieldError("must be bounded text")
+        raise _FieldError("must be text within the length limit")
     return raw
 
 
@@ -153,27 +154,29 @@
     return raw
 
 
-_SCALARS: dict[type, Reader] = {
+_SCALARS: dict[type, FieldDecoder] = {
     int: _integer,
     float: _number,
     bool: _boolean,
     str: _text,
     bytes: _bytes,
 }
-_READERS: dict[type, tuple[tuple[str, Reader], ...]] = {}
+_FIELD_DECODERS: dict[type, tuple[tuple[str, FieldDecoder], ...]] = {}
 
 
-def _readers(kind: type) -> tuple[tuple[str, Reader], ...]:
-    if kind not in _READERS:
+def _field_decoders(kind: type) -> tuple[tuple[str, FieldDecoder], ...]:
+    if kind not in _FIELD_DECODERS:
         hints = typing.get_type_hints(kind)
-        _READERS[kind] = tuple((name, _reader(hint)) for name, hint in hints.items())
-    return _READERS[kind]
+        _FIELD_DECODERS[kind] = tuple(
+            (name, _decoder_for(hint)) for name, hint in hints.items()
+        )
+    return _FIELD_DECODERS[kind]
 
 
-def _reader(hint: typing.Any) -> Reader:
+def _decoder_for(hint: typing.Any) -> FieldDecoder:
     if isinstance(hint, types.GenericAlias):
-        item = _reader(hint.__args__[0])
+        item = _decoder_for(hint.__args__[0])
         return lambda raw: tuple(item(value) for value in _array(raw))
     if hint in _SCALARS:
         return _SCALARS[hint]
-    return lambda raw: _record(hint, _array(raw))
+    return lambda raw: _decode_record(hint, _array(raw))
--- a/src/pimentolatch/protocol/usage_rows.py
+++ b/src/pimentolatch/protocol/usage_rows.py
@@ -1,4 +1,4 @@
-"""Datagrams in which instances tell what customers' requests began."""
+"""Datagrams in which instances report how many requests customers started."""
 
 import dataclasses
 from collections import abc
@@ -11,13 +11,13 @@
 __all__ = ["Malformed", "decode", "encode"]
 
 _VERSION = 1
-# Customers in one datagram, so that it passes every link unfragmented.
-_MOST_CUSTOMERS = 50
+# Customers in one datagram, so few that no link has to fragment it.
+_MAX_CUSTOMERS = 50
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Malformed:
-    """A datagram that is no row of this version."""
+    """A datagram that is not a row of this version."""
 
     reason: str
 
@@ -25,26 +25,28 @@
 def encode(row: usage.Row) -> list[bytes]:
     """Return the datagrams of a row."""
     parts = [
-        row.counts[first : first + _MOST_CUSTOMERS]
-        for first in range(0, len(row.counts), _MOST_CUSTOMERS)
+        row.counts[first : first + _MAX_CUSTOMERS]
+        for first in range(0, len(row.counts), _MAX_CUSTOMERS)
     ]
     return [_encode_part(row, part) for part in parts or [()]]
 
 
 def decode(datagram: bytes) -> usage.Row | Malformed:
-    """Return the row of a datagram; anybody may have sent it."""
+    """Return the row of a datagram, which is untrusted."""
     try:
-        version, instance, life, window, final, total, counts = cbor2.loads(datagram)
+        version, instance, incarnation, window, final, total, counts = cbor2.loads(
+            datagram
+        )
         if version != _VERSION:
-            raise ValueError(f"version {version!r:.20}")
+            raise ValueError(f"unknown version {version!r:.20}")
         return usage.Row(
-            usage.Origin(fields.text(instance), fields.text(life)),
+            usage.Origin(fields.text(instance), fields.text(incarnation)),
             fields.count(window),
             bool(final),
             fields.count(total),
             tuple((fields.text(name), fields.count(count)) for name, count in counts),
         )
-    except fields.UNREADABLE as error:
+    except fields.DECODE_ERRORS as error:
         return Malformed(repr(error))
 
 
