--- a/benchmarks/slopes_state.py
+++ b/benchmarks/slopes_state.py
@@ -16,7 +16,7 @@
 
 from benchmarks import fits
 from pimentolatch import clock, fleet, settings
-from pimentolatch.control import heads, keeper, parts
+from pimentolatch.control import heads, local_document, parts
 from pimentolatch.decisions import dispatcher, lanes
 from pimentolatch.document import schema
 from pimentolatch.requests import claims
@@ -119,8 +119,8 @@
     ]
     made = [_head(n + 1, document) for n, document in enumerate(documents)]
     tracemalloc.start()
-    held = keeper.DocumentKeeper(fleet.Fleet(), clock.SystemClock())
-    held.release()
+    held = local_document.LocalDocument(fleet.Fleet(), clock.SystemClock())
+    held.set_views_known()
     held.adopt(made[0], pieces[0])
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/src/pimentolatch/control/allowance.py
+++ b/src/pimentolatch/control/change_budget.py
@@ -12,10 +12,10 @@
 from pimentolatch.decisions import serving_floor
 from pimentolatch.document import schema
 
-__all__ = ["Allowance"]
+__all__ = ["ChangeBudget"]
 
 
-class Allowance:
+class ChangeBudget:
     """What may still be begun in one pass.
 
     Args:
@@ -38,10 +38,10 @@
         self._loads = loads
         self._spare = _models_of(in_service)
         for model, count in _models_of(active).items():
-            least = serving_floor.min_serving(count, policy.least_serving_share)
-            self._spare[model] -= least
+            min_serving = serving_floor.min_serving(count, policy.least_serving_share)
+            self._spare[model] -= min_serving
 
-    def take_change(self, engine: schema.Engine, in_service: bool) -> str | None:
+    def reserve_change(self, engine: schema.Engine, in_service: bool) -> str | None:
         """Take one change, or return why there is none.
 
         An engine that does not serve anyway is no loss, so it is bound only by the
@@ -56,7 +56,7 @@
             self._spare.subtract(engine.models)
         return None
 
-    def take_back(self, engine: schema.Engine) -> bool:
+    def reclaim(self, engine: schema.Engine) -> bool:
         """Tell whether a drain should be given up, and count it as given up.
 
         An engine that crashes or leaves while others drain can leave nobody to
@@ -64,14 +64,14 @@
         holders that did not see each other's slots can begin more changes than
         `concurrent_changes`; whoever sees all of them gives the excess up.
         """
-        missed = any(self._spare[model] < 0 for model in engine.models)
-        if not missed and self._changes >= 0:
+        below_minimum = any(self._spare[model] < 0 for model in engine.models)
+        if not below_minimum and self._changes >= 0:
             return False
         self._changes += 1
         self._spare.update(engine.models)
         return True
 
-    def take_load(self) -> bool:
+    def reserve_load(self) -> bool:
         """Take one load; False if none may begin now."""
         if self._loads <= 0:
             return False
--- a/src/pimentolatch/control/configuration.py
+++ b/src/pimentolatch/control/configuration.py
@@ -26,10 +26,10 @@
 ]
 
 _ATTEMPT_TIME = datetime.timedelta(seconds=15)
-_FIRST_PAUSE = datetime.timedelta(seconds=0.1)
-_LONGEST_PAUSE = datetime.timedelta(seconds=2)
-_ROUNDS = 5
-_WRITES_AT_ONCE = 8
+_MIN_PAUSE = datetime.timedelta(seconds=0.1)
+_MAX_PAUSE = datetime.timedelta(seconds=2)
+_MAX_ROUNDS = 5
+_CONCURRENT_WRITES = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Moved:
+class _HeadChanged:
     """The head object changed, though the document in force is the same."""
 
 
@@ -162,33 +162,35 @@
     async def submit(self, submission: Submission) -> Outcome:
         """Put a document in force, or tell truly why it is not."""
         submission = with_pieces(submission)
-        end = self._clock.monotonic() + self._attempt_time
-        for _ in range(_ROUNDS):
-            outcome = await self._submit_once(submission, end)
-            if not isinstance(outcome, _Moved):
+        deadline = self._clock.monotonic() + self._attempt_time
+        for _ in range(_MAX_ROUNDS):
+            outcome = await self._submit_once(submission, deadline)
+            if not isinstance(outcome, _HeadChanged):
                 return outcome
         return NotSubmitted("the head kept changing")
 
     async def _submit_once(
-        self, submission: Submission, end: datetime.timedelta
-    ) -> Outcome | _Moved:
-        base = await self._read_until(end)
+        self, submission: Submission, deadline: datetime.timedelta
+    ) -> Outcome | _HeadChanged:
+        base = await self._read_until(deadline)
         if isinstance(base, store.Unavailable):
             return NotSubmitted(base.reason)
-        settled = _settled(submission, base)
-        if settled is not None:
-            return settled
+        decided = _decided_outcome(submission, base)
+        if decided is not None:
+            return decided
         names = await self._write_parts(submission.pieces, base.head)
         if isinstance(names, store.Unavailable):
             return NotSubmitted(names.reason)
         head = _next_head(submission, base.head, names)
-        return await self._write_head(submission, head, base.version, end)
+        return await self._write_head(submission, head, base.version, deadline)
 
-    async def _read_until(self, end: datetime.timedelta) -> Current | store.Unavailable:
+    async def _read_until(
+        self, deadline: datetime.timedelta
+    ) -> Current | store.Unavailable:
         pauses = self._pauses()
         while True:
             current = await self.current()
-            if isinstance(current, Current) or self._clock.monotonic() >= end:
+            if isinstance(current, Current) or self._clock.monotonic() >= deadline:
                 return current
             await self._clock.sleep(pauses.next_pause())
 
@@ -197,8 +199,8 @@
         submission: Submission,
         head: heads.Head,
         version: int,
-        end: datetime.timedelta,
-    ) -> Outcome | _Moved:
+        deadline: datetime.timedelta,
+    ) -> Outcome | _HeadChanged:
         """Write the head, again and again until it is certain what became of it.
 
         A write whose answer is lost may have taken effect, or may still be on its way
@@ -208,7 +210,7 @@
         what is then read back is final.
         """
         pauses = self._pauses()
-        certain = True
+        effect_known = True
         while True:
             outcome = await self._store.put(
                 heads.HEAD_KIND, heads.HEAD_NAME, head.to_json(), if_version=version
@@ -216,31 +218,33 @@
             if isinstance(outcome, store.Written):
                 return Accepted(head)
             if isinstance(outcome, store.Conflict):
-                return await self._after_conflict(submission, head, certain, end)
-            certain = certain and not outcome.effect_unknown
-            if self._clock.monotonic() >= end:
-                return _unsettled(outcome.reason, certain)
+                return await self._after_conflict(
+                    submission, head, effect_known, deadline
+                )
+            effect_known = effect_known and not outcome.effect_unknown
+            if self._clock.monotonic() >= deadline:
+                return _failed_outcome(outcome.reason, effect_known)
             await self._clock.sleep(pauses.next_pause())
 
     async def _after_conflict(
         self,
         submission: Submission,
         head: heads.Head,
-        certain: bool,
-        end: datetime.timedelta,
-    ) -> Outcome | _Moved:
-        current = await self._read_until(end)
+        effect_known: bool,
+        deadline: datetime.timedelta,
+    ) -> Outcome | _HeadChanged:
+        current = await self._read_until(deadline)
         if isinstance(current, store.Unavailable):
-            return _unsettled(f"conflict, then {current.reason}", certain)
-        settled = _settled(submission, current)
-        if settled is not None:
-            return settled
+            return _failed_outcome(f"conflict, then {current.reason}", effect_known)
+        decided = _decided_outcome(submission, current)
+        if decided is not None:
+            return decided
         if current.head is None or current.head.number < head.number:
-            return _Moved()
+            return _HeadChanged()
         return Lost(current.head)
 
     async def _write_parts(
-        self, wanted: tuple[parts.PartText, ...], base: heads.Head | None
+        self, part_texts: tuple[parts.PartText, ...], base: heads.Head | None
     ) -> tuple[str, ...] | store.Unavailable:
         """Write the parts that the base document does not have.
 
@@ -253,16 +257,16 @@
         token = secrets.token_hex(4)
         names = tuple(
             known.get(part.content_hash, f"{part.content_hash}.{token}")
-            for part in wanted
+            for part in part_texts
         )
         new = {
             name: part.text
-            for name, part in zip(names, wanted, strict=True)
+            for name, part in zip(names, part_texts, strict=True)
             if name.endswith(token)
         }
-        turns = asyncio.Semaphore(_WRITES_AT_ONCE)
+        semaphore = asyncio.Semaphore(_CONCURRENT_WRITES)
         outcomes = await asyncio.gather(
-            *(self._write_part(name, text, turns) for name, text in new.items())
+            *(self._write_part(name, text, semaphore) for name, text in new.items())
         )
         for outcome in outcomes:
             if isinstance(outcome, store.Unavailable):
@@ -270,11 +274,11 @@
         return names
 
     async def _write_part(
-        self, name: str, text: str, turns: asyncio.Semaphore
+        self, name: str, text: str, semaphore: asyncio.Semaphore
     ) -> store.Written | store.Conflict | store.Unavailable:
         pauses = self._pauses()
-        end = self._clock.monotonic() + self._attempt_time
-        async with turns:
+        deadline = self._clock.monotonic() + self._attempt_time
+        async with semaphore:
             while True:
                 outcome = await self._store.put(
                     heads.PART_KIND, name, text, if_version=0
@@ -282,15 +286,17 @@
                 # Nobody else writes this name: a conflict is an own attempt's.
                 if not isinstance(outcome, store.Unavailable):
                     return outcome
-                if self._clock.monotonic() >= end:
+                if self._clock.monotonic() >= deadline:
                     return outcome
                 await self._clock.sleep(pauses.next_pause())
 
     def _pauses(self) -> backoff.Backoff:
-        return backoff.Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, self._chance)
+        return backoff.Backoff(_MIN_PAUSE, _MAX_PAUSE, self._chance)
 
 
-def _settled(submission: Submission, current: Current) -> Accepted | Lost | None:
+def _decided_outcome(
+    submission: Submission, current: Current
+) -> Accepted | Lost | None:
     head = current.head
     number = 0 if head is None else head.number
     if head is not None:
@@ -327,5 +333,7 @@
     return dataclasses.replace(head, parts=names, past=past)
 
 
-def _unsettled(reason: str, certain: bool) -> NotSubmitted | SubmissionUnknown:
-    return NotSubmitted(reason) if certain else SubmissionUnknown(reason)
+def _failed_outcome(
+    reason: str, effect_known: bool
+) -> NotSubmitted | SubmissionUnknown:
+    return NotSubmitted(reason) if effect_known else SubmissionUnknown(reason)
--- a/src/pimentolatch/control/holder.py
+++ b/src/pimentolatch/control/domain_controller.py
@@ -18,17 +18,23 @@
 from pimentolatch.backend import orders as order_client
 from pimentolatch.control import (
     drain,
-    duty,
+    leader_lease,
     orders,
+    reconcile_loop,
+    role_planning,
     slots,
-    standings,
-    steps,
-    tenure,
+    step_executor,
 )
 from pimentolatch.decisions import roles
 from pimentolatch.membership import views
 
-__all__ = ["ChangeStatus", "DutyHolder", "DutyStatus", "HolderSettings", "NoPlanner"]
+__all__ = [
+    "ChangeStatus",
+    "DomainController",
+    "ControllerStatus",
+    "ControllerSettings",
+    "NoPlanner",
+]
 
 _log = logbook.Logger("duty")
 
@@ -37,35 +43,36 @@
     """Keeps every engine in the role that it has."""
 
     def plan(
-        self, engines: abc.Sequence[standings.Standing], now: datetime.timedelta
+        self, engines: abc.Sequence[role_planning.EngineStatus], now: datetime.timedelta
     ) -> abc.Sequence[roles.RoleChange]:
-        """See `standings.RolePlanner.plan`."""
+        """See `role_planning.RolePlanner.plan`."""
         return ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HolderSettings:
+class ControllerSettings:
     """Times and bounds of the duty.
 
     Attributes:
-        pass_pause: Time between two passes; each reads the view and
+        pass_interval: Time between two passes; each reads the view and
             the slots that move.
-        quiet_pause: Time between two passes while no change is under way.
-        survey_engines: Engines in service whose state each pass asks for. One costs
+        idle_pass_interval: Time between two passes while no change is under way.
+        engines_polled_per_pass: Engines in service whose state each pass asks for. One
+            costs
             0.9 ms of processor time, so that 8 each quiet pause are 0.4% of a core,
             and a failure domain of 420 engines is seen whole in two minutes.
         change_deadline: Age at which a change under way is shown as overdue.
-        load_spacing: Least time between two orders that fetch weights. The weight
+        load_interval: Least time between two orders that fetch weights. The weight
             store's rate is the whole fleet's: 9 failure domains at one fetch each
             9 s come to one fetch a second.
     """
 
-    lease: duty.DutySettings = duty.DutySettings()
-    pass_pause: datetime.timedelta = datetime.timedelta(seconds=1)
-    quiet_pause: datetime.timedelta = datetime.timedelta(seconds=2)
-    survey_engines: int = 8
+    lease: leader_lease.LeaseSettings = leader_lease.LeaseSettings()
+    pass_interval: datetime.timedelta = datetime.timedelta(seconds=1)
+    idle_pass_interval: datetime.timedelta = datetime.timedelta(seconds=2)
+    engines_polled_per_pass: int = 8
     change_deadline: datetime.timedelta = datetime.timedelta(seconds=120)
-    load_spacing: datetime.timedelta = datetime.timedelta(seconds=9)
+    load_interval: datetime.timedelta = datetime.timedelta(seconds=9)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -85,7 +92,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DutyStatus:
+class ControllerStatus:
     """What operators see of the duty at this instance.
 
     Attributes:
@@ -99,7 +106,7 @@
     changes: tuple[ChangeStatus, ...]
 
 
-class DutyHolder:
+class DomainController:
     """Holds the duty of a failure domain whenever it is free.
 
     Args:
@@ -124,27 +131,29 @@
         senders: drain.SenderCounts,
         engines: order_client.OrderClient,
         leaving: typing.Callable[[], abc.Set[str] | None],
-        planner: standings.RolePlanner | None = None,
-        chosen: HolderSettings | None = None,
+        planner: role_planning.RolePlanner | None = None,
+        settings: ControllerSettings | None = None,
         random_source: random.Random | None = None,
     ) -> None:
-        self._settings = HolderSettings() if chosen is None else chosen
+        self._settings = ControllerSettings() if settings is None else settings
         self._fleet = own_fleet
         self._clock = time
         self._domain = failure_domain
-        self._lease = duty.DutyLease(
+        self._lease = leader_lease.LeaderLease(
             objects,
             failure_domain,
             incarnation,
             time=time,
             random_source=random_source or random.Random(),
-            chosen=self._settings.lease,
+            settings=self._settings.lease,
         )
         self._audit = trail.AuditTrail(objects, failure_domain, incarnation, time)
-        own_slots = slots.SlotObjects(objects, failure_domain)
-        giver = orders.OrderGiver(own_slots, engines, incarnation)
-        self._taker = steps.StepTaker(own_slots, giver, self._audit)
-        self._outside = tenure.Outside(
+        slot_objects = slots.SlotObjects(objects, failure_domain)
+        order_sender = orders.OrderSender(slot_objects, engines, incarnation)
+        self._executor = step_executor.StepExecutor(
+            slot_objects, order_sender, self._audit
+        )
+        self._deps = reconcile_loop.Dependencies(
             objects,
             time,
             acknowledgements,
@@ -154,34 +163,36 @@
             leaving,
             self._audit,
         )
-        self._tenure: tenure.Tenure | None = None
-        self._passed_number = 0
-        self._next_quiet_pass = datetime.timedelta.min
+        self._loop: reconcile_loop.ReconcileLoop | None = None
+        self._last_pass_number = 0
+        self._next_idle_pass = datetime.timedelta.min
         self._stopping = False
 
-    def status(self) -> DutyStatus:
+    def status(self) -> ControllerStatus:
         """Return what this instance knows of the duty and the changes under way."""
-        waiting = () if self._tenure is None else self._tenure.waiting
-        changes = tuple(self._change(item) for item in waiting)
-        return DutyStatus(self._domain, self._lease.held, self._lease.holder, changes)
+        unfinished = () if self._loop is None else self._loop.unfinished_changes
+        changes = tuple(self._change_status(item) for item in unfinished)
+        return ControllerStatus(
+            self._domain, self._lease.held, self._lease.holder, changes
+        )
 
     async def run(self) -> None:
         """Hold the duty whenever it is free; ends after `stop` or when cancelled."""
-        writing = asyncio.create_task(self._audit.run())
+        audit_task = asyncio.create_task(self._audit.run())
         try:
             await self._run()
         finally:
-            writing.cancel()
-            self._taker.cancel()
+            audit_task.cancel()
+            self._executor.cancel()
 
     async def stop(self) -> None:
         """Begin no change any more, wait for orders under way, hand the duty over."""
         self._stopping = True
-        await self._taker.wait()
+        await self._executor.wait()
         await self._audit.flush()
         await self._lease.release()
 
-    def _change(self, item: tenure.Waiting) -> ChangeStatus:
+    def _change_status(self, item: reconcile_loop.UnfinishedChange) -> ChangeStatus:
         age = self._clock.monotonic() - item.since
         overdue = age > self._settings.change_deadline
         return ChangeStatus(item.engine, item.reason, age, overdue)
@@ -194,32 +205,34 @@
                 next_lease_step = self._clock.monotonic() + pause
             if self._lease.held:
                 if self._pass_is_due():
-                    await self._advance()
-                await self._clock.sleep(self._settings.pass_pause)
+                    await self._run_pass()
+                await self._clock.sleep(self._settings.pass_interval)
             else:
-                self._tenure = None
+                self._loop = None
                 await self._clock.sleep(next_lease_step - self._clock.monotonic())
 
     def _pass_is_due(self) -> bool:
         """Tell whether a pass has something to do or enough time has passed."""
-        if self._tenure is None or self._tenure.waiting:
+        if self._loop is None or self._loop.unfinished_changes:
             return True
         current = self._fleet.view.configuration
-        changed = current is not None and current.number != self._passed_number
-        return changed or self._clock.monotonic() >= self._next_quiet_pass
+        changed = current is not None and current.number != self._last_pass_number
+        return changed or self._clock.monotonic() >= self._next_idle_pass
 
-    async def _advance(self) -> None:
+    async def _run_pass(self) -> None:
         configuration = self._fleet.view.configuration
         if configuration is None:
             return
-        self._passed_number = configuration.number
-        self._next_quiet_pass = self._clock.monotonic() + self._settings.quiet_pause
-        if self._tenure is None:
+        self._last_pass_number = configuration.number
+        self._next_idle_pass = (
+            self._clock.monotonic() + self._settings.idle_pass_interval
+        )
+        if self._loop is None:
             _log.info("duty begins", failure_domain=self._domain)
-            bounds = tenure.Bounds(
-                self._settings.survey_engines, self._settings.load_spacing
+            bounds = reconcile_loop.PassLimits(
+                self._settings.engines_polled_per_pass, self._settings.load_interval
             )
-            self._tenure = tenure.Tenure(
-                self._domain, self._outside, self._taker, bounds
+            self._loop = reconcile_loop.ReconcileLoop(
+                self._domain, self._deps, self._executor, bounds
             )
-        await self._tenure.advance(configuration)
+        await self._loop.run_pass(configuration)
--- a/src/pimentolatch/control/drain.py
+++ b/src/pimentolatch/control/drain.py
@@ -19,7 +19,7 @@
 __all__ = [
     "Drained",
     "InUse",
-    "Quiet",
+    "SendersIdle",
     "SenderCounts",
     "ViewObjects",
     "Withdrawal",
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Quiet:
+class SendersIdle:
     """No instance has or will send anything to the engine."""
 
 
@@ -78,7 +78,7 @@
     slot: slots.Slot,
     missing: abc.Set[str],
     in_flight: int | None,
-) -> Quiet | InUse:
+) -> SendersIdle | InUse:
     """Tell whether any instance may still have or send requests at the engine.
 
     An engine's own count is not enough: a request on its way to the engine is in no
@@ -95,7 +95,7 @@
         return InUse("senders' counts are missing")
     if in_flight:
         return InUse(f"{in_flight} requests in flight")
-    return Quiet()
+    return SendersIdle()
 
 
 def engine_outcome(
@@ -129,7 +129,7 @@
 def desired_view(
     document: schema.FleetDocument,
     current: views.DomainView,
-    own_slots: abc.Mapping[str, slots.Slot],
+    slots_by_engine: abc.Mapping[str, slots.Slot],
     leaving: abc.Set[str] | None,
 ) -> views.DomainView:
     """Return the view that the slots, the document and the list ask for.
@@ -137,7 +137,7 @@
     Args:
         document: The document in force.
         current: The view as it stands.
-        own_slots: The failure domain's slots, read after `current`.
+        slots_by_engine: The failure domain's slots, read after `current`.
         leaving: Leaving servers, or None while the list can't be read.
     """
     domain = current.failure_domain
@@ -145,16 +145,16 @@
     withdrawn = {server.name for server in servers if server.serving == "withdrawn"}
     withdrawn |= {
         slot.engine
-        for slot in own_slots.values()
+        for slot in slots_by_engine.values()
         if slot.state is not slots.SlotState.SERVING
     }
     # Without the list nobody knows whether a leaving server still is one, and giving
     # it work again would break off that work when it goes.
     withdrawn |= current.withdrawn if leaving is None else leaving
     roles = {
-        engine.name: targets.current_role(engine, own_slots[engine.name])
+        engine.name: targets.current_role(engine, slots_by_engine[engine.name])
         for engine in document.engines
-        if engine.failure_domain == domain and engine.name in own_slots
+        if engine.failure_domain == domain and engine.name in slots_by_engine
     }
     differing = tuple(
         (engine.name, roles[engine.name])
--- a/src/pimentolatch/control/collector.py
+++ b/src/pimentolatch/control/garbage_collector.py
@@ -8,7 +8,7 @@
 __all__ = ["PartCollector"]
 
 _log = logbook.Logger("configuration")
-_EVERY_DOCUMENTS = 16
+_COLLECT_INTERVAL = 16
 
 
 class PartCollector:
@@ -24,7 +24,7 @@
 
     def is_due(self, number: int) -> bool:
         """Tell whether the submitter of this document should collect."""
-        return number % _EVERY_DOCUMENTS == 0
+        return number % _COLLECT_INTERVAL == 0
 
     async def collect(self) -> int:
         """Remove parts that are certainly not needed; returns how many.
--- a/src/pimentolatch/control/duty.py
+++ b/src/pimentolatch/control/leader_lease.py
@@ -14,19 +14,19 @@
 
 from pimentolatch import clock, store
 
-__all__ = ["DUTY_KIND", "DutyLease", "DutySettings", "LeaseRecord"]
+__all__ = ["LEASE_KIND", "LeaderLease", "LeaseSettings", "LeaseRecord"]
 
-DUTY_KIND = "duty-leases"
+LEASE_KIND = "duty-leases"
 _NOBODY = ""
-_MIN_JITTER = 0.02
-_MAX_JITTER = 0.2
+_MIN_JITTER_FRACTION = 0.02
+_MAX_JITTER_FRACTION = 0.2
 # In renewals: with it an outage costs about as many calls as the time without one.
-_MAX_BACK_OFF = 4
-_NO_TIME = datetime.timedelta()
+_MAX_BACKOFF = 4
+_ZERO = datetime.timedelta()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DutySettings:
+class LeaseSettings:
     """Times of a duty lease.
 
     A holder renews at a third of the duration, so that one lost call does not end
@@ -57,14 +57,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Unanswered:
+class _UnknownWrite:
     """A write whose outcome is not known, and when it was begun."""
 
     record: LeaseRecord
     began: datetime.timedelta
 
 
-class DutyLease:
+class LeaderLease:
     """One instance's part in the lease of its failure domain.
 
     Args:
@@ -80,19 +80,19 @@
         *,
         time: clock.Clock,
         random_source: random.Random,
-        chosen: DutySettings | None = None,
+        settings: LeaseSettings | None = None,
     ) -> None:
         self._store = objects
         self._domain = failure_domain
         self._holder = holder
         self._clock = time
         self._random = random_source
-        self._settings = DutySettings() if chosen is None else chosen
+        self._settings = LeaseSettings() if settings is None else settings
         self._seen_version = -1
         self._seen_at = datetime.timedelta()
         self._record = LeaseRecord(_NOBODY, 0, 0)
         self._held_until = datetime.timedelta.min
-        self._unanswered: _Unanswered | None = None
+        self._unknown_write: _UnknownWrite | None = None
         self._failures = 0
 
     @property
@@ -115,11 +115,11 @@
         began = self._clock.monotonic()
         if self.held and await self._write(began):
             return self._settings.renewal
-        found = await self._store.get(DUTY_KIND, self._domain)
+        found = await self._store.get(LEASE_KIND, self._domain)
         if isinstance(found, store.Unavailable):
-            return self._back_off()
+            return self._backoff()
         self._failures = 0
-        self._see(found)
+        self._observe(found)
         if self._may_write() and not self._renewed_since(began):
             await self._write(began)
         return self._pause()
@@ -131,10 +131,10 @@
         self._held_until = datetime.timedelta.min
         record = dataclasses.replace(self._record, holder=_NOBODY)
         await self._store.put(
-            DUTY_KIND, self._domain, record.to_json(), if_version=self._seen_version
+            LEASE_KIND, self._domain, record.to_json(), if_version=self._seen_version
         )
 
-    def _see(self, found: store.Found | store.Absent) -> None:
+    def _observe(self, found: store.Found | store.Absent) -> None:
         version = found.version if isinstance(found, store.Found) else 0
         if version == self._seen_version:
             return
@@ -145,8 +145,11 @@
         # The answer to a write can be lost after it took effect. A holder that took
         # it for a failure would let its tenure lapse and nobody else could take it:
         # the others see the lease renewed. The record found is ours, to the number.
-        if self._unanswered is not None and self._unanswered.record == self._record:
-            self._held_until = self._unanswered.began + self._settings.duration
+        if (
+            self._unknown_write is not None
+            and self._unknown_write.record == self._record
+        ):
+            self._held_until = self._unknown_write.began + self._settings.duration
 
     def _renewed_since(self, began: datetime.timedelta) -> bool:
         return self._held_until >= began + self._settings.duration
@@ -157,14 +160,14 @@
         return self._clock.monotonic() - self._seen_at >= self._settings.duration
 
     async def _write(self, began: datetime.timedelta) -> bool:
-        own = self._record.holder == self._holder
-        epoch = self._record.epoch + (0 if own else 1)
+        is_renewal = self._record.holder == self._holder
+        epoch = self._record.epoch + (0 if is_renewal else 1)
         record = LeaseRecord(self._holder, epoch, self._record.renewals + 1)
         outcome = await self._store.put(
-            DUTY_KIND, self._domain, record.to_json(), if_version=self._seen_version
+            LEASE_KIND, self._domain, record.to_json(), if_version=self._seen_version
         )
         if not isinstance(outcome, store.Written):
-            self._unanswered = _Unanswered(record, began)
+            self._unknown_write = _UnknownWrite(record, began)
             return False
         self._record = record
         self._seen_version = outcome.version
@@ -173,7 +176,7 @@
         self._held_until = began + self._settings.duration
         return True
 
-    def _back_off(self) -> datetime.timedelta:
+    def _backoff(self) -> datetime.timedelta:
         """Return the wait after a failed call.
 
         When the platform comes back after an outage, hundreds of instances that ask
@@ -183,15 +186,15 @@
         if self.held:
             return self._settings.renewal
         self._failures += 1
-        longer = min(1 << self._failures, _MAX_BACK_OFF)
-        return self._settings.renewal * longer * self._random.uniform(0.5, 1.5)
+        factor = min(1 << self._failures, _MAX_BACKOFF)
+        return self._settings.renewal * factor * self._random.uniform(0.5, 1.5)
 
     def _pause(self) -> datetime.timedelta:
         if self.held or self._record.holder == self._holder:
             return self._settings.renewal
         # Without the jitter all instances would try to take a lapsed lease at once.
         jitter = self._settings.duration * self._random.uniform(
-            _MIN_JITTER, _MAX_JITTER
+            _MIN_JITTER_FRACTION, _MAX_JITTER_FRACTION
         )
         lapses_at = self._seen_at + self._settings.duration
-        return max(lapses_at - self._clock.monotonic(), _NO_TIME) + jitter
+        return max(lapses_at - self._clock.monotonic(), _ZERO) + jitter
--- a/src/pimentolatch/control/keeper.py
+++ b/src/pimentolatch/control/local_document.py
@@ -11,7 +11,7 @@
 from pimentolatch.control import configuration, heads, parts
 from pimentolatch.document import schema
 
-__all__ = ["Adopted", "DocumentKeeper", "Stale", "Unreadable"]
+__all__ = ["Adopted", "LocalDocument", "Stale", "Unreadable"]
 
 _log = logbook.Logger("configuration")
 
@@ -35,7 +35,7 @@
     reason: str
 
 
-class DocumentKeeper:
+class LocalDocument:
     """The document in force, as text in parts for peers and parsed for use.
 
     Args:
@@ -54,9 +54,9 @@
         self._adopted = adopted
         self._head: heads.Head | None = None
         self._parts: dict[str, str] = {}
-        self._waiting: fleet.Configuration | None = None
-        self._released = False
-        self._delay: datetime.timedelta | None = None
+        self._withheld: fleet.Configuration | None = None
+        self._views_known = False
+        self._adoption_delay: datetime.timedelta | None = None
 
     @property
     def head(self) -> heads.Head | None:
@@ -66,7 +66,7 @@
     @property
     def number(self) -> int:
         """Number of the document in force, 0 for none."""
-        return self._head.number if self._head is not None and self._released else 0
+        return self._head.number if self._head is not None and self._views_known else 0
 
     @property
     def known_number(self) -> int:
@@ -74,34 +74,34 @@
         return 0 if self._head is None else self._head.number
 
     @property
-    def delay(self) -> datetime.timedelta | None:
+    def adoption_delay(self) -> datetime.timedelta | None:
         """Time from the submission to the adoption here, by two machines' clocks."""
-        return self._delay
+        return self._adoption_delay
 
     def on_adopted(self, adopted: typing.Callable[[], None]) -> None:
         """Set what is called after a document came into force."""
         self._adopted = adopted
 
-    def part(self, name: str) -> str | None:
+    def part_text(self, name: str) -> str | None:
         """Return the text of a part of the document held here."""
         return self._parts.get(name)
 
-    def missing(self, head: heads.Head) -> tuple[str, ...]:
+    def missing_parts(self, head: heads.Head) -> tuple[str, ...]:
         """Return the parts of a document that are not held here."""
         return tuple(dict.fromkeys(n for n in head.parts if n not in self._parts))
 
-    def release(self) -> None:
+    def set_views_known(self) -> None:
         """Allow documents to come into force: the domain views are known.
 
         An instance that serves without them would send work to engines that are
         withdrawn, for it does not know of the withdrawal.
         """
-        if self._released:
+        if self._views_known:
             return
-        self._released = True
-        if self._waiting is not None:
-            self._put_in_force(self._waiting)
-            self._waiting = None
+        self._views_known = True
+        if self._withheld is not None:
+            self._put_in_force(self._withheld)
+            self._withheld = None
 
     def adopt(
         self, head: heads.Head, new: dict[str, str]
@@ -125,18 +125,18 @@
         document = checks.check_value(schema.FleetDocument, json.loads(text))
         if isinstance(document, checks.Problems):
             return Unreadable(str(document))
-        return self._take(head, present, document)
+        return self._accept(head, present, document)
 
-    def _take(
+    def _accept(
         self, head: heads.Head, texts: dict[str, str], document: schema.FleetDocument
     ) -> Adopted:
         self._head = head
         self._parts = texts
         found = fleet.Configuration(head.number, head.content_hash, document)
-        if self._released:
+        if self._views_known:
             self._put_in_force(found)
         else:
-            self._waiting = found
+            self._withheld = found
         return Adopted(head.number)
 
     def adopt_submitted(
@@ -154,13 +154,13 @@
         if head.number <= self.known_number:
             return Stale()
         named = zip(head.parts, (piece.text for piece in pieces), strict=True)
-        return self._take(head, dict(named), submission.document)
+        return self._accept(head, dict(named), submission.document)
 
     def _put_in_force(self, found: fleet.Configuration) -> None:
         if not self._fleet.adopt(found):
             return
         if self._head is not None:
             submitted = datetime.datetime.fromisoformat(self._head.submitted_at)
-            self._delay = self._clock.now() - submitted
+            self._adoption_delay = self._clock.now() - submitted
         _log.info("configuration in force", number=found.number)
         self._adopted()
--- a/src/pimentolatch/control/orders.py
+++ b/src/pimentolatch/control/orders.py
@@ -17,7 +17,7 @@
 __all__ = [
     "Given",
     "NotGiven",
-    "OrderGiver",
+    "OrderSender",
     "OrderRequest",
     "OutcomeOpen",
     "Resolution",
@@ -83,7 +83,7 @@
 OrderOutcome = Given | NotGiven | Superseded | OutcomeOpen
 
 
-class OrderGiver:
+class OrderSender:
     """Gives orders as one incarnation of one instance.
 
     Args:
@@ -92,23 +92,23 @@
 
     def __init__(
         self,
-        own_slots: slots.SlotObjects,
+        slot_objects: slots.SlotObjects,
         engines: order_client.OrderClient,
         sender: str,
     ) -> None:
-        self._slots = own_slots
+        self._slots = slot_objects
         self._engines = engines
         self._sender = sender
 
-    async def give(self, request: OrderRequest) -> OrderOutcome:
+    async def send(self, request: OrderRequest) -> OrderOutcome:
         """Give an order, or take a pending one over with a newer order."""
         order = self._order(request)
-        body = engine_body(order)
+        body = order_body(order)
         attempt = await self._engines.open(request.engine.address, body)
         if isinstance(attempt, order_client.Unreachable):
             return NotGiven(attempt.reason)
         try:
-            return await self._give(request.slot, order, attempt)
+            return await self._send(request.slot, order, attempt)
         finally:
             await attempt.aclose()
 
@@ -116,15 +116,17 @@
         self, slot: slots.Slot, state: order_client.EngineState
     ) -> slots.Slot | slots.SlotChanged | slots.SlotUnknown:
         """Record that the slot's order took effect."""
-        settled = slot.moved(slots.Event.SETTLE, engine_incarnation=state.incarnation)
+        settled = slot.after_event(
+            slots.Event.SETTLE, engine_incarnation=state.incarnation
+        )
         return await self._slots.update(settled)
 
-    async def _give(
+    async def _send(
         self, slot: slots.Slot, order: slots.Order, attempt: order_client.Attempt
     ) -> OrderOutcome:
         taking_over = slot.state is slots.SlotState.PENDING
         event = slots.Event.TAKE_OVER if taking_over else slots.Event.ORDER
-        pending = await self._slots.update(slot.moved(event, order=order))
+        pending = await self._slots.update(slot.after_event(event, order=order))
         if isinstance(pending, slots.SlotChanged):
             return Superseded()
         # An update whose outcome is unknown may still make the slot pending. Nothing
@@ -155,7 +157,7 @@
         )
 
 
-def engine_body(order: slots.Order) -> dict[str, typing.Any]:
+def order_body(order: slots.Order) -> dict[str, typing.Any]:
     """Return the body an engine receives."""
     head = {"order": order.order_id, "fence": order.sequence, "sender": order.sender}
     return head | order.target.to_json()
@@ -204,7 +206,7 @@
     slot: slots.Slot,
     engine: schema.Engine,
     state: order_client.EngineState | order_client.Unreachable,
-    seen_pending: datetime.timedelta,
+    pending_age: datetime.timedelta,
 ) -> Resolution:
     """Decide what to do about a pending order that this process is not sending.
 
@@ -212,7 +214,7 @@
         slot: A pending slot.
         engine: The slot's engine, as the document describes it.
         state: The engine's state, asked for after `seen_pending` was taken.
-        seen_pending: How long this process has seen this very order pending.
+        pending_age: How long this process has seen this very order pending.
     """
     if isinstance(state, order_client.Unreachable):
         return Wait(f"engine unreachable: {state.reason}")
@@ -220,6 +222,6 @@
         return Wait("the engine is changing")
     if slot.order is not None and state.last_order == slot.order.order_id:
         return Settle(state)
-    if seen_pending < takeover_wait(engine):
+    if pending_age < takeover_wait(engine):
         return Wait("the order may still be on its way")
     return TakeOver(state.fence)
--- a/src/pimentolatch/control/parts.py
+++ b/src/pimentolatch/control/parts.py
@@ -25,7 +25,7 @@
 
 # On average 64 entries, some 16 kB, make a part: a change then moves about one part
 # (a few kB compressed), and the head that names all parts stays at a few kB.
-_CUT_ONE_IN = 64
+_MEAN_ENTRIES_PER_PART = 64
 # Under the platform's megabyte even if every character needs six for its JSON escape.
 PART_LIMIT_CHARACTERS = 120_000
 _HASH_LENGTH = 32
@@ -41,12 +41,12 @@
 
 def document_text(document: schema.FleetDocument) -> str:
     """Return the one text a document is stored, hashed and sent to peers as."""
-    return "".join(_pieces(document))
+    return "".join(_fragments(document))
 
 
 def split(document: schema.FleetDocument) -> tuple[PartText, ...]:
     """Return the parts whose texts, joined, are the document's text."""
-    return tuple(PartText(part_hash(text), text) for text in _groups(document))
+    return tuple(PartText(part_hash(text), text) for text in _group_fragments(document))
 
 
 def content_hash(text: str) -> str:
@@ -59,29 +59,29 @@
     return content_hash(text)[:_HASH_LENGTH]
 
 
-def _groups(document: schema.FleetDocument) -> abc.Iterator[str]:
+def _group_fragments(document: schema.FleetDocument) -> abc.Iterator[str]:
     group: list[str] = []
     size = 0
-    for piece in _bounded(_pieces(document)):
-        if group and size + len(piece) > PART_LIMIT_CHARACTERS:
+    for fragment in _limit_size(_fragments(document)):
+        if group and size + len(fragment) > PART_LIMIT_CHARACTERS:
             yield "".join(group)
             group, size = [], 0
-        group.append(piece)
-        size += len(piece)
-        if zlib.crc32(piece.encode()) % _CUT_ONE_IN == 0:
+        group.append(fragment)
+        size += len(fragment)
+        if zlib.crc32(fragment.encode()) % _MEAN_ENTRIES_PER_PART == 0:
             yield "".join(group)
             group, size = [], 0
     if group:
         yield "".join(group)
 
 
-def _bounded(pieces: abc.Iterable[str]) -> abc.Iterator[str]:
-    for piece in pieces:
-        for start in range(0, len(piece), PART_LIMIT_CHARACTERS):
-            yield piece[start : start + PART_LIMIT_CHARACTERS]
+def _limit_size(fragments: abc.Iterable[str]) -> abc.Iterator[str]:
+    for fragment in fragments:
+        for start in range(0, len(fragment), PART_LIMIT_CHARACTERS):
+            yield fragment[start : start + PART_LIMIT_CHARACTERS]
 
 
-def _pieces(document: schema.FleetDocument) -> abc.Iterator[str]:
+def _fragments(document: schema.FleetDocument) -> abc.Iterator[str]:
     """Yield the text of the document, an entry of a list at a time."""
     separator = "{"
     for name, value in document.model_dump(mode="json").items():
--- a/src/pimentolatch/control/reconciler.py
+++ b/src/pimentolatch/control/reconciler.py
@@ -13,18 +13,18 @@
 from collections import abc
 
 from pimentolatch.backend import orders as order_client
-from pimentolatch.control import allowance, drain, orders, slots, targets
+from pimentolatch.control import change_budget, drain, orders, slots, targets
 from pimentolatch.decisions import roles
 from pimentolatch.document import schema
 
 __all__ = [
-    "Abandon",
+    "AbandonDrain",
     "BeginDrain",
-    "GiveOrder",
-    "Hold",
+    "SendOrder",
+    "Blocked",
     "ReturnToService",
     "SettleOrder",
-    "Situation",
+    "ObservedState",
     "Step",
     "engine_of",
     "next_steps",
@@ -34,18 +34,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Situation:
+class ObservedState:
     """Everything a pass has read.
 
     Attributes:
         number: Number of the document.
-        own_slots: Slots of the failure domain, by engine.
+        slots_by_engine: Slots of the failure domain, by engine.
         states: Engines' answers, asked for after acknowledgements and counts.
-        outcomes: Whether each draining engine is idle.
+        drain_outcomes: Whether each draining engine is idle.
         unreachable: Engines that gave no answer when last asked.
         leaving: Servers that the platform's list shows leaving.
-        wanted: Role changes that the planner asks for, by engine.
-        seen_pending: How long each pending order has been seen pending.
+        planned_changes: Role changes that the planner asks for, by engine.
+        pending_ages: How long each pending order has been seen pending.
         busy: Engines whose order this process is giving.
         may_load: Whether an order that fetches weights may start now.
     """
@@ -53,13 +53,15 @@
     document: schema.FleetDocument
     number: int
     failure_domain: str
-    own_slots: abc.Mapping[str, slots.Slot]
+    slots_by_engine: abc.Mapping[str, slots.Slot]
     states: abc.Mapping[str, EngineAnswer]
-    outcomes: abc.Mapping[str, drain.Drained | drain.InUse]
+    drain_outcomes: abc.Mapping[str, drain.Drained | drain.InUse]
     unreachable: abc.Set[str] = frozenset()
     leaving: abc.Set[str] = frozenset()
-    wanted: abc.Mapping[str, roles.RoleChange] = dataclasses.field(default_factory=dict)
-    seen_pending: abc.Mapping[str, datetime.timedelta] = dataclasses.field(
+    planned_changes: abc.Mapping[str, roles.RoleChange] = dataclasses.field(
+        default_factory=dict
+    )
+    pending_ages: abc.Mapping[str, datetime.timedelta] = dataclasses.field(
         default_factory=dict
     )
     busy: abc.Set[str] = frozenset()
@@ -76,7 +78,7 @@
 
     def slot(self, engine: str) -> slots.Slot:
         """Return an engine's slot."""
-        return self.own_slots.get(engine, slots.Slot(engine))
+        return self.slots_by_engine.get(engine, slots.Slot(engine))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -90,14 +92,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Abandon:
+class AbandonDrain:
     """Put a draining engine back in service without a change."""
 
     slot: slots.Slot
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GiveOrder:
+class SendOrder:
     """Order an idle engine, or supersede a pending order."""
 
     request: orders.OrderRequest
@@ -120,99 +122,99 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Hold:
+class Blocked:
     """The change is not done yet; nothing can be done now."""
 
     engine: str
     reason: str
 
 
-Step = BeginDrain | Abandon | GiveOrder | SettleOrder | ReturnToService | Hold
+Step = BeginDrain | AbandonDrain | SendOrder | SettleOrder | ReturnToService | Blocked
 
 
 def engine_of(step: Step) -> str:
     """Return the engine that a step is about."""
-    if isinstance(step, Hold):
+    if isinstance(step, Blocked):
         return step.engine
-    if isinstance(step, GiveOrder):
+    if isinstance(step, SendOrder):
         return step.request.engine.name
     return step.slot.engine
 
 
-def next_steps(situation: Situation) -> tuple[Step, ...]:
+def next_steps(observed: ObservedState) -> tuple[Step, ...]:
     """Return a step for each engine that has one to take or waits for one."""
-    left = _allowance(situation)
+    budget = _allowance(observed)
     steps: list[Step] = []
-    for engine in situation.engines:
-        if engine.name in situation.busy:
+    for engine in observed.engines:
+        if engine.name in observed.busy:
             continue
-        step = _step(situation, engine, left)
+        step = _step(observed, engine, budget)
         if step is not None:
             steps.append(step)
     return tuple(steps)
 
 
-def _allowance(situation: Situation) -> allowance.Allowance:
-    active = [e for e in situation.engines if e.serving == "active"]
-    return allowance.Allowance(
-        situation.document.roles,
+def _allowance(observed: ObservedState) -> change_budget.ChangeBudget:
+    active = [e for e in observed.engines if e.serving == "active"]
+    return change_budget.ChangeBudget(
+        observed.document.roles,
         active=active,
-        in_service=[e for e in active if _in_service(situation, e)],
+        in_service=[e for e in active if _in_service(observed, e)],
         changing=sum(
-            situation.slot(engine.name).state is not slots.SlotState.SERVING
+            observed.slot(engine.name).state is not slots.SlotState.SERVING
             for engine in active
         ),
-        loads=1 if situation.may_load else 0,
+        loads=1 if observed.may_load else 0,
     )
 
 
-def _in_service(situation: Situation, engine: schema.Engine) -> bool:
-    if situation.slot(engine.name).state is not slots.SlotState.SERVING:
+def _in_service(observed: ObservedState, engine: schema.Engine) -> bool:
+    if observed.slot(engine.name).state is not slots.SlotState.SERVING:
         return False
-    return engine.name not in situation.leaving | situation.unreachable
+    return engine.name not in observed.leaving | observed.unreachable
 
 
 def _step(
-    situation: Situation, engine: schema.Engine, left: allowance.Allowance
+    observed: ObservedState, engine: schema.Engine, budget: change_budget.ChangeBudget
 ) -> Step | None:
-    slot = situation.slot(engine.name)
+    slot = observed.slot(engine.name)
     if slot.state is slots.SlotState.SERVING:
-        return _serving_step(situation, engine, slot, left)
+        return _serving_step(observed, engine, slot, budget)
     if slot.state is slots.SlotState.DRAINING:
-        return _draining_step(situation, engine, slot, left)
+        return _draining_step(observed, engine, slot, budget)
     if slot.state is slots.SlotState.PENDING:
-        return _pending_step(situation, engine, slot)
-    return _settled_step(situation, engine, slot, left)
+        return _pending_step(observed, engine, slot)
+    return _settled_step(observed, engine, slot, budget)
 
 
 def _serving_step(
-    situation: Situation,
+    observed: ObservedState,
     engine: schema.Engine,
     slot: slots.Slot,
-    left: allowance.Allowance,
+    budget: change_budget.ChangeBudget,
 ) -> Step | None:
     if engine.serving == "withdrawn":
         role = targets.intended_role(engine, slot)
         return BeginDrain(slot, role, engine.role, "withdrawn by the document")
-    if engine.name in situation.leaving:
+    if engine.name in observed.leaving:
         return None
-    change = _wanted(situation, engine, slot)
+    change = _change_for(observed, engine, slot)
     if change is None:
         return None
-    held = left.take_change(engine, _in_service(situation, engine))
-    if held is not None:
-        return Hold(engine.name, held)
+    denial = budget.reserve_change(engine, _in_service(observed, engine))
+    if denial is not None:
+        return Blocked(engine.name, denial)
     return BeginDrain(slot, change.role, engine.role, change.reason)
 
 
-def _wanted(
-    situation: Situation, engine: schema.Engine, slot: slots.Slot
+def _change_for(
+    observed: ObservedState, engine: schema.Engine, slot: slots.Slot
 ) -> roles.RoleChange | None:
-    target = targets.target_of(situation.document, engine, slot)
-    planned = situation.wanted.get(engine.name)
+    target = targets.target_of(observed.document, engine, slot)
+    planned = observed.planned_changes.get(engine.name)
     if planned is not None and not engine.pinned and planned.role != target.role:
         return planned
-    state = situation.states.get(engine.name)
+    state = observed.states.get(engine.name)
     # A restarted engine has lost its role and models; its state shows it.
     if not isinstance(state, order_client.EngineState) or state.changing:
         return None
@@ -223,90 +225,90 @@
 
 
 def _draining_step(
-    situation: Situation,
+    observed: ObservedState,
     engine: schema.Engine,
     slot: slots.Slot,
-    left: allowance.Allowance,
+    budget: change_budget.ChangeBudget,
 ) -> Step:
-    target = targets.target_of(situation.document, engine, slot)
-    state = situation.states.get(engine.name)
+    target = targets.target_of(observed.document, engine, slot)
+    state = observed.states.get(engine.name)
     met = isinstance(state, order_client.EngineState) and targets.is_met(state, target)
-    if engine.serving == "active" and (met or _is_missed(situation, engine, left)):
-        return Abandon(slot)
-    outcome = situation.outcomes.get(engine.name, drain.InUse("not looked at yet"))
+    if engine.serving == "active" and (
+        met or _should_reclaim(observed, engine, budget)
+    ):
+        return AbandonDrain(slot)
+    outcome = observed.drain_outcomes.get(engine.name, drain.InUse("not looked at yet"))
     if isinstance(outcome, drain.InUse):
-        return Hold(engine.name, outcome.reason)
-    return _order_step(situation, engine, slot, left)
+        return Blocked(engine.name, outcome.reason)
+    return _order_step(observed, engine, slot, budget)
 
 
-def _is_missed(
-    situation: Situation, engine: schema.Engine, left: allowance.Allowance
+def _should_reclaim(
+    observed: ObservedState, engine: schema.Engine, budget: change_budget.ChangeBudget
 ) -> bool:
-    gone = engine.name in situation.leaving | situation.unreachable
-    return not gone and left.take_back(engine)
+    gone = engine.name in observed.leaving | observed.unreachable
+    return not gone and budget.reclaim(engine)
 
 
 def _order_step(
-    situation: Situation,
+    observed: ObservedState,
     engine: schema.Engine,
     slot: slots.Slot,
-    left: allowance.Allowance,
+    budget: change_budget.ChangeBudget,
 ) -> Step:
-    at_rest = drain.engine_outcome(situation.states.get(engine.name))
-    if isinstance(at_rest, drain.InUse):
-        return Hold(engine.name, at_rest.reason)
-    state = at_rest.state
-    target = targets.target_of(situation.document, engine, slot)
+    idle = drain.engine_outcome(observed.states.get(engine.name))
+    if isinstance(idle, drain.InUse):
+        return Blocked(engine.name, idle.reason)
+    state = idle.state
+    target = targets.target_of(observed.document, engine, slot)
     if targets.is_met(state, target):
-        return Hold(engine.name, "drained")
+        return Blocked(engine.name, "drained")
     loads = targets.needs_load(state, target)
-    if loads and not left.take_load():
-        return Hold(engine.name, "waiting for the weight store's rate")
+    if loads and not budget.reserve_load():
+        return Blocked(engine.name, "waiting for the weight store's rate")
     reason = slot.reason
-    return GiveOrder(
-        orders.OrderRequest(
-            slot, engine, target, reason, situation.number, state.fence
-        ),
+    return SendOrder(
+        orders.OrderRequest(slot, engine, target, reason, observed.number, state.fence),
         loads,
     )
 
 
 def _pending_step(
-    situation: Situation, engine: schema.Engine, slot: slots.Slot
+    observed: ObservedState, engine: schema.Engine, slot: slots.Slot
 ) -> Step:
-    state = situation.states.get(engine.name)
+    state = observed.states.get(engine.name)
     if state is None:
-        return Hold(engine.name, "the engine's state is not known")
-    seen = situation.seen_pending.get(engine.name, datetime.timedelta())
+        return Blocked(engine.name, "the engine's state is not known")
+    seen = observed.pending_ages.get(engine.name, datetime.timedelta())
     resolution = orders.resolve(slot, engine, state, seen)
     if isinstance(resolution, orders.Wait):
-        return Hold(engine.name, resolution.reason)
+        return Blocked(engine.name, resolution.reason)
     if isinstance(resolution, orders.Settle):
         return SettleOrder(slot, resolution.state)
-    at_rest = drain.engine_outcome(state)
-    if isinstance(at_rest, drain.InUse):
-        return Hold(engine.name, at_rest.reason)
+    idle = drain.engine_outcome(state)
+    if isinstance(idle, drain.InUse):
+        return Blocked(engine.name, idle.reason)
     # The newest target goes out, also when the engine meets it already: only a newer
     # order makes a fenced engine refuse the pending one for good.
-    target = targets.target_of(situation.document, engine, slot)
-    return GiveOrder(
+    target = targets.target_of(observed.document, engine, slot)
+    return SendOrder(
         orders.OrderRequest(
-            slot, engine, target, slot.reason, situation.number, resolution.fence
+            slot, engine, target, slot.reason, observed.number, resolution.fence
         ),
         loads=False,
     )
 
 
 def _settled_step(
-    situation: Situation,
+    observed: ObservedState,
     engine: schema.Engine,
     slot: slots.Slot,
-    left: allowance.Allowance,
+    budget: change_budget.ChangeBudget,
 ) -> Step:
-    target = targets.target_of(situation.document, engine, slot)
-    state = situation.states.get(engine.name)
+    target = targets.target_of(observed.document, engine, slot)
+    state = observed.states.get(engine.name)
     if isinstance(state, order_client.EngineState) and targets.is_met(state, target):
         if engine.serving == "withdrawn":
-            return Hold(engine.name, "drained")
+            return Blocked(engine.name, "drained")
         return ReturnToService(slot)
-    return _order_step(situation, engine, slot, left)
+    return _order_step(observed, engine, slot, budget)
--- a/src/pimentolatch/control/standings.py
+++ b/src/pimentolatch/control/role_planning.py
@@ -9,11 +9,11 @@
 from pimentolatch.decisions import roles
 from pimentolatch.document import schema
 
-__all__ = ["RolePlanner", "Standing", "Standings"]
+__all__ = ["RolePlanner", "EngineStatus", "StatusTracker"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Standing:
+class EngineStatus:
     """What a planner has to know of an engine.
 
     Attributes:
@@ -35,31 +35,31 @@
     """Decides which engines of a failure domain should change role."""
 
     def plan(
-        self, engines: abc.Sequence[Standing], now: datetime.timedelta
+        self, engines: abc.Sequence[EngineStatus], now: datetime.timedelta
     ) -> abc.Sequence[roles.RoleChange]:
         """Return the changes wanted now; `now` is the monotonic clock's time."""
 
 
-class Standings:
+class StatusTracker:
     """Remembers since when each engine has been in its role."""
 
     def __init__(self) -> None:
-        self._in_role: dict[str, tuple[schema.Role, datetime.timedelta]] = {}
+        self._role_since: dict[str, tuple[schema.Role, datetime.timedelta]] = {}
 
-    def of(
+    def status(
         self,
         engine: schema.Engine,
         slot: slots.Slot,
         unreachable: bool,
         now: datetime.timedelta,
-    ) -> Standing:
+    ) -> EngineStatus:
         """Return an engine's standing as of `now`."""
         if slot.state is not slots.SlotState.SERVING:
-            self._in_role.pop(engine.name, None)
+            self._role_since.pop(engine.name, None)
             role = targets.intended_role(engine, slot)
-            return Standing(engine, role, slot.state, unreachable, None)
+            return EngineStatus(engine, role, slot.state, unreachable, None)
         role = targets.current_role(engine, slot)
-        before = self._in_role.get(engine.name)
+        before = self._role_since.get(engine.name)
         if before is None or before[0] != role:
-            before = self._in_role[engine.name] = (role, now)
-        return Standing(engine, role, slot.state, unreachable, before[1])
+            before = self._role_since[engine.name] = (role, now)
+        return EngineStatus(engine, role, slot.state, unreachable, before[1])
--- a/src/pimentolatch/control/known_slots.py
+++ b/src/pimentolatch/control/slot_cache.py
@@ -13,28 +13,28 @@
 from pimentolatch import clock, store
 from pimentolatch.control import slots
 
-__all__ = ["KnownSlots"]
+__all__ = ["SlotCache"]
 
 # How often every slot is listed even if nothing asks for it.
 _LIST_INTERVAL = datetime.timedelta(seconds=60)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Seen:
+class _PendingSince:
     version: int
     at: datetime.timedelta
 
 
-class KnownSlots:
+class SlotCache:
     """Reads slots and remembers them."""
 
-    def __init__(self, own_slots: slots.SlotObjects, time: clock.Clock) -> None:
-        self._objects = own_slots
+    def __init__(self, slot_objects: slots.SlotObjects, time: clock.Clock) -> None:
+        self._objects = slot_objects
         self._clock = time
         self._slots: dict[str, slots.Slot] = {}
-        self._touched: set[str] = set()
-        self._list_again = datetime.timedelta.min
-        self._pending: dict[str, _Seen] = {}
+        self._invalidated: set[str] = set()
+        self._next_listing = datetime.timedelta.min
+        self._is_pending: dict[str, _PendingSince] = {}
 
     @property
     def by_engine(self) -> abc.Mapping[str, slots.Slot]:
@@ -42,7 +42,7 @@
         return self._slots
 
     @property
-    def moving(self) -> list[slots.Slot]:
+    def not_serving(self) -> list[slots.Slot]:
         """Slots of engines that are not in service."""
         return [
             slot
@@ -50,21 +50,21 @@
             if slot.state is not slots.SlotState.SERVING
         ]
 
-    def touch(self, engines: abc.Iterable[str]) -> None:
+    def invalidate(self, engines: abc.Iterable[str]) -> None:
         """Have slots read again although they seem at rest."""
-        self._touched.update(engines)
+        self._invalidated.update(engines)
 
     async def refresh(self) -> store.Unavailable | None:
         """Bring the slots that move up to date."""
-        if self._clock.monotonic() >= self._list_again:
+        if self._clock.monotonic() >= self._next_listing:
             return await self.list_all()
-        names = self._touched.union(slot.engine for slot in self.moving)
+        names = self._invalidated.union(slot.engine for slot in self.not_serving)
         read = await asyncio.gather(*map(self._objects.read, sorted(names)))
         for slot in read:
             if isinstance(slot, store.Unavailable):
                 return slot
             self._slots[slot.engine] = slot
-        self._touched.clear()
+        self._invalidated.clear()
         return None
 
     async def list_all(self) -> store.Unavailable | None:
@@ -73,18 +73,18 @@
         if isinstance(listed, store.Unavailable):
             return listed
         self._slots = listed
-        self._touched.clear()
-        self._list_again = self._clock.monotonic() + _LIST_INTERVAL
+        self._invalidated.clear()
+        self._next_listing = self._clock.monotonic() + _LIST_INTERVAL
         return None
 
-    def seen_pending(self) -> dict[str, datetime.timedelta]:
+    def pending_ages(self) -> dict[str, datetime.timedelta]:
         """Return how long each pending order has been seen pending, by engine."""
         now = self._clock.monotonic()
-        seen: dict[str, _Seen] = {}
-        for slot in self.moving:
+        seen: dict[str, _PendingSince] = {}
+        for slot in self.not_serving:
             if slot.state is slots.SlotState.PENDING:
-                first = _Seen(slot.version, now)
-                before = self._pending.get(slot.engine, first)
+                first = _PendingSince(slot.version, now)
+                before = self._is_pending.get(slot.engine, first)
                 seen[slot.engine] = before if before.version == slot.version else first
-        self._pending = seen
+        self._is_pending = seen
         return {engine: now - first.at for engine, first in seen.items()}
--- a/src/pimentolatch/control/slots.py
+++ b/src/pimentolatch/control/slots.py
@@ -166,7 +166,7 @@
         """Fencing number of the last order; 0 before the first."""
         return 0 if self.order is None else self.order.sequence
 
-    def moved(self, event: Event, **changes: typing.Any) -> "Slot":
+    def after_event(self, event: Event, **changes: typing.Any) -> "Slot":
         """Return the slot after an event.
 
         Raises:
--- /dev/null
+++ b/src/pimentolatch/control/step_executor.py
@@ -0,0 +1,143 @@
+"""Takes the steps that the reconciler decides on, and records them."""
+
+import asyncio
+import functools
+
+import logbook
+
+from pimentolatch.audit import trail
+from pimentolatch.control import orders, reconciler, slots
+
+__all__ = ["StepExecutor"]
+
+_log = logbook.Logger("changes")
+
+
+class StepExecutor:
+    """Takes steps; orders, which last, go on in tasks of their own.
+
+    It outlives the tenures of the duty: an order that was begun is carried to its end
+    by its slot, whoever holds the lease by then.
+    """
+
+    def __init__(
+        self,
+        slot_objects: slots.SlotObjects,
+        order_sender: orders.OrderSender,
+        audit: trail.AuditTrail,
+    ) -> None:
+        self._slots = slot_objects
+        self._order_sender = order_sender
+        self._audit = audit
+        self._order_tasks: dict[str, asyncio.Task[None]] = {}
+
+    @property
+    def busy(self) -> frozenset[str]:
+        """Engines that are being given an order by this process."""
+        return frozenset(e for e, task in self._order_tasks.items() if not task.done())
+
+    async def execute(self, step: reconciler.Step, document: int) -> None:
+        """Take one step; a step that fails is decided on anew in the next pass."""
+        await _execute(step, self, document)
+
+    async def wait(self) -> None:
+        """Wait until no order is being given."""
+        await asyncio.gather(*self._order_tasks.values(), return_exceptions=True)
+
+    def cancel(self) -> None:
+        """Break off; what is pending is settled by whoever holds the duty next."""
+        for task in self._order_tasks.values():
+            task.cancel()
+
+    async def update_slot(
+        self, slot: slots.Slot, action: str, document: int, detail: str
+    ) -> None:
+        """Update a slot and record what came of it."""
+        outcome = await self._slots.update(slot)
+        result = "done" if isinstance(outcome, slots.Slot) else str(outcome)
+        self._audit.note(document, action, slot.engine, result, detail)
+        _log.info(action, engine=slot.engine, outcome=result, detail=detail)
+
+    def start_order(self, request: orders.OrderRequest) -> None:
+        """Give an order in a task of its own."""
+        task = asyncio.create_task(self._send(request))
+        self._order_tasks[request.engine.name] = task
+
+    async def settle(self, step: reconciler.SettleOrder, document: int) -> None:
+        """Settle an order that took effect without its sender's knowledge."""
+        outcome = await self._order_sender.settle(step.slot, step.state)
+        result = "done" if isinstance(outcome, slots.Slot) else str(outcome)
+        detail = str(step.slot.order)
+        self._audit.note(document, "settle", step.slot.engine, result, detail)
+
+    async def _send(self, request: orders.OrderRequest) -> None:
+        superseded = request.slot.order if _is_pending(request.slot) else None
+        detail = f"{request.target}; {request.reason}; supersedes {superseded}"
+        engine = request.engine.name
+        # Written before the order goes out, so that a crash in between leaves the
+        # intention on record and the successor's record tells the rest.
+        self._audit.note(request.document, "order", engine, "intended", detail)
+        await self._audit.flush()
+        outcome = await self._order_sender.send(request)
+        result = type(outcome).__name__
+        self._audit.note(request.document, "order", engine, result, str(outcome))
+        _log.info("order", engine=engine, outcome=result)
+
+
+@functools.singledispatch
+async def _execute(
+    step: reconciler.Step, executor: StepExecutor, document: int
+) -> None:
+    raise TypeError(f"no such step: {step!r}")
+
+
+@_execute.register
+async def _(step: reconciler.Blocked, executor: StepExecutor, document: int) -> None:
+    pass
+
+
+@_execute.register
+async def _(step: reconciler.BeginDrain, executor: StepExecutor, document: int) -> None:
+    updated = step.slot.after_event(
+        slots.Event.DRAIN,
+        role=step.role,
+        document_role=step.document_role,
+        reason=step.reason,
+    )
+    await executor.update_slot(
+        updated, "drain", document, f"{step.reason}; role {step.role}"
+    )
+
+
+@_execute.register
+async def _(
+    step: reconciler.AbandonDrain, executor: StepExecutor, document: int
+) -> None:
+    updated = step.slot.after_event(slots.Event.ABANDON)
+    await executor.update_slot(
+        updated, "abandon drain", document, "no change is needed"
+    )
+
+
+@_execute.register
+async def _(
+    step: reconciler.ReturnToService, executor: StepExecutor, document: int
+) -> None:
+    updated = step.slot.after_event(slots.Event.RETURN)
+    await executor.update_slot(updated, "return to service", document, step.slot.reason)
+
+
+@_execute.register
+async def _(
+    step: reconciler.SettleOrder, executor: StepExecutor, document: int
+) -> None:
+    await executor.settle(step, document)
+
+
+@_execute.register
+async def _(step: reconciler.SendOrder, executor: StepExecutor, document: int) -> None:
+    executor.start_order(step.request)
+
+
+def _is_pending(slot: slots.Slot) -> bool:
+    return slot.state is slots.SlotState.PENDING
--- a/src/pimentolatch/control/watcher.py
+++ b/src/pimentolatch/control/store_watch.py
@@ -15,20 +15,20 @@
 import logbook
 
 from pimentolatch import backoff, clock, store
-from pimentolatch.control import configuration, heads, keeper
+from pimentolatch.control import configuration, heads, local_document
 from pimentolatch.membership import node, view_table, views
 
-__all__ = ["DocumentFollower", "StoreFollower", "ViewFollower"]
+__all__ = ["DocumentHandler", "StoreWatcher", "ViewHandler"]
 
 _log = logbook.Logger("configuration")
 _WATCH_WAIT = datetime.timedelta(seconds=20)
 # A document has to be in force within 11 s, so a check that finds it comes at most 8 s
 # after it, and 3 s are left to read it. At 370 instances this makes 62 reads a second.
-_SHORTEST_CHECK = datetime.timedelta(seconds=4)
-_LONGEST_CHECK = datetime.timedelta(seconds=8)
-_FIRST_PAUSE = datetime.timedelta(seconds=0.5)
+_MIN_CHECK_INTERVAL = datetime.timedelta(seconds=4)
+_MAX_CHECK_INTERVAL = datetime.timedelta(seconds=8)
+_MIN_PAUSE = datetime.timedelta(seconds=0.5)
 # After an outage the fleet's first calls are spread over this time.
-_LONGEST_PAUSE = datetime.timedelta(seconds=5)
+_MAX_PAUSE = datetime.timedelta(seconds=5)
 
 
 class _Handler(typing.Protocol):
@@ -38,7 +38,7 @@
         """Take changed objects; False to be shown them again."""
 
 
-class StoreFollower:
+class StoreWatcher:
     """A task that follows one kind of object for ever.
 
     Args:
@@ -62,26 +62,26 @@
     async def run(self) -> None:
         """Follow for ever."""
         revision: int | None = None
-        pauses = backoff.Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, self._chance)
+        pauses = backoff.Backoff(_MIN_PAUSE, _MAX_PAUSE, self._chance)
         while True:
             watching = self._watches()
-            news = await self._news(revision, watching)
-            if isinstance(news, store.Unavailable):
-                _log.warn("platform unavailable", reason=news.reason)
-                await self._pause(pauses, news.retry_after)
+            changes = await self._changes(revision, watching)
+            if isinstance(changes, store.Unavailable):
+                _log.warn("platform unavailable", reason=changes.reason)
+                await self._pause(pauses, changes.retry_after)
                 continue
-            if isinstance(news, store.HistoryGone):
+            if isinstance(changes, store.HistoryGone):
                 revision = None
                 continue
-            if news.changed and not await self._handler.handle(news.changed):
+            if changes.changed and not await self._handler.handle(changes.changed):
                 await self._pause(pauses, None)
                 continue
             pauses.reset()
-            revision = news.revision
+            revision = changes.revision
             if not watching:
-                await self._clock.sleep(self._check_pause())
+                await self._clock.sleep(self._check_interval())
 
-    async def _news(
+    async def _changes(
         self, revision: int | None, watching: bool
     ) -> store.Changes | store.HistoryGone | store.Unavailable:
         """Return what is new: everything at first and after a gap."""
@@ -94,18 +94,18 @@
         return await self._store.watch(self._handler.kind, after=revision, wait=wait)
 
     async def _pause(
-        self, pauses: backoff.Backoff, asked: datetime.timedelta | None
+        self, pauses: backoff.Backoff, retry_after: datetime.timedelta | None
     ) -> None:
         # The platform may ask all instances to return after the same time.
-        at_least = asked or datetime.timedelta()
+        at_least = retry_after or datetime.timedelta()
         await self._clock.sleep(at_least + pauses.next_pause())
 
-    def _check_pause(self) -> datetime.timedelta:
-        width = _LONGEST_CHECK - _SHORTEST_CHECK
-        return _SHORTEST_CHECK + width * self._chance.random()
+    def _check_interval(self) -> datetime.timedelta:
+        width = _MAX_CHECK_INTERVAL - _MIN_CHECK_INTERVAL
+        return _MIN_CHECK_INTERVAL + width * self._chance.random()
 
 
-class DocumentFollower:
+class DocumentHandler:
     """Reads documents that the head names and hands them to the keeper."""
 
     kind = heads.HEAD_KIND
@@ -113,28 +113,28 @@
     def __init__(
         self,
         documents: configuration.ConfigurationObjects,
-        kept: keeper.DocumentKeeper,
+        document: local_document.LocalDocument,
     ) -> None:
         self._documents = documents
-        self._keeper = kept
+        self._document = document
 
     async def handle(self, rows: tuple[store.Found, ...]) -> bool:
         """See `_Handler.handle`."""
         head = heads.Head.from_json(rows[-1].value)
-        if head.number <= self._keeper.known_number:
+        if head.number <= self._document.known_number:
             return True
-        read = await self._documents.read_parts(self._keeper.missing(head))
+        read = await self._documents.read_parts(self._document.missing_parts(head))
         if isinstance(read, store.Unavailable):
             _log.warn("document unavailable", number=head.number, reason=read.reason)
             return False
-        outcome = self._keeper.adopt(head, read)
-        if isinstance(outcome, keeper.Unreadable):
+        outcome = self._document.adopt(head, read)
+        if isinstance(outcome, local_document.Unreadable):
             _log.error("unreadable", number=head.number, reason=outcome.reason)
             return False
         return True
 
 
-class ViewFollower:
+class ViewHandler:
     """Hands domain views of the store to the node."""
 
     kind = views.DOMAIN_VIEW_KIND
--- a/src/pimentolatch/control/publication.py
+++ b/src/pimentolatch/control/view_publisher.py
@@ -7,15 +7,15 @@
 
 from pimentolatch import fleet, store
 from pimentolatch.audit import trail
-from pimentolatch.control import drain, known_slots, slots
+from pimentolatch.control import drain, slot_cache, slots
 from pimentolatch.membership import views
 
-__all__ = ["Publication"]
+__all__ = ["ViewPublisher"]
 
 _log = logbook.Logger("views")
 
 
-class Publication:
+class ViewPublisher:
     """Writes and announces the view of one failure domain within one tenure.
 
     Args:
@@ -26,13 +26,13 @@
     def __init__(
         self,
         own_views: drain.ViewObjects,
-        known: known_slots.KnownSlots,
+        known: slot_cache.SlotCache,
         acknowledgements: views.Acknowledgements,
         leaving: typing.Callable[[], abc.Set[str] | None],
         audit: trail.AuditTrail,
     ) -> None:
         self._views = own_views
-        self._known = known
+        self._slot_cache = known
         self._acknowledgements = acknowledgements
         self._leaving = leaving
         self._audit = audit
@@ -62,7 +62,7 @@
         # A drain that this tenure has not published gets a new view even if the old
         # one withdraws the engine already: a frozen process may be about to write a
         # view that returns the engine, and only a newer number makes that fail.
-        drains = any(self._unpublished(slot) for slot in self._known.moving)
+        drains = any(self._unpublished(slot) for slot in self._slot_cache.not_serving)
         return drains or self._desired(configuration, view) != view
 
     async def _write(
@@ -72,18 +72,18 @@
         # listing gets a view of its own, which makes this one's update fail or
         # overrides it. In the other order this view could return a draining engine.
         view = await self._views.read()
-        if isinstance(view, store.Unavailable) or await self._known.list_all():
+        if isinstance(view, store.Unavailable) or await self._slot_cache.list_all():
             return None
         written = await self._views.write(self._desired(configuration, view))
         if written is None:
             return None
-        for slot in self._known.moving:
+        for slot in self._slot_cache.not_serving:
             if self._unpublished(slot):
                 withdrawal = drain.Withdrawal(slot.version, written.number)
                 self._withdrawals[slot.engine] = withdrawal
-        shown = f"number {written.number}: withdrawn {sorted(written.withdrawn)}"
+        summary = f"number {written.number}: withdrawn {sorted(written.withdrawn)}"
         domain = written.failure_domain
-        self._audit.note(configuration.number, "view", domain, "written", shown)
+        self._audit.note(configuration.number, "view", domain, "written", summary)
         _log.info("view written", number=written.number)
         return written
 
@@ -91,7 +91,7 @@
         self, configuration: fleet.Configuration, view: views.DomainView
     ) -> views.DomainView:
         return drain.desired_view(
-            configuration.document, view, self._known.by_engine, self._leaving()
+            configuration.document, view, self._slot_cache.by_engine, self._leaving()
         )
 
     def _unpublished(self, slot: slots.Slot) -> bool:
--- a/src/pimentolatch/entry/control_plane.py
+++ b/src/pimentolatch/entry/control_plane.py
@@ -6,7 +6,13 @@
 import typing
 
 from pimentolatch import call_budget, clock, fleet, metrics, settings, store, tasks
-from pimentolatch.control import collector, configuration, keeper, spread, watcher
+from pimentolatch.control import (
+    configuration,
+    document_exchange,
+    garbage_collector,
+    local_document,
+    store_watch,
+)
 from pimentolatch.decisions import work_reports
 from pimentolatch.entry import peer_metrics
 from pimentolatch.membership import (
@@ -78,12 +84,16 @@
             measured,
         )
         self._documents = configuration.ConfigurationObjects(self._store, time, chance)
-        self._keeper = keeper.DocumentKeeper(own_fleet, time)
-        self._table = view_table.ViewTable(own_fleet.adopt_view, self._keeper.release)
+        self._keeper = local_document.LocalDocument(own_fleet, time)
+        self._table = view_table.ViewTable(
+            own_fleet.adopt_view, self._keeper.set_views_known
+        )
         self._links = links.Links(
             self._own, chosen.peers.address, time, chosen.peers.suspect_after_s
         )
-        self._spread = spread.DocumentSpread(self._keeper, self._links, time, chance)
+        self._spread = document_exchange.DocumentExchange(
+            self._keeper, self._links, time, chance
+        )
         interval = datetime.timedelta(seconds=chosen.peers.heartbeat_interval_s)
         self._leaving = leaving.LeavingServers(
             time, _LEAVING_HOLD, own_fleet.set_leaving
@@ -106,18 +116,18 @@
         )
         crashes.on_news(self._peering.node.tell_crashes)
         self._keeper.on_adopted(self._peering.node.configuration_changed)
-        self._collector = collector.PartCollector(self._store, self._documents)
+        self._collector = garbage_collector.PartCollector(self._store, self._documents)
         self._followers = (
-            watcher.StoreFollower(
+            store_watch.StoreWatcher(
                 self._store,
-                watcher.DocumentFollower(self._documents, self._keeper),
+                store_watch.DocumentHandler(self._documents, self._keeper),
                 lambda: self._peering.rank("documents") < _WATCHERS,
                 time,
                 chance,
             ),
-            watcher.StoreFollower(
+            store_watch.StoreWatcher(
                 self._store,
-                watcher.ViewFollower(self._peering.node),
+                store_watch.ViewHandler(self._peering.node),
                 lambda: self._peering.rank("views") < _WATCHERS,
                 time,
                 chance,
@@ -173,8 +183,8 @@
 
     def status(self) -> dict[str, typing.Any]:
         """Return what operators see of the peers and the configuration's spread."""
-        spread_time = self._spread.spread_time
-        delay = self._keeper.delay
+        spread_time = self._spread.dissemination_time
+        delay = self._keeper.adoption_delay
         return {
             "incarnation": self._own.incarnation,
             "peers": sorted(self._links.linked),
@@ -204,11 +214,11 @@
             ),
             "configuration_in_force_seconds": (
                 "Time from the last document's submission to its adoption here.",
-                lambda: _seconds(self._keeper.delay),
+                lambda: _seconds(self._keeper.adoption_delay),
             ),
             "configuration_at_peers_seconds": (
                 "Time from adoption here until every linked peer had the document.",
-                lambda: _seconds(self._spread.spread_time),
+                lambda: _seconds(self._spread.dissemination_time),
             ),
             "peer_bytes_sent": (
                 "Bytes of frames sent to peers.",
--- a/src/pimentolatch/entry/operators.py
+++ b/src/pimentolatch/entry/operators.py
@@ -9,7 +9,7 @@
 
 from pimentolatch import checks, clock, fleet, metrics, results, settings, store
 from pimentolatch.audit import trail
-from pimentolatch.control import configuration, heads, holder
+from pimentolatch.control import configuration, domain_controller, heads
 from pimentolatch.document import schema
 from pimentolatch.entry import bodies, control_plane, gate
 from pimentolatch.requests import identity
@@ -33,7 +33,7 @@
         *,
         own_fleet: fleet.Fleet,
         control: control_plane.ControlPlane,
-        duty: holder.DutyHolder,
+        duty: domain_controller.DomainController,
         door: gate.Gate,
         time: clock.Clock,
         measured: metrics.Metrics,
@@ -220,7 +220,7 @@
     return body
 
 
-def _duty(status: holder.DutyStatus) -> dict[str, typing.Any]:
+def _duty(status: domain_controller.ControllerStatus) -> dict[str, typing.Any]:
     changes = [
         {
             "engine": change.engine,
--- a/src/pimentolatch/entry/planner.py
+++ b/src/pimentolatch/entry/planner.py
@@ -5,7 +5,7 @@
 from collections import abc
 
 from pimentolatch import fleet
-from pimentolatch.control import slots, standings
+from pimentolatch.control import role_planning, slots
 from pimentolatch.decisions import demand, engine_states, roles, state_tracker
 
 __all__ = ["DemandPlanner"]
@@ -15,7 +15,7 @@
 
 
 class DemandPlanner:
-    """`standings.RolePlanner` over the demand that instances tell each other.
+    """`role_planning.RolePlanner` over the demand that instances tell each other.
 
     It plans once for each sample, so a change comes at most every five seconds; in
     between it repeats its last word, which the order slots make harmless.
@@ -38,9 +38,9 @@
         self._last: tuple[roles.RoleChange, ...] = ()
 
     def plan(
-        self, engines: abc.Sequence[standings.Standing], now: datetime.timedelta
+        self, engines: abc.Sequence[role_planning.EngineStatus], now: datetime.timedelta
     ) -> abc.Sequence[roles.RoleChange]:
-        """See `standings.RolePlanner.plan`."""
+        """See `role_planning.RolePlanner.plan`."""
         document = self._fleet.view.document
         if document is None:
             return ()
@@ -53,13 +53,13 @@
         return self._last
 
 
-def _state(standing: standings.Standing) -> engine_states.EngineState:
+def _state(standing: role_planning.EngineStatus) -> engine_states.EngineState:
     return engine_states.EngineState(
         standing.engine, standing.role, _condition(standing)
     )
 
 
-def _condition(standing: standings.Standing) -> engine_states.Condition:
+def _condition(standing: role_planning.EngineStatus) -> engine_states.Condition:
     if standing.engine.serving == "withdrawn":
         return engine_states.Condition.WITHDRAWN
     if standing.state is not slots.SlotState.SERVING:
--- a/src/pimentolatch/entry/process.py
+++ b/src/pimentolatch/entry/process.py
@@ -8,7 +8,7 @@
 
 from pimentolatch import clock, fleet, metrics, settings, tasks
 from pimentolatch.backend import orders
-from pimentolatch.control import holder
+from pimentolatch.control import domain_controller
 from pimentolatch.decisions import outstanding_work
 from pimentolatch.entry import (
     callers,
@@ -94,8 +94,8 @@
         )
         self._tasks: list[asyncio.Task[None]] = []
 
-    def _duty_holder(self) -> holder.DutyHolder:
-        return holder.DutyHolder(
+    def _duty_holder(self) -> domain_controller.DomainController:
+        return domain_controller.DomainController(
             self._control.store,
             self._fleet,
             self._clock,
--- a/tests/features/steps/config_logic_steps.py
+++ b/tests/features/steps/config_logic_steps.py
@@ -8,7 +8,14 @@
 import logbook
 
 from pimentolatch import clock, fleet, store
-from pimentolatch.control import collector, configuration, heads, keeper, parts, spread
+from pimentolatch.control import (
+    configuration,
+    document_exchange,
+    garbage_collector,
+    heads,
+    local_document,
+    parts,
+)
 from pimentolatch.document import changes, schema
 from pimentolatch.protocol import messages
 from standins import memory_store, objects
@@ -129,7 +136,7 @@
 @behave.when("config: submissions and collections interleave under {count:d} seeds")
 def collections_interleave(context, count):
     context.count = count
-    collect_all(context, collector.PartCollector)
+    collect_all(context, garbage_collector.PartCollector)
 
 
 @behave.when("config: the same happens without writing the head before the removal")
@@ -156,7 +163,7 @@
         return store.Written(if_version + 1)
 
 
-class UnfencedCollector(collector.PartCollector):
+class UnfencedCollector(garbage_collector.PartCollector):
     def __init__(self, objects, documents):
         super().__init__(UnfencedStore(objects), documents)
 
@@ -237,9 +244,9 @@
         self.wire = Wire()
         self.time = clock.ManualClock()
         self.fleet = fleet.Fleet()
-        self.keeper = keeper.DocumentKeeper(self.fleet, self.time)
-        self.keeper.release()
-        self.spread = spread.DocumentSpread(
+        self.keeper = local_document.LocalDocument(self.fleet, self.time)
+        self.keeper.set_views_known()
+        self.spread = document_exchange.DocumentExchange(
             self.keeper, self.wire, self.time, random.Random(1)
         )
 
--- a/tests/features/steps/orders_duty_steps.py
+++ b/tests/features/steps/orders_duty_steps.py
@@ -9,7 +9,7 @@
 from pimentolatch import clock
 from pimentolatch.audit import trail
 from pimentolatch.backend import orders
-from pimentolatch.control import drain, duty, reconciler, slots
+from pimentolatch.control import drain, leader_lease, reconciler, slots
 from pimentolatch.decisions import roles, serving_floor
 from pimentolatch.document import schema
 from standins import memory_store, objects
@@ -33,7 +33,7 @@
                 table, time=self.time, link=name, faults=self.faults
             )
             self.stores.append(link)
-            self.leases[name] = duty.DutyLease(
+            self.leases[name] = leader_lease.LeaderLease(
                 link,
                 DOMAIN,
                 name,
@@ -125,7 +125,7 @@
 
 @behave.then("duty: another instance holds it within one look of the others")
 def another_holds_soon(context):
-    longest_look = duty.DutySettings().duration.total_seconds() * 1.2
+    longest_look = leader_lease.LeaseSettings().duration.total_seconds() * 1.2
     context.lease.run(longest_look + 0.1)
     another_holds(context)
 
@@ -174,7 +174,7 @@
     names = strategies.sets(strategies.sampled_from([e.name for e in engines]))
     draining = draw(names)
     wanted = draw(names)
-    return reconciler.Situation(
+    return reconciler.ObservedState(
         document(
             engines,
             concurrent_changes=draw(strategies.integers(0, 4)),
@@ -190,7 +190,9 @@
         {name: drain.InUse("streams") for name in sorted(draining)},
         unreachable=draw(names),
         leaving=draw(names),
-        wanted={name: roles.RoleChange(name, "decode", "mix") for name in wanted},
+        planned_changes={
+            name: roles.RoleChange(name, "decode", "mix") for name in wanted
+        },
     )
 
 
@@ -203,11 +205,11 @@
         and step.reason != "withdrawn by the document"
     }
     returned = {
-        step.slot.engine for step in steps if isinstance(step, reconciler.Abandon)
+        step.slot.engine for step in steps if isinstance(step, reconciler.AbandonDrain)
     }
     active = [e for e in situation.engines if e.serving == "active"]
     away = situation.leaving | situation.unreachable
-    changing = {e.name for e in active if e.name in situation.own_slots}
+    changing = {e.name for e in active if e.name in situation.slots_by_engine}
     policy = situation.document.roles
     if begun:
         assert len(begun | changing) <= policy.concurrent_changes
@@ -240,7 +242,7 @@
 def steps_while_two_drain(concurrent_changes, unreachable=()):
     draining = ("engine-1", "engine-2")
     return reconciler.next_steps(
-        reconciler.Situation(
+        reconciler.ObservedState(
             document(
                 [engine(1), engine(2), engine(3)],
                 concurrent_changes=concurrent_changes,
@@ -269,7 +271,7 @@
 @behave.then("duty: at least one drain is given up")
 def drain_given_up(context):
     kinds = [type(step) for step in context.steps]
-    assert kinds.count(reconciler.Abandon) == 1, context.steps
+    assert kinds.count(reconciler.AbandonDrain) == 1, context.steps
 
 
 @behave.given("audit: two instances that write one trail")
@@ -356,7 +358,7 @@
 def step_is_refused(context, event, state):
     slot = slots.Slot("engine-1", 1, slots.SlotState(state))
     try:
-        moved = slot.moved(slots.Event(event))
+        moved = slot.after_event(slots.Event(event))
     except ValueError:
         return
     raise AssertionError(moved)
--- a/tests/features/steps/roles_demand_steps.py
+++ b/tests/features/steps/roles_demand_steps.py
@@ -2,7 +2,7 @@
 
 import behave
 
-from pimentolatch.control import slots, standings
+from pimentolatch.control import role_planning, slots
 from pimentolatch.decisions import demand, engine_states
 from pimentolatch.entry import planner
 from tests.support import role_worlds
@@ -88,7 +88,7 @@
 
 
 def standing(state, unreachable):
-    return standings.Standing(
+    return role_planning.EngineStatus(
         state.engine, state.role, slots.SlotState.SERVING, unreachable, None
     )
 
--- a/tests/support/config_world.py
+++ b/tests/support/config_world.py
@@ -12,7 +12,13 @@
 import typing
 
 from pimentolatch import fleet, store
-from pimentolatch.control import configuration, heads, keeper, spread, watcher
+from pimentolatch.control import (
+    configuration,
+    document_exchange,
+    heads,
+    local_document,
+    store_watch,
+)
 from pimentolatch.decisions import work_reports
 from pimentolatch.document import schema
 from pimentolatch.membership import (
@@ -110,12 +116,12 @@
         return super().adopt(configuration)
 
 
-class _RevertingKeeper(keeper.DocumentKeeper):
+class _RevertingKeeper(local_document.LocalDocument):
     def adopt(
         self, head: heads.Head, new: dict[str, str]
-    ) -> keeper.Adopted | keeper.Stale | keeper.Unreadable:
+    ) -> local_document.Adopted | local_document.Stale | local_document.Unreadable:
         if self._head is not None and self._head.number == head.number:
-            return keeper.Stale()
+            return local_document.Stale()
         self._head = None
         return super().adopt(head, new)
 
@@ -192,7 +198,9 @@
         guards = world.safeguards
         own_fleet = fleet.Fleet() if guards.only_later_documents else _RevertingFleet()
         kept = (
-            keeper.DocumentKeeper if guards.only_later_documents else _RevertingKeeper
+            local_document.LocalDocument
+            if guards.only_later_documents
+            else _RevertingKeeper
         )
         submits = (
             configuration.ConfigurationObjects
@@ -202,8 +210,12 @@
         self.documents = submits(self.objects, self.time, chance)
         self.keeper = kept(own_fleet, self.time, self._adopted)
         self.fleet = own_fleet
-        self.spread = spread.DocumentSpread(self.keeper, self, self.time, chance)
-        self.table = view_table.ViewTable(own_fleet.adopt_view, self.keeper.release)
+        self.spread = document_exchange.DocumentExchange(
+            self.keeper, self, self.time, chance
+        )
+        self.table = view_table.ViewTable(
+            own_fleet.adopt_view, self.keeper.set_views_known
+        )
         self.node = node.Node(
             self.own,
             network=self,
@@ -223,9 +235,9 @@
         if not guards.introduces:
             self.node._introductions = lambda link: ()
         self.registrations = registrations.Registrations(self.objects, self.own)
-        follower = watcher.StoreFollower(
+        follower = store_watch.StoreWatcher(
             self.objects,
-            watcher.DocumentFollower(self.documents, self.keeper),
+            store_watch.DocumentHandler(self.documents, self.keeper),
             self._watches,
             self.time,
             chance,
--- a/tests/support/control_world.py
+++ b/tests/support/control_world.py
@@ -13,7 +13,7 @@
 import typing
 
 from pimentolatch import fleet, store
-from pimentolatch.control import drain, duty, holder, slots, targets
+from pimentolatch.control import domain_controller, drain, leader_lease, slots, targets
 from pimentolatch.decisions import roles
 from pimentolatch.document import schema
 from pimentolatch.membership import views
@@ -102,7 +102,7 @@
         return await super().put(kind, own, value, if_version=if_version)
 
     def _own(self, kind: str, name: str) -> str:
-        return f"{name}.{self._suffix}" if kind == duty.DUTY_KIND else name
+        return f"{name}.{self._suffix}" if kind == leader_lease.LEASE_KIND else name
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -156,7 +156,7 @@
     def plan(
         self, engines: typing.Any, now: datetime.timedelta
     ) -> tuple[roles.RoleChange, ...]:
-        """See `tenure.RolePlanner.plan`."""
+        """See `role_planning.RolePlanner.plan`."""
         return tuple(
             roles.RoleChange(engine, role, "the mix has shifted")
             for engine, role in sorted(self._world.wanted.items())
@@ -187,7 +187,7 @@
             instances=world.instance_list,
             pause=self._pause,
         )
-        self.holder = holder.DutyHolder(
+        self.holder = domain_controller.DomainController(
             self.store,
             self.fleet,
             self._clock,
@@ -201,7 +201,9 @@
             leaving=lambda: self.leaving,
             planner=_Planner(world),
             random_source=random.Random(world.plan.random.random()),
-            chosen=holder.HolderSettings(load_spacing=schedule.seconds(1)),
+            settings=domain_controller.ControllerSettings(
+                load_interval=schedule.seconds(1)
+            ),
         )
         self._tasks = [
             world.plan.start(self.holder.run()),
--- a/tests/support/order_driver.py
+++ b/tests/support/order_driver.py
@@ -87,7 +87,7 @@
         self._slots = slots.SlotObjects(self._store, chosen["failure_domain"])
         inner = order_client.HttpOrderClient(chosen["instance"])
         self._client = _FreezingClient(inner, chosen["freeze_at"])
-        self._giver = orders.OrderGiver(self._slots, self._client, self._sender)
+        self._giver = orders.OrderSender(self._slots, self._client, self._sender)
 
     async def run(self) -> str:
         """Return the last outcome."""
@@ -109,7 +109,7 @@
         self, slot: slots.Slot, state: typing.Any, seen: typing.Any
     ) -> str | None:
         if slot.state is slots.SlotState.SERVING:
-            await self._slots.update(slot.moved(slots.Event.DRAIN))
+            await self._slots.update(slot.after_event(slots.Event.DRAIN))
             return None
         own = slot.order is not None and slot.order.target == self._target
         if slot.state is slots.SlotState.SETTLED and own:
@@ -129,7 +129,7 @@
         request = orders.OrderRequest(
             slot, self._engine, self._target, "test", 1, fence
         )
-        outcome = await self._giver.give(request)
+        outcome = await self._giver.send(request)
         # A process that was frozen tells what became of its attempt and ends.
         return type(outcome).__name__ if self._once else None
 
