--- a/src/pimentolatch/control/__init__.py
+++ b/src/pimentolatch/control/__init__.py
@@ -1,1 +1,1 @@
-"""Control of the fleet: configuration, orders, drain and role changes."""
+"""Fleet control plane: configuration, engine orders, drains and role changes."""
--- a/src/pimentolatch/control/change_budget.py
+++ b/src/pimentolatch/control/change_budget.py
@@ -1,9 +1,10 @@
-"""How many engines of a failure domain may be taken out of service at once.
+"""Limits how many engines of a failure domain are out of service at once.
 
-Load pattern: a document that names a new model touches every engine while callers go
-on. Without a bound all of them would drain together and nobody would serve. Grounds
-for the bounds: they are the operators' own, from the document; the share counts for
-each model by itself, since an engine of one model is no help to callers of another.
+Load pattern: a document that names a new model changes every engine while requests
+keep arriving. Without a limit all engines would drain together and none would serve.
+Grounds for the limits: operators set them in the document. The minimum share applies
+to each model separately, since an engine cannot serve requests for models that it
+does not hold.
 """
 
 import collections
@@ -16,13 +17,13 @@
 
 
 class ChangeBudget:
-    """What may still be begun in one pass.
+    """Changes and weight loads that may still start in one pass.
 
     Args:
-        active: Engines that the document has in service.
-        in_service: Those of them that take work now.
-        changing: Number of them that are being changed.
-        loads: Orders that may fetch weights.
+        active: Engines with `serving` set to active in the document.
+        in_service: Active engines that accept requests now.
+        changing: Number of active engines with a change in progress.
+        loads: Number of orders that may fetch weights.
     """
 
     def __init__(
@@ -42,27 +43,27 @@
             self._spare[model] -= min_serving
 
     def reserve_change(self, engine: schema.Engine, in_service: bool) -> str | None:
-        """Take one change, or return why there is none.
+        """Reserve one change, or return the reason why none may start.
 
-        An engine that does not serve anyway is no loss, so it is bound only by the
-        number of changes.
+        Only the number of changes limits an engine that is not in service, since
+        changing it does not reduce serving capacity.
         """
         if self._changes <= 0:
-            return "concurrent_changes are under way"
+            return "limit concurrent_changes is reached"
         if in_service and any(self._spare[model] <= 0 for model in engine.models):
-            return "least_serving_share would not be kept"
+            return "fewer engines than least_serving_share would serve a model"
         self._changes -= 1
         if in_service:
             self._spare.subtract(engine.models)
         return None
 
     def reclaim(self, engine: schema.Engine) -> bool:
-        """Tell whether a drain should be given up, and count it as given up.
+        """Return whether a drain should be abandoned, and count it as abandoned.
 
-        An engine that crashes or leaves while others drain can leave nobody to
-        serve; an engine that still drains is the quickest to have back. And two
-        holders that did not see each other's slots can begin more changes than
-        `concurrent_changes`; whoever sees all of them gives the excess up.
+        An engine that crashes or leaves while others drain can leave too few engines
+        in service; a draining engine is the fastest to return. Also, two leaders that
+        did not see each other's slots can start more changes than
+        `concurrent_changes`; a leader that sees all of them abandons the excess.
         """
         below_minimum = any(self._spare[model] < 0 for model in engine.models)
         if not below_minimum and self._changes >= 0:
@@ -72,7 +73,7 @@
         return True
 
     def reserve_load(self) -> bool:
-        """Take one load; False if none may begin now."""
+        """Reserve one weight load; returns False if none may start now."""
         if self._loads <= 0:
             return False
         self._loads -= 1
--- a/src/pimentolatch/control/configuration.py
+++ b/src/pimentolatch/control/configuration.py
@@ -1,8 +1,8 @@
 """Submits documents to the platform's store.
 
-One *head* object says which document is in force; a conditional update of it decides
-every race. A document is kept in parts that are written before the head, so whoever
-sees the head can read the whole document.
+The *head* object names the document in force. A conditional update of the head decides
+between concurrent submissions. The parts of a document are written before the head, so
+a reader of the head can read the whole document.
 """
 
 import asyncio
@@ -34,14 +34,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Submission:
-    """A document on its way to the store.
+    """A document to be written to the store.
 
     Attributes:
-        submission_id: The same in every retry of one submission.
-        expected_number: Number of the document the operator looked at; None accepts
-            any. Only with it can a retry through another instance, or one that was
-            frozen, never put the document in force after the operator was told that
-            another one won.
+        submission_id: Idempotency key; the same in every retry of a submission.
+        expected_number: Number of the document that the operator's change is based
+            on, or None for any. Without it, a retry through another instance, or
+            through one that was paused, can put the document in force after the
+            operator was told that another document won.
         pieces: The parts of the document's text; see `with_pieces`.
     """
 
@@ -54,16 +54,16 @@
 
     @property
     def content_hash(self) -> str:
-        """Hash of the document's text; only of a submission with its pieces."""
+        """Hash of the document's text; needs `pieces`, see `with_pieces`."""
         return parts.content_hash("".join(piece.text for piece in self.pieces))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """The document came into force under this number.
+    """The document was put in force, with the number in its head.
 
     Attributes:
-        replaced_by: The document now in force, if it is a later one.
+        replaced_by: Head of the document now in force, if it is a later one.
     """
 
     head: heads.Head
@@ -72,21 +72,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """Another document won; this one has no effect."""
+    """Another document was put in force; this one has no effect."""
 
     winner: heads.Head
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotSubmitted:
-    """This attempt wrote no head and never will; an earlier attempt may have."""
+    """This attempt did not write the head; an earlier attempt may have."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SubmissionUnknown:
-    """The store could not be read back; the document may be in force or not."""
+    """The outcome could not be read from the store; the document may be in force."""
 
     reason: str
 
@@ -96,7 +96,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Current:
-    """The head object as it stands."""
+    """The head object and its version in the store."""
 
     version: int
     head: heads.Head | None
@@ -104,13 +104,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _HeadChanged:
-    """The head object changed, though the document in force is the same."""
+    """The version of the head changed, but it names the same document."""
 
 
 def with_pieces(submission: Submission) -> Submission:
-    """Return a submission cut into parts; a tenth of a second's work at full size.
+    """Return the submission with its document split into parts.
 
-    A caller that serves requests beside it runs this in a thread.
+    This takes 0.1 s of processor time at the largest document size, so a process
+    that serves requests must run it in a thread.
     """
     if submission.pieces:
         return submission
@@ -118,10 +119,10 @@
 
 
 class ConfigurationObjects:
-    """The documents in the platform's store.
+    """Reads and submits documents in the platform's store.
 
     Args:
-        attempt_time: How long a submission is tried before its outcome is unknown.
+        attempt_time: Time limit for the retries of a submission.
     """
 
     def __init__(
@@ -148,26 +149,28 @@
     async def read_parts(
         self, names: tuple[str, ...]
     ) -> dict[str, str] | store.Unavailable:
-        """Read parts by their names."""
+        """Read parts by name; returns their texts."""
         found: dict[str, str] = {}
         for name in names:
             part = await self._store.get(heads.PART_KIND, name)
             if isinstance(part, store.Unavailable):
                 return part
             if isinstance(part, store.Absent):
-                return store.Unavailable(f"part {name} is missing", False)
+                return store.Unavailable(
+                    f"document part {name} does not exist in the store", False
+                )
             found[name] = part.value
         return found
 
     async def submit(self, submission: Submission) -> Outcome:
-        """Put a document in force, or tell truly why it is not."""
+        """Put a document in force; returns the outcome."""
         submission = with_pieces(submission)
         deadline = self._clock.monotonic() + self._attempt_time
         for _ in range(_MAX_ROUNDS):
             outcome = await self._submit_once(submission, deadline)
             if not isinstance(outcome, _HeadChanged):
                 return outcome
-        return NotSubmitted("the head kept changing")
+        return NotSubmitted("the head changed during every attempt; submit again")
 
     async def _submit_once(
         self, submission: Submission, deadline: datetime.timedelta
@@ -201,13 +204,13 @@
         version: int,
         deadline: datetime.timedelta,
     ) -> Outcome | _HeadChanged:
-        """Write the head, again and again until it is certain what became of it.
+        """Write the head, and retry until the outcome is known.
 
-        A write whose answer is lost may have taken effect, or may still be on its way
-        and take effect after a read that does not show it. Reading alone can't settle
-        that. The same write on the same version can: at most one of them takes
-        effect, and a conflict tells that the version is gone for all of them, so that
-        what is then read back is final.
+        A write whose response is lost may have taken effect, or may still be in
+        transit and take effect after a read that does not show it. So a read cannot
+        determine the outcome. Repeating the write at the same version can: at most
+        one of the writes takes effect, and after a conflict none of them can any
+        more, so the head that is read then is final.
         """
         pauses = self._pauses()
         effect_known = True
@@ -246,12 +249,12 @@
     async def _write_parts(
         self, part_texts: tuple[parts.PartText, ...], base: heads.Head | None
     ) -> tuple[str, ...] | store.Unavailable:
-        """Write the parts that the base document does not have.
+        """Write the parts that the base document lacks; returns all part names.
 
-        A name is used again only if the head that this submission replaces names it,
-        since such a part is removed only after another head took that one's place, and
-        then this submission fails. Any other part of equal content may be garbage that
-        is being removed, so new parts get names of their own.
+        A part is reused only if the base head references it. Such a part is removed
+        only after another head has replaced the base head, and then this submission
+        fails. Any other part with the same content may be about to be removed by the
+        garbage collector, so new parts get unique names.
         """
         known = {name.split(".")[0]: name for name in base.parts} if base else {}
         token = secrets.token_hex(4)
@@ -283,7 +286,8 @@
                 outcome = await self._store.put(
                     heads.PART_KIND, name, text, if_version=0
                 )
-                # Nobody else writes this name: a conflict is an own attempt's.
+                # The name is unique to this submission, so a conflict means that an
+                # earlier attempt has written the part.
                 if not isinstance(outcome, store.Unavailable):
                     return outcome
                 if self._clock.monotonic() >= deadline:
--- a/src/pimentolatch/control/document_exchange.py
+++ b/src/pimentolatch/control/document_exchange.py
@@ -1,9 +1,10 @@
-"""Moves documents between instances, without network: messages in, messages out.
+"""Transfers documents between instances; does no network I/O itself.
 
-An instance that sees a peer with a later document waits for a moment, picks one of the
-peers that have it by then, and asks for the head and the parts it lacks. The wait is
-drawn at random: the first instances take the document from the one that read it, the
-next ones from those, so nobody has to send it to a whole failure domain.
+An instance that learns of a peer with a later document waits for a random delay, picks
+one of the peers that have a later document by then, and requests the head and the parts
+that it lacks. Because of the random delay the first instances fetch from the instance
+that read the document and the next ones fetch from those, so no instance has to send
+the document to a whole failure domain.
 """
 
 import asyncio
@@ -41,7 +42,7 @@
 
 
 class DocumentExchange:
-    """Implements `interfaces.ConfigurationPeer`; one document is taken at a time."""
+    """Implements `interfaces.ConfigurationPeer` with one transfer at a time."""
 
     def __init__(
         self,
@@ -68,12 +69,12 @@
 
     @property
     def busy(self) -> bool:
-        """Whether `poll` has something to do soon."""
+        """Whether a transfer is scheduled or in progress, so `poll` must be called."""
         return self._due is not None or self._transfer is not None
 
     @property
     def peers_behind(self) -> int:
-        """Linked peers that have an older document than this instance."""
+        """Number of linked peers that have an older document than this instance."""
         return sum(number < self.number for number in self._peer_numbers.values())
 
     @property
@@ -94,14 +95,14 @@
         """See `interfaces.ConfigurationPeer.closed`."""
         self._peer_numbers.pop(link, None)
         if self._transfer is not None and self._transfer.link == link:
-            self._abort("the link ended")
+            self._abort("the link was closed")
 
     def poll(self) -> None:
-        """Start or give up transfers that are due."""
+        """Start a transfer that is due; abort one that has stalled."""
         now = self._clock.monotonic()
         transfer = self._transfer
         if transfer is not None and now - transfer.last_progress >= _STALL_TIMEOUT:
-            self._abort("no answer")
+            self._abort("no progress within the stall timeout")
         if self._transfer is None and self._due is not None and now >= self._due:
             self._due = None
             self._start_transfer()
@@ -119,7 +120,7 @@
                 self._receive_part(link, message)
             case messages.PartMissing():
                 if self._transfer is not None and self._transfer.link == link:
-                    self._abort("the peer has a later document")
+                    self._abort("the peer no longer has a requested part")
             case _:
                 self._network.close(link, "unexpected message")
 
@@ -135,7 +136,7 @@
         self._network.send(link, messages.WantHead())
 
     def _abort(self, reason: str) -> None:
-        _log.debug("transfer given up", reason=reason)
+        _log.debug("document transfer aborted", reason=reason)
         self._transfer = None
         self._due = self._clock.monotonic()
         self.wake.set()
@@ -162,7 +163,7 @@
         try:
             head = heads.Head.from_json(json.loads(message.value))
         except (ValueError, KeyError, TypeError) as error:
-            self._network.close(link, f"head can't be read: {error!r}")
+            self._network.close(link, f"invalid document head: {error!r}")
             return
         if head.number <= self._document.known_number:
             self._transfer = None
@@ -179,7 +180,10 @@
             return
         text = _decompressed(message.data)
         if text is None or parts.part_hash(text) != message.name.split(".")[0]:
-            self._network.close(link, "a part does not match its name")
+            self._network.close(
+                link,
+                "the content of a document part does not match the hash in its name",
+            )
             return
         transfer.requested.discard(message.name)
         transfer.received[message.name] = text
@@ -200,9 +204,9 @@
             return
         outcome = self._document.adopt(transfer.head, transfer.received)
         if isinstance(outcome, local_document.Unreadable):
-            # The store replaced parts while they were gathered, or the peer is ill.
-            _log.warn("document from a peer unreadable", reason=outcome.reason)
-            self._network.close(transfer.link, "document unreadable")
+            # Parts were replaced during the transfer, or the peer is faulty.
+            _log.warn("document from peer unreadable", reason=outcome.reason)
+            self._network.close(transfer.link, "invalid document")
 
     def _measure_dissemination(self) -> None:
         number, since = self._in_force
@@ -218,7 +222,10 @@
 
 
 def _decompressed(data: bytes) -> str | None:
-    """Return the text, or None; a small message must not become a huge one."""
+    """Return the text, or None if it is invalid or too long.
+
+    The limit protects against small messages that decompress to a huge size.
+    """
     limit = parts.PART_LIMIT_CHARACTERS * 4
     decompressor = zlib.decompressobj()
     try:
--- a/src/pimentolatch/control/domain_controller.py
+++ b/src/pimentolatch/control/domain_controller.py
@@ -1,7 +1,7 @@
-"""This instance's part in the control of its failure domain.
+"""Controls the engines of a failure domain while this instance is its leader.
 
-Every entry instance runs one. Whichever holds the duty lease makes the passes; the
-others look at the lease now and then.
+Every entry instance runs a controller. The holder of the leader lease runs the
+reconciliation passes; the others only check the lease.
 """
 
 import asyncio
@@ -40,7 +40,7 @@
 
 
 class NoPlanner:
-    """Keeps every engine in the role that it has."""
+    """A role planner that changes no role."""
 
     def plan(
         self, engines: abc.Sequence[role_planning.EngineStatus], now: datetime.timedelta
@@ -51,20 +51,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControllerSettings:
-    """Times and bounds of the duty.
+    """Intervals and limits of the controller.
 
     Attributes:
-        pass_interval: Time between two passes; each reads the view and
-            the slots that move.
-        idle_pass_interval: Time between two passes while no change is under way.
-        engines_polled_per_pass: Engines in service whose state each pass asks for. One
-            costs
-            0.9 ms of processor time, so that 8 each quiet pause are 0.4% of a core,
-            and a failure domain of 420 engines is seen whole in two minutes.
-        change_deadline: Age at which a change under way is shown as overdue.
-        load_interval: Least time between two orders that fetch weights. The weight
-            store's rate is the whole fleet's: 9 failure domains at one fetch each
-            9 s come to one fetch a second.
+        pass_interval: Time between two passes; each reads the view and the slots of
+            engines that are not in service.
+        idle_pass_interval: Time between two passes while no change is in progress.
+        engines_polled_per_pass: Engines in service that each pass queries for their
+            state. A query takes 0.9 ms of processor time, so 8 per idle pass take 0.4%
+            of a core, and 420 engines of a failure domain are covered in two minutes.
+        change_deadline: Age from which a change in progress is reported as overdue.
+        load_interval: Minimum time between two orders that fetch weights. All failure
+            domains share the weight store: 9 of them at one fetch per 9 s make one
+            fetch per second.
     """
 
     lease: leader_lease.LeaseSettings = leader_lease.LeaseSettings()
@@ -77,12 +76,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeStatus:
-    """A change that is not done yet.
+    """A change in progress.
 
     Attributes:
-        waits_for: What it waits for.
-        age: Time for which this tenure has known of it.
-        overdue: Whether `age` is past the deadline; nothing is cut for that.
+        waits_for: What the change is waiting for.
+        age: Time since this leader first saw the change.
+        overdue: Whether `age` exceeds the deadline; the change goes on all the same.
     """
 
     engine: str
@@ -93,11 +92,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControllerStatus:
-    """What operators see of the duty at this instance.
+    """Status of the controller for operators.
 
     Attributes:
-        holder: Incarnation that holds the lease, as last seen here; may be empty.
-        changes: Changes under way; known to the holder alone.
+        held: Whether this instance is the leader.
+        holder: Incarnation of the leader as last seen here; may be empty.
+        changes: Changes in progress; empty unless this instance is the leader.
     """
 
     failure_domain: str
@@ -107,16 +107,16 @@
 
 
 class DomainController:
-    """Holds the duty of a failure domain whenever it is free.
+    """Competes for the leader lease and reconciles engines while it holds the lease.
 
     Args:
-        incarnation: Name of this start of this instance; never used twice.
-        acknowledgements: Spreads views and knows who has acknowledged them.
-        senders: Requests in flight, as the instances count them.
-        engines: Client that asks engines for their state and sends them orders.
-        leaving: Returns the backend servers that the platform's list shows leaving,
-            or None while this instance has not had the list.
-        planner: Asks for role changes; None for none.
+        incarnation: Unique name of this run of this instance.
+        acknowledgements: Announces views and tracks their acknowledgements.
+        senders: Requests in flight, counted by the instances that send them.
+        engines: Client that queries engines for their state and sends them orders.
+        leaving: Returns the backend servers that the platform lists as leaving, or
+            None while this instance has not received the list.
+        planner: Plans role changes; None for no role changes.
     """
 
     def __init__(
@@ -169,7 +169,7 @@
         self._stopping = False
 
     def status(self) -> ControllerStatus:
-        """Return what this instance knows of the duty and the changes under way."""
+        """Return the lease's holder and the changes in progress, as known here."""
         unfinished = () if self._loop is None else self._loop.unfinished_changes
         changes = tuple(self._change_status(item) for item in unfinished)
         return ControllerStatus(
@@ -177,7 +177,7 @@
         )
 
     async def run(self) -> None:
-        """Hold the duty whenever it is free; ends after `stop` or when cancelled."""
+        """Run the controller until `stop` is called or the task is cancelled."""
         audit_task = asyncio.create_task(self._audit.run())
         try:
             await self._run()
@@ -186,7 +186,7 @@
             self._executor.cancel()
 
     async def stop(self) -> None:
-        """Begin no change any more, wait for orders under way, hand the duty over."""
+        """Start no more changes, wait for orders in progress, release the lease."""
         self._stopping = True
         await self._executor.wait()
         await self._audit.flush()
@@ -212,7 +212,7 @@
                 await self._clock.sleep(next_lease_step - self._clock.monotonic())
 
     def _pass_is_due(self) -> bool:
-        """Tell whether a pass has something to do or enough time has passed."""
+        """Return whether there are changes to make or the idle interval is over."""
         if self._loop is None or self._loop.unfinished_changes:
             return True
         current = self._fleet.view.configuration
@@ -228,7 +228,7 @@
             self._clock.monotonic() + self._settings.idle_pass_interval
         )
         if self._loop is None:
-            _log.info("duty begins", failure_domain=self._domain)
+            _log.info("leadership acquired", failure_domain=self._domain)
             bounds = reconcile_loop.PassLimits(
                 self._settings.engines_polled_per_pass, self._settings.load_interval
             )
--- a/src/pimentolatch/control/drain.py
+++ b/src/pimentolatch/control/drain.py
@@ -1,9 +1,9 @@
-"""Takes engines and leaving servers out of routing, and tells when one is idle.
+"""Withdraws engines and leaving servers from routing, and detects idle engines.
 
-A view follows from the slots, the document and the platform's list; nothing else
-decides what is withdrawn. Whoever writes a view has read the view before the slots
-and writes at the version it read, so a writer that was frozen in between fails
-instead of putting an engine back that is being changed.
+The domain view depends only on the slots, the document and the platform's instance
+list. A writer reads the view before the slots and writes at the version that it read.
+So a writer that was paused in between fails, instead of returning an engine to service
+that is being changed.
 """
 
 import dataclasses
@@ -31,22 +31,22 @@
 
 
 class SenderCounts(typing.Protocol):
-    """Requests in flight, as the instances that send them count them."""
+    """Requests in flight, counted by the instances that send them."""
 
     def in_flight(self, server: str) -> int | None:
-        """Return the requests that instances now have at a backend server.
+        """Return the number of requests that instances have at a backend server.
 
-        Each instance's count must be one it gave after its acknowledgement of the
-        view that withdraws the server. None while such a count is still missing.
+        Each instance must have reported its count after it acknowledged the view that
+        withdraws the server. Returns None while such a count is missing.
         """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Withdrawal:
-    """A view that was written after a slot began to drain.
+    """A view that was written after a slot was set to draining.
 
     Attributes:
-        slot_version: Version of the draining slot that the writer had read.
+        slot_version: Version of the draining slot that the writer read.
         view_number: Number of the view that withdraws the engine.
     """
 
@@ -56,19 +56,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Drained:
-    """Nothing runs at the engine and nothing new can come."""
+    """The engine is idle and gets no new requests."""
 
     state: order_client.EngineState
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendersIdle:
-    """No instance has or will send anything to the engine."""
+    """No instance has requests at the engine or will send one."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InUse:
-    """The engine may still get or hold requests."""
+    """The engine may still have or receive requests."""
 
     reason: str
 
@@ -79,20 +79,20 @@
     missing: abc.Set[str],
     in_flight: int | None,
 ) -> SendersIdle | InUse:
-    """Tell whether any instance may still have or send requests at the engine.
+    """Return whether any instance may still have or send requests at the engine.
 
-    An engine's own count is not enough: a request on its way to the engine is in no
-    count but its sender's. The senders' counts are not enough either: one that was
-    dropped from the list may have streams that nobody here knows of. So the engine is
-    asked after this, and with every instance's acknowledgement a zero at both sides
-    is final.
+    The engine's own count is not sufficient: a request in transit is counted only by
+    its sender. The senders' counts are not sufficient either: an instance that was
+    removed from the list may have streams that no listed instance counts. So the
+    engine is queried after this check. Once every instance has acknowledged the view,
+    zero at both sides is final.
     """
     if withdrawal is None or withdrawal.slot_version != slot.version:
-        return InUse("the view that withdraws it is not written yet")
+        return InUse("the view that withdraws the engine is not written yet")
     if missing:
         return InUse(f"not acknowledged by {', '.join(sorted(missing))}")
     if in_flight is None:
-        return InUse("senders' counts are missing")
+        return InUse("some instances have not reported their requests in flight")
     if in_flight:
         return InUse(f"{in_flight} requests in flight")
     return SendersIdle()
@@ -101,22 +101,22 @@
 def engine_outcome(
     state: order_client.EngineState | order_client.Unreachable | None,
 ) -> Drained | InUse:
-    """Tell whether the engine itself is at rest."""
+    """Return whether the engine itself is idle."""
     if state is None:
-        return InUse("the engine's state is not known")
+        return InUse("the engine's state has not been read yet")
     if isinstance(state, order_client.Unreachable):
         return InUse(f"engine unreachable: {state.reason}")
     if state.streams:
-        return InUse(f"{state.streams} streams at the engine")
+        return InUse(f"{state.streams} streams are running at the engine")
     if state.changing:
-        return InUse("the engine is changing")
+        return InUse("the engine is executing a change")
     return Drained(state)
 
 
 def leaving_servers(
     instances: abc.Iterable[store.Instance], failure_domain: str
 ) -> frozenset[str]:
-    """Return the backend servers of a domain that the platform's list shows leaving."""
+    """Return a domain's backend servers that the platform lists as leaving."""
     return frozenset(
         instance.name
         for instance in instances
@@ -132,13 +132,13 @@
     slots_by_engine: abc.Mapping[str, slots.Slot],
     leaving: abc.Set[str] | None,
 ) -> views.DomainView:
-    """Return the view that the slots, the document and the list ask for.
+    """Return the view that follows from the slots, the document and the list.
 
     Args:
         document: The document in force.
-        current: The view as it stands.
+        current: The current view.
         slots_by_engine: The failure domain's slots, read after `current`.
-        leaving: Leaving servers, or None while the list can't be read.
+        leaving: Leaving servers, or None while the list is not available.
     """
     domain = current.failure_domain
     servers = [s for s in document.backend_servers if s.failure_domain == domain]
@@ -148,8 +148,8 @@
         for slot in slots_by_engine.values()
         if slot.state is not slots.SlotState.SERVING
     }
-    # Without the list nobody knows whether a leaving server still is one, and giving
-    # it work again would break off that work when it goes.
+    # Without the list it is unknown whether a leaving server is still leaving. New
+    # requests there would be aborted when the server terminates.
     withdrawn |= current.withdrawn if leaving is None else leaving
     roles = {
         engine.name: targets.current_role(engine, slots_by_engine[engine.name])
@@ -165,14 +165,14 @@
 
 
 class ViewObjects:
-    """The domain view of one failure domain in the platform's store."""
+    """Reads and writes the view of one failure domain in the platform's store."""
 
     def __init__(self, objects: store.Store, failure_domain: str) -> None:
         self._store = objects
         self._domain = failure_domain
 
     async def read(self) -> views.DomainView | store.Unavailable:
-        """Read the view; number 0 while there is none."""
+        """Read the view; its number is 0 if none exists."""
         found = await self._store.get(views.DOMAIN_VIEW_KIND, self._domain)
         if isinstance(found, store.Unavailable):
             return found
@@ -181,10 +181,11 @@
         return views.DomainView.from_json(self._domain, found.version, found.value)
 
     async def write(self, view: views.DomainView) -> views.DomainView | None:
-        """Write a view at its number; returns it with its new one.
+        """Write a view if the stored number is still `view.number`.
 
-        None if it was not or may not have been written; the next pass reads the view
-        and writes again, since a view more does no harm.
+        Returns the view with its new number, or None if the write failed or its
+        outcome is unknown. The next pass then reads the view and writes again, since
+        an additional view does no harm.
         """
         outcome = await self._store.put(
             views.DOMAIN_VIEW_KIND,
--- a/src/pimentolatch/control/garbage_collector.py
+++ b/src/pimentolatch/control/garbage_collector.py
@@ -1,4 +1,4 @@
-"""Removes parts of documents that no head names any more."""
+"""Removes document parts that the head no longer references."""
 
 import logbook
 
@@ -12,7 +12,7 @@
 
 
 class PartCollector:
-    """Collects garbage after some of the documents that were accepted here."""
+    """Removes unreferenced parts; due after every 16th document."""
 
     def __init__(
         self,
@@ -23,17 +23,18 @@
         self._documents = documents
 
     def is_due(self, number: int) -> bool:
-        """Tell whether the submitter of this document should collect."""
+        """Return whether to collect after the document with this number."""
         return number % _COLLECT_INTERVAL == 0
 
     async def collect(self) -> int:
-        """Remove parts that are certainly not needed; returns how many.
-
-        A submission under way has written parts that no head names yet. Removing one
-        would leave a head whose document nobody can read. So the parts are listed
-        first, and then the head is written again as it is: every submission that
-        wrote a listed part was based on the head before, and fails at its conditional
-        update. Only after that are the listed parts removed that the head lacks.
+        """Remove unreferenced parts; returns how many were removed.
+
+        A submission in progress has written parts that no head references yet.
+        Removing one of them would leave a head with an incomplete document. So the
+        parts are listed first, and then the head is rewritten unchanged. Every
+        submission that wrote a listed part is based on the earlier version of the
+        head, so its conditional update fails. Only then are listed parts that the
+        head does not reference removed.
         """
         listing = await self._store.list_objects(heads.PART_KIND)
         if isinstance(listing, store.Unavailable):
@@ -56,5 +57,5 @@
                     heads.PART_KIND, row.name, if_version=row.version
                 )
                 removed += isinstance(outcome, store.Written)
-        _log.info("parts removed", removed=removed)
+        _log.info("unreferenced document parts removed", removed=removed)
         return removed
--- a/src/pimentolatch/control/heads.py
+++ b/src/pimentolatch/control/heads.py
@@ -1,4 +1,4 @@
-"""The head object: which document is in force, and which ones were before."""
+"""The head object: the document in force and the submissions accepted before it."""
 
 import dataclasses
 import typing
@@ -8,14 +8,14 @@
 HEAD_KIND = "configuration"
 HEAD_NAME = "head"
 PART_KIND = "configuration-parts"
-# A retry of an operator comes within seconds or minutes. At 3,700 changes a day this
-# reaches back over a quarter of an hour.
+# Operators retry within seconds or minutes. At 3,700 changes a day, 40 submissions
+# cover more than 15 minutes.
 REMEMBERED_SUBMISSIONS = 40
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PastSubmission:
-    """A submission that was accepted, and the number it got."""
+    """An accepted submission and the number of its document."""
 
     submission_id: str
     number: int
@@ -26,11 +26,12 @@
     """The head object.
 
     Attributes:
-        number: Place in the order of documents, from 1.
-        submission_id: Names the submission, so that a lost answer can be settled.
-        parts: Names of the parts that make up the text.
-        past: The submissions accepted before, latest last. Without them a document
-            that was accepted and soon replaced would be reported as never in force.
+        number: Sequence number of the document, from 1.
+        submission_id: Identifies the submission, so that a retry after a lost response
+            finds its outcome.
+        parts: Names of the parts that form the document's text, in order.
+        past: Submissions accepted earlier, oldest first. Without them a document that
+            was accepted and soon replaced would be reported as never in force.
     """
 
     number: int
@@ -42,7 +43,7 @@
     past: tuple[PastSubmission, ...] = ()
 
     def number_of(self, submission_id: str) -> int | None:
-        """Return the number that a submission got, or None if it is not known."""
+        """Return the number of a submission's document, or None if not found."""
         if submission_id == self.submission_id:
             return self.number
         for past in self.past:
@@ -51,7 +52,7 @@
         return None
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Return the value that is stored."""
+        """Return the stored form."""
         return dataclasses.asdict(self)
 
     @classmethod
--- a/src/pimentolatch/control/leader_lease.py
+++ b/src/pimentolatch/control/leader_lease.py
@@ -1,10 +1,10 @@
-"""The duty lease of a failure domain: which instance plans and gives its orders.
+"""The leader lease of a failure domain: its holder plans and sends engine orders.
 
-It only saves double work. Two instances that both believe they hold it do no harm,
-because every step they take is a conditional update of a slot or a view.
+The lease only avoids duplicate work. Two instances that both believe that they hold it
+do no harm, because every step is a conditional update of a slot or a view.
 
-Expiry is judged by renewals seen, on the reader's own monotonic clock: a lease whose
-object has not changed for its whole duration has lapsed. No two clocks are compared.
+A reader decides on expiry by its own monotonic clock: a lease has expired if its object
+has not changed for the lease duration. Clocks of different machines are not compared.
 """
 
 import dataclasses
@@ -17,35 +17,36 @@
 __all__ = ["LEASE_KIND", "LeaderLease", "LeaseSettings", "LeaseRecord"]
 
 LEASE_KIND = "duty-leases"
-_NOBODY = ""
+_NO_HOLDER = ""
 _MIN_JITTER_FRACTION = 0.02
 _MAX_JITTER_FRACTION = 0.2
-# In renewals: with it an outage costs about as many calls as the time without one.
+# In renewal intervals. With this limit the instances make about as many calls during an
+# outage as outside of one.
 _MAX_BACKOFF = 4
 _ZERO = datetime.timedelta()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseSettings:
-    """Times of a duty lease.
+    """Settings of a leader lease.
 
-    A holder renews at a third of the duration, so that one lost call does not end
-    the lease. The others look at it when it would have lapsed, give or take: with 370
-    instances, 9 failure domains and 4 s that is about 84 reads and 7 writes a second.
-    A holder that is gone is replaced within two durations and the jitter.
+    The holder renews at a third of the duration, so that one failed call does not end
+    the lease. The other instances read it about when it would expire: with 370
+    instances, 9 failure domains and 4 s, about 84 reads and 7 writes per second. A
+    holder that has crashed is replaced within two durations plus jitter.
     """
 
     duration: datetime.timedelta = datetime.timedelta(seconds=4)
 
     @property
     def renewal(self) -> datetime.timedelta:
-        """Time between two renewals."""
+        """Interval between renewals."""
         return self.duration / 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseRecord:
-    """The lease as it is stored; `epoch` counts its holders."""
+    """The stored lease; `epoch` increases with each change of holder."""
 
     holder: str
     epoch: int
@@ -58,18 +59,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _UnknownWrite:
-    """A write whose outcome is not known, and when it was begun."""
+    """A write whose outcome is unknown, and the time at which it started."""
 
     record: LeaseRecord
     began: datetime.timedelta
 
 
 class LeaderLease:
-    """One instance's part in the lease of its failure domain.
+    """Acquires, renews and releases the lease of a failure domain for one instance.
 
     Args:
         holder: Incarnation of this instance.
-        random_source: For the jitter of those who do not hold the lease.
+        random_source: For jitter while another instance holds the lease.
     """
 
     def __init__(
@@ -90,14 +91,14 @@
         self._settings = LeaseSettings() if settings is None else settings
         self._seen_version = -1
         self._seen_at = datetime.timedelta()
-        self._record = LeaseRecord(_NOBODY, 0, 0)
+        self._record = LeaseRecord(_NO_HOLDER, 0, 0)
         self._held_until = datetime.timedelta.min
         self._unknown_write: _UnknownWrite | None = None
         self._failures = 0
 
     @property
     def held(self) -> bool:
-        """Whether this instance may take itself for the holder, by its own clock."""
+        """Whether this instance holds the lease, by its own clock."""
         return self._clock.monotonic() < self._held_until
 
     @property
@@ -107,11 +108,11 @@
 
     @property
     def epoch(self) -> int:
-        """Number of the tenure as last seen."""
+        """Epoch of the lease as last seen."""
         return self._record.epoch
 
     async def step(self) -> datetime.timedelta:
-        """Renew, take or look at the lease; returns the time until the next step."""
+        """Renew, acquire or read the lease; returns the time until the next step."""
         began = self._clock.monotonic()
         if self.held and await self._write(began):
             return self._settings.renewal
@@ -125,11 +126,11 @@
         return self._pause()
 
     async def release(self) -> None:
-        """Give the lease up, so that another instance need not wait for its end."""
+        """Release the lease, so that another instance need not wait for its expiry."""
         if not self.held:
             return
         self._held_until = datetime.timedelta.min
-        record = dataclasses.replace(self._record, holder=_NOBODY)
+        record = dataclasses.replace(self._record, holder=_NO_HOLDER)
         await self._store.put(
             LEASE_KIND, self._domain, record.to_json(), if_version=self._seen_version
         )
@@ -142,9 +143,10 @@
         self._seen_at = self._clock.monotonic()
         if isinstance(found, store.Found):
             self._record = LeaseRecord(**found.value)
-        # The answer to a write can be lost after it took effect. A holder that took
-        # it for a failure would let its tenure lapse and nobody else could take it:
-        # the others see the lease renewed. The record found is ours, to the number.
+        # The response to a write can be lost after the write took effect. A holder
+        # that treated this as a failure would stop acting as the leader, and no other
+        # instance could acquire the lease, since it appears renewed. An equal record
+        # shows that the write of this instance took effect.
         if (
             self._unknown_write is not None
             and self._unknown_write.record == self._record
@@ -155,7 +157,7 @@
         return self._held_until >= began + self._settings.duration
 
     def _may_write(self) -> bool:
-        if self._record.holder in (self._holder, _NOBODY):
+        if self._record.holder in (self._holder, _NO_HOLDER):
             return True
         return self._clock.monotonic() - self._seen_at >= self._settings.duration
 
@@ -172,16 +174,16 @@
         self._record = record
         self._seen_version = outcome.version
         self._seen_at = self._clock.monotonic()
-        # Counted from before the call, so that a slow store can't lengthen a tenure.
+        # Counted from before the call, so that a slow store can't extend the lease.
         self._held_until = began + self._settings.duration
         return True
 
     def _backoff(self) -> datetime.timedelta:
-        """Return the wait after a failed call.
+        """Return the wait after a failed call, with exponential backoff and jitter.
 
-        When the platform comes back after an outage, hundreds of instances that ask
-        at one moment would take it down again; so they ask more rarely, each at a
-        moment of its own. A holder that still has time left goes on trying.
+        When the platform recovers from an outage, hundreds of simultaneous calls would
+        overload it again. A holder whose lease has not expired keeps the renewal
+        interval.
         """
         if self.held:
             return self._settings.renewal
@@ -192,9 +194,9 @@
     def _pause(self) -> datetime.timedelta:
         if self.held or self._record.holder == self._holder:
             return self._settings.renewal
-        # Without the jitter all instances would try to take a lapsed lease at once.
+        # Without jitter all instances would try to acquire an expired lease at once.
         jitter = self._settings.duration * self._random.uniform(
             _MIN_JITTER_FRACTION, _MAX_JITTER_FRACTION
         )
-        lapses_at = self._seen_at + self._settings.duration
-        return max(lapses_at - self._clock.monotonic(), _ZERO) + jitter
+        expires_at = self._seen_at + self._settings.duration
+        return max(expires_at - self._clock.monotonic(), _ZERO) + jitter
--- a/src/pimentolatch/control/local_document.py
+++ b/src/pimentolatch/control/local_document.py
@@ -1,4 +1,4 @@
-"""Holds the document in force with its parts, and puts later ones in force."""
+"""The fleet document on this instance: stores its parts and puts it in force."""
 
 import dataclasses
 import datetime
@@ -25,22 +25,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stale:
-    """This document or a later one is known already."""
+    """This instance already has this document or a later one."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unreadable:
-    """The parts don't make the document that the head describes."""
+    """The parts do not form the document that the head describes."""
 
     reason: str
 
 
 class LocalDocument:
-    """The document in force, as text in parts for peers and parsed for use.
+    """The latest document of this instance, as text in parts and parsed.
+
+    Peers fetch the parts; the parsed document is put in force in `own_fleet`.
 
     Args:
-        own_fleet: Where documents are put in force.
-        adopted: Called after a document came into force.
+        own_fleet: State in which documents are put in force.
+        adopted: Called after a document was put in force.
     """
 
     def __init__(
@@ -60,7 +62,7 @@
 
     @property
     def head(self) -> heads.Head | None:
-        """The head of the document in force, or that waits for the views."""
+        """Head of the latest document, in force or waiting for the domain views."""
         return self._head
 
     @property
@@ -70,31 +72,30 @@
 
     @property
     def known_number(self) -> int:
-        """Number of the latest document held here, in force or not."""
+        """Number of the latest document on this instance, in force or not."""
         return 0 if self._head is None else self._head.number
 
     @property
     def adoption_delay(self) -> datetime.timedelta | None:
-        """Time from the submission to the adoption here, by two machines' clocks."""
+        """Time from submission to adoption here; compares clocks of two machines."""
         return self._adoption_delay
 
     def on_adopted(self, adopted: typing.Callable[[], None]) -> None:
-        """Set what is called after a document came into force."""
+        """Set the function that is called after a document was put in force."""
         self._adopted = adopted
 
     def part_text(self, name: str) -> str | None:
-        """Return the text of a part of the document held here."""
+        """Return the text of a part of this document, or None if not found."""
         return self._parts.get(name)
 
     def missing_parts(self, head: heads.Head) -> tuple[str, ...]:
-        """Return the parts of a document that are not held here."""
+        """Return names of the parts of a document that this instance lacks."""
         return tuple(dict.fromkeys(n for n in head.parts if n not in self._parts))
 
     def set_views_known(self) -> None:
-        """Allow documents to come into force: the domain views are known.
+        """Allow documents to be put in force, since the domain views are known.
 
-        An instance that serves without them would send work to engines that are
-        withdrawn, for it does not know of the withdrawal.
+        Without the views an instance would send requests to withdrawn engines.
         """
         if self._views_known:
             return
@@ -106,10 +107,10 @@
     def adopt(
         self, head: heads.Head, new: dict[str, str]
     ) -> Adopted | Stale | Unreadable:
-        """Put a document in force unless a later one is known.
+        """Put a document in force unless this instance has it or a later one.
 
         Args:
-            head: The head that names the parts.
+            head: Head of the document.
             new: Texts of the parts that were missing, by name.
         """
         if head.number <= self.known_number:
@@ -117,11 +118,12 @@
         held = {name: new.get(name, self._parts.get(name)) for name in head.parts}
         present = {name: text for name, text in held.items() if text is not None}
         if len(present) != len(held):
-            return Unreadable("parts are missing")
+            return Unreadable("some parts of the document are missing")
         text = "".join(present[name] for name in head.parts)
         if parts.content_hash(text) != head.content_hash:
-            return Unreadable("the parts don't match the hash")
-        # Stored text is plain JSON: no comments to strip, which a large one feels.
+            return Unreadable("the parts do not match the content hash of the head")
+        # Stored documents are plain JSON; searching a large one for comments to strip
+        # would take noticeable time.
         document = checks.check_value(schema.FleetDocument, json.loads(text))
         if isinstance(document, checks.Problems):
             return Unreadable(str(document))
@@ -142,15 +144,17 @@
     def adopt_submitted(
         self, head: heads.Head, submission: configuration.Submission
     ) -> Adopted | Stale | Unreadable:
-        """Put a document in force that was accepted through this instance.
+        """Put a document in force that was submitted through this instance.
 
-        If the platform goes down just after it accepted a document, nobody may have
-        read it. Then the operator was told that it is in force, and only this instance
-        can make that true, here and through its peers.
+        If the platform becomes unavailable right after accepting a document, no other
+        instance may have read it, although the operator was told that it is in force.
+        Then only this instance can put it in force and pass it on to peers.
         """
         pieces = submission.pieces
         if len(pieces) != len(head.parts):
-            return Unreadable("the head names other parts")
+            return Unreadable(
+                "the head and the submission have different numbers of parts"
+            )
         if head.number <= self.known_number:
             return Stale()
         named = zip(head.parts, (piece.text for piece in pieces), strict=True)
--- a/src/pimentolatch/control/orders.py
+++ b/src/pimentolatch/control/orders.py
@@ -1,8 +1,8 @@
-"""Gives one order to one engine, and settles orders whose outcome is not known.
+"""Sends an order to an engine, and resolves orders whose outcome is unknown.
 
-The order's connection stands before the slot goes to pending, and the order goes out
-on that connection or not at all. See docs/ORDERS.md for what each kind of engine
-needs besides.
+The connection for the order is opened before the slot becomes pending. The order is
+sent on that connection or not at all. See docs/ORDERS.md for the further requirements
+of each kind of engine.
 """
 
 import dataclasses
@@ -29,21 +29,21 @@
     "takeover_wait",
 ]
 
-# How far apart the rates of two machines' clocks may be. The takeover of a pending
-# order at an engine without fencing waits by the successor's clock for a timeout
-# that runs by the engine's.
+# Bound on the relative clock drift between two machines. The takeover of a pending
+# order at an engine that does not check fencing tokens waits, by the new sender's
+# clock, for a timeout that runs by the engine's clock.
 CLOCK_RATE_BOUND = 0.05
-# Covers the engine's own delay in acting on its timeout.
+# Covers the engine's delay in acting on its timeout.
 TAKEOVER_MARGIN = datetime.timedelta(seconds=1)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderRequest:
-    """An order to be given.
+    """An order to be sent.
 
     Attributes:
-        slot: The engine's slot, at the version that the decision rests on.
-        fence: Highest fencing number that the engine has reported.
+        slot: The engine's slot, at the version that the decision is based on.
+        fence: Highest fencing token that the engine has reported.
     """
 
     slot: slots.Slot
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Given:
-    """The engine carried the order out and the slot is settled."""
+    """The engine executed the order and the slot is settled."""
 
     slot: slots.Slot
 
@@ -70,12 +70,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Superseded:
-    """Another process holds the slot; nothing was sent."""
+    """Another process updated the slot first; nothing was sent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutcomeOpen:
-    """The slot is pending and what became of the order is still to be read back."""
+    """The slot may be pending; the order's outcome must be read from the engine."""
 
     reason: str
 
@@ -84,7 +84,7 @@
 
 
 class OrderSender:
-    """Gives orders as one incarnation of one instance.
+    """Sends orders on behalf of one incarnation of an instance.
 
     Args:
         sender: Incarnation; differs after each start of the process.
@@ -101,7 +101,7 @@
         self._sender = sender
 
     async def send(self, request: OrderRequest) -> OrderOutcome:
-        """Give an order, or take a pending one over with a newer order."""
+        """Send an order, or supersede a pending order with a newer one."""
         order = self._order(request)
         body = order_body(order)
         attempt = await self._engines.open(request.engine.address, body)
@@ -115,7 +115,7 @@
     async def settle(
         self, slot: slots.Slot, state: order_client.EngineState
     ) -> slots.Slot | slots.SlotChanged | slots.SlotUnknown:
-        """Record that the slot's order took effect."""
+        """Record in the slot that its order took effect."""
         settled = slot.after_event(
             slots.Event.SETTLE, engine_incarnation=state.incarnation
         )
@@ -130,22 +130,24 @@
         if isinstance(pending, slots.SlotChanged):
             return Superseded()
         # An update whose outcome is unknown may still make the slot pending. Nothing
-        # is sent then: the order is read back and superseded like any other.
+        # is sent then; a later pass resolves the order like any other pending one.
         if isinstance(pending, slots.SlotUnknown):
             return OutcomeOpen(pending.reason)
         sent = await attempt.send()
         if not isinstance(sent, order_client.Taken):
             return OutcomeOpen(sent.reason)
         if sent.state.last_order != order.order_id or sent.state.changing:
-            return OutcomeOpen("the engine is in another change")
+            return OutcomeOpen("the engine is executing another change")
         settled = await self.settle(pending, sent.state)
         if isinstance(settled, slots.Slot):
             return Given(settled)
-        return OutcomeOpen("the settlement was not written")
+        return OutcomeOpen(
+            "the order took effect, but the slot update to settled failed"
+        )
 
     def _order(self, request: OrderRequest) -> slots.Order:
-        # The engine's own number counts too: a slot that was lost or removed must
-        # not lead to orders that a fenced engine refuses for ever.
+        # The token that the engine reported counts too: otherwise, after the loss of a
+        # slot, an engine that checks tokens would refuse all further orders.
         sequence = max(request.slot.sequence, request.fence) + 1
         return slots.Order(
             identity.new_id(),
@@ -158,7 +160,7 @@
 
 
 def order_body(order: slots.Order) -> dict[str, typing.Any]:
-    """Return the body an engine receives."""
+    """Return the request body of an order."""
     head = {"order": order.order_id, "fence": order.sequence, "sender": order.sender}
     return head | order.target.to_json()
 
@@ -172,7 +174,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TakeOver:
-    """A newer order may go out; the pending one has no effect any more."""
+    """A newer order may be sent; the pending one can no longer take effect."""
 
     fence: int
 
@@ -188,13 +190,13 @@
 
 
 def takeover_wait(engine: schema.Engine) -> datetime.timedelta:
-    """Return how long a pending order must be seen before a newer one may go out.
+    """Return how long an order must have been pending before a newer one is sent.
 
-    A sender may be frozen between its update of the slot and its write to the engine.
-    An engine that checks fencing refuses the late order once it has taken a newer
-    one, so the wait only spares a live sender needless competition. At any other
-    engine the late order would undo the newer one; there the wait lasts until the
-    engine has closed the late sender's connection.
+    A sender may be paused between its update of the slot and its write to the engine.
+    An engine that checks fencing tokens refuses the late order once it has accepted a
+    newer one, so the wait only avoids conflicts with a live sender. At other engines
+    the late order would undo the newer one; there the wait lasts until the engine has
+    closed the late sender's connection.
     """
     if engine.checks_fencing:
         return TAKEOVER_MARGIN
@@ -208,20 +210,20 @@
     state: order_client.EngineState | order_client.Unreachable,
     pending_age: datetime.timedelta,
 ) -> Resolution:
-    """Decide what to do about a pending order that this process is not sending.
+    """Decide how to resolve a pending order that this process is not sending.
 
     Args:
         slot: A pending slot.
-        engine: The slot's engine, as the document describes it.
-        state: The engine's state, asked for after `seen_pending` was taken.
-        pending_age: How long this process has seen this very order pending.
+        engine: The slot's engine, as described in the document.
+        state: The engine's state, queried after `pending_age` was determined.
+        pending_age: Time for which this process has seen this order pending.
     """
     if isinstance(state, order_client.Unreachable):
         return Wait(f"engine unreachable: {state.reason}")
     if state.changing:
-        return Wait("the engine is changing")
+        return Wait("the engine is executing a change")
     if slot.order is not None and state.last_order == slot.order.order_id:
         return Settle(state)
     if pending_age < takeover_wait(engine):
-        return Wait("the order may still be on its way")
+        return Wait("the order may still be in transit to the engine")
     return TakeOver(state.fence)
--- a/src/pimentolatch/control/parts.py
+++ b/src/pimentolatch/control/parts.py
@@ -1,9 +1,9 @@
-"""Cuts a document into parts, so that a change moves only the parts it touches.
+"""Splits a document into parts, so that a change transfers only the affected parts.
 
-At the size designed for a document is about a megabyte and changes every 23 seconds.
-Sent whole, compressed or not, it alone would take most of the 18 KB a second that an
-instance has for control. The cuts depend on the content: an entry that comes or goes
-changes its own part, and the parts after it stay what they were.
+At the fleet size designed for, a document has about 1 MB and changes every 23 s. The
+whole document, even compressed, would take most of the 18 KB/s that an instance has for
+control traffic. The boundaries are content-defined: adding or removing an entry changes
+only its own part.
 """
 
 import dataclasses
@@ -23,10 +23,11 @@
     "split",
 ]
 
-# On average 64 entries, some 16 kB, make a part: a change then moves about one part
-# (a few kB compressed), and the head that names all parts stays at a few kB.
+# A part has 64 entries or about 16 kB on average. A change then transfers about one
+# part (a few kB compressed), and the head, which names all parts, stays at a few kB.
 _MEAN_ENTRIES_PER_PART = 64
-# Under the platform's megabyte even if every character needs six for its JSON escape.
+# Keeps a part below the platform's limit of 1 MB, even if the JSON escape of each
+# character takes six characters.
 PART_LIMIT_CHARACTERS = 120_000
 _HASH_LENGTH = 32
 
@@ -40,12 +41,12 @@
 
 
 def document_text(document: schema.FleetDocument) -> str:
-    """Return the one text a document is stored, hashed and sent to peers as."""
+    """Return the text by which a document is stored, hashed and sent to peers."""
     return "".join(_fragments(document))
 
 
 def split(document: schema.FleetDocument) -> tuple[PartText, ...]:
-    """Return the parts whose texts, joined, are the document's text."""
+    """Return the parts of a document; their joined texts are its text."""
     return tuple(PartText(part_hash(text), text) for text in _group_fragments(document))
 
 
@@ -55,7 +56,7 @@
 
 
 def part_hash(text: str) -> str:
-    """Return the shortened hash that a part's name begins with."""
+    """Return the truncated hash that is the prefix of a part's name."""
     return content_hash(text)[:_HASH_LENGTH]
 
 
@@ -82,7 +83,7 @@
 
 
 def _fragments(document: schema.FleetDocument) -> abc.Iterator[str]:
-    """Yield the text of the document, an entry of a list at a time."""
+    """Yield the document's text in fragments, one for each entry of a list."""
     separator = "{"
     for name, value in document.model_dump(mode="json").items():
         yield f"{separator}{json.dumps(name)}:"
--- a/src/pimentolatch/control/reconcile_loop.py
+++ b/src/pimentolatch/control/reconcile_loop.py
@@ -1,8 +1,8 @@
-"""One uninterrupted holding of a failure domain's duty lease.
+"""Reconciliation passes of one leadership, while the leader lease is held.
 
-A pass reads the view, the slots and the engines, in this order, writes the view that
-follows from them and takes each engine's next step. What a tenure remembers is only
-good within it; what a successor needs stands in the slots and the view.
+A pass reads the view, the slots and the engines, in this order. It writes the view that
+follows from them and executes the next step of each engine. State in memory is valid
+only during one leadership; all that the next leader needs is in the slots and the view.
 """
 
 import asyncio
@@ -37,11 +37,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PassLimits:
-    """Bounds of a pass.
+    """Limits of a pass.
 
     Attributes:
-        engines_polled_per_pass: Engines in service whose state each pass asks for.
-        load_interval: Least time between two orders that fetch weights.
+        engines_polled_per_pass: Engines in service that each pass queries for their
+            state.
+        load_interval: Minimum time between two orders that fetch weights.
     """
 
     engines_polled_per_pass: int
@@ -50,13 +51,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dependencies:
-    """What a tenure works with.
+    """Collaborators of the loop.
 
     Attributes:
-        acknowledgements: Spreads views and knows who has acknowledged them.
-        senders: Requests in flight, as the instances count them.
-        leaving: Returns the backend servers that the platform's list shows leaving,
-            or None while this instance has not had the list.
+        acknowledgements: Announces views and tracks their acknowledgements.
+        senders: Requests in flight, counted by the instances that send them.
+        leaving: Returns the backend servers that the platform lists as leaving, or
+            None while this instance has not received the list.
     """
 
     objects: store.Store
@@ -71,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnfinishedChange:
-    """An engine's change that is not done, and since when this tenure knows of it."""
+    """A change of an engine in progress, and when this leader first saw it."""
 
     engine: str
     reason: str
@@ -79,7 +80,7 @@
 
 
 class ReconcileLoop:
-    """The passes of one tenure."""
+    """Runs the reconciliation passes of one leadership."""
 
     def __init__(
         self,
@@ -112,14 +113,14 @@
 
     @property
     def unfinished_changes(self) -> tuple[UnfinishedChange, ...]:
-        """Changes that are not done yet, by engine."""
+        """Changes in progress, sorted by engine."""
         return tuple(
             self._unfinished_changes[engine]
             for engine in sorted(self._unfinished_changes)
         )
 
     async def run_pass(self, configuration: fleet.Configuration) -> None:
-        """Make one pass."""
+        """Run one reconciliation pass."""
         view = await self._views.read()
         if isinstance(view, store.Unavailable):
             _log.warn("platform unavailable", reason=view.reason)
@@ -147,11 +148,12 @@
     ) -> reconciler.ObservedState:
         document = configuration.document
         engines = [e for e in document.engines if e.failure_domain == self._domain]
-        # Taken before the states, so that an order which arrives in between is seen.
+        # Determined before the engines are queried, so that the states show an order
+        # that arrives in between.
         pending_ages = self._slot_cache.pending_ages()
         busy = self._executor.busy
-        # A stream that began before its sender acknowledged is in the sender's count
-        # or, if that is zero by now, over; so the engines are asked after both.
+        # A stream that started before its sender's acknowledgement is in the sender's
+        # count until it ends. So engines are queried after acknowledgements and counts.
         sender_outcomes = self._senders_outcomes()
         states = await self._poll_states(document, engines)
         now = self._deps.clock.monotonic()
@@ -234,11 +236,10 @@
     def _retargeted(
         self, targets_by_engine: abc.Mapping[str, slots.Target]
     ) -> set[str]:
-        """Return engines that met their target when last asked and have another now.
+        """Return engines whose target has changed since they last met it.
 
-        The survey takes minutes to come round in a large failure domain. A document
-        that gives one engine another role would wait as long before anybody looked
-        at that engine.
+        Polling all engines of a large failure domain takes minutes. Without this, a
+        document that changes the role of one engine would take as long to be noticed.
         """
         changed = (
             engine
--- a/src/pimentolatch/control/reconciler.py
+++ b/src/pimentolatch/control/reconciler.py
@@ -1,11 +1,11 @@
-"""Decides the next step of each engine towards its intended state; no I/O.
-
-Load pattern: the mix of prompts and outputs swings, so the planner asks for role
-changes while callers fill the fleet; documents bring new models at the same time.
-Without bounds on changes under way, a document that touches every engine would take
-a whole failure domain out of service at once. Grounds for the bounds: they are the
-operators' own (`concurrent_changes`, `least_serving_share`); loads are spaced so that
-all failure domains together keep to the weight store's rate.
+"""Decides the next step of each engine towards its target state; does no I/O.
+
+Load pattern: the ratio of prompt to output tokens varies, so the planner requests role
+changes while the fleet is loaded, and documents add new models at the same time.
+Without limits on concurrent changes, a document that changes every engine would take a
+whole failure domain out of service at once. Grounds for the limits: operators set them
+(`concurrent_changes`, `least_serving_share`). Weight loads are spaced so that all
+failure domains together stay within the weight store's rate.
 """
 
 import dataclasses
@@ -35,18 +35,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ObservedState:
-    """Everything a pass has read.
+    """Everything that a pass has read.
 
     Attributes:
         number: Number of the document.
         slots_by_engine: Slots of the failure domain, by engine.
-        states: Engines' answers, asked for after acknowledgements and counts.
+        states: States of engines, queried after acknowledgements and counts were read.
         drain_outcomes: Whether each draining engine is idle.
-        unreachable: Engines that gave no answer when last asked.
-        leaving: Servers that the platform's list shows leaving.
-        planned_changes: Role changes that the planner asks for, by engine.
-        pending_ages: How long each pending order has been seen pending.
-        busy: Engines whose order this process is giving.
+        unreachable: Engines whose last state query failed.
+        leaving: Servers that the platform lists as leaving.
+        planned_changes: Role changes requested by the planner, by engine.
+        pending_ages: Time since each pending order was first seen, by engine.
+        busy: Engines to which this process is sending an order.
         may_load: Whether an order that fetches weights may start now.
     """
 
@@ -69,7 +69,7 @@
 
     @property
     def engines(self) -> tuple[schema.Engine, ...]:
-        """The failure domain's engines."""
+        """Engines of the failure domain."""
         return tuple(
             engine
             for engine in self.document.engines
@@ -77,7 +77,7 @@
         )
 
     def slot(self, engine: str) -> slots.Slot:
-        """Return an engine's slot."""
+        """Return the slot of an engine; a new slot if it has none."""
         return self.slots_by_engine.get(engine, slots.Slot(engine))
 
 
@@ -93,14 +93,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AbandonDrain:
-    """Put a draining engine back in service without a change."""
+    """Return a draining engine to service without a change."""
 
     slot: slots.Slot
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Order an idle engine, or supersede a pending order."""
+    """Send an order to an idle engine, or supersede a pending order."""
 
     request: orders.OrderRequest
     loads: bool
@@ -116,14 +116,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReturnToService:
-    """Put a changed engine back in service."""
+    """Return a changed engine to service."""
 
     slot: slots.Slot
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Blocked:
-    """The change is not done yet; nothing can be done now."""
+    """The change is in progress, and no step is possible now."""
 
     engine: str
     reason: str
@@ -133,7 +133,7 @@
 
 
 def engine_of(step: Step) -> str:
-    """Return the engine that a step is about."""
+    """Return the engine that a step applies to."""
     if isinstance(step, Blocked):
         return step.engine
     if isinstance(step, SendOrder):
@@ -142,7 +142,7 @@
 
 
 def next_steps(observed: ObservedState) -> tuple[Step, ...]:
-    """Return a step for each engine that has one to take or waits for one."""
+    """Return the next step of each engine whose change is due or in progress."""
     budget = _allowance(observed)
     steps: list[Step] = []
     for engine in observed.engines:
@@ -215,7 +215,7 @@
     if planned is not None and not engine.pinned and planned.role != target.role:
         return planned
     state = observed.states.get(engine.name)
-    # A restarted engine has lost its role and models; its state shows it.
+    # A restarted engine has lost its role and models, which its state shows.
     if not isinstance(state, order_client.EngineState) or state.changing:
         return None
     if targets.is_met(state, target):
@@ -237,7 +237,9 @@
         met or _should_reclaim(observed, engine, budget)
     ):
         return AbandonDrain(slot)
-    outcome = observed.drain_outcomes.get(engine.name, drain.InUse("not looked at yet"))
+    outcome = observed.drain_outcomes.get(
+        engine.name, drain.InUse("the drain progress has not been read yet")
+    )
     if isinstance(outcome, drain.InUse):
         return Blocked(engine.name, outcome.reason)
     return _order_step(observed, engine, slot, budget)
@@ -246,8 +248,8 @@
 def _should_reclaim(
     observed: ObservedState, engine: schema.Engine, budget: change_budget.ChangeBudget
 ) -> bool:
-    gone = engine.name in observed.leaving | observed.unreachable
-    return not gone and budget.reclaim(engine)
+    unavailable = engine.name in observed.leaving | observed.unreachable
+    return not unavailable and budget.reclaim(engine)
 
 
 def _order_step(
@@ -265,7 +267,9 @@
         return Blocked(engine.name, "drained")
     loads = targets.needs_load(state, target)
     if loads and not budget.reserve_load():
-        return Blocked(engine.name, "waiting for the weight store's rate")
+        return Blocked(
+            engine.name, "waiting for the minimum interval between weight loads"
+        )
     reason = slot.reason
     return SendOrder(
         orders.OrderRequest(slot, engine, target, reason, observed.number, state.fence),
@@ -278,7 +282,7 @@
 ) -> Step:
     state = observed.states.get(engine.name)
     if state is None:
-        return Blocked(engine.name, "the engine's state is not known")
+        return Blocked(engine.name, "the engine's state has not been read yet")
     seen = observed.pending_ages.get(engine.name, datetime.timedelta())
     resolution = orders.resolve(slot, engine, state, seen)
     if isinstance(resolution, orders.Wait):
@@ -288,8 +292,8 @@
     idle = drain.engine_outcome(state)
     if isinstance(idle, drain.InUse):
         return Blocked(engine.name, idle.reason)
-    # The newest target goes out, also when the engine meets it already: only a newer
-    # order makes a fenced engine refuse the pending one for good.
+    # The order is sent even if the engine already meets the newest target: only a newer
+    # order makes an engine that checks fencing tokens refuse the pending one for good.
     target = targets.target_of(observed.document, engine, slot)
     return SendOrder(
         orders.OrderRequest(
--- a/src/pimentolatch/control/role_planning.py
+++ b/src/pimentolatch/control/role_planning.py
@@ -1,4 +1,4 @@
-"""What the role planner is told of the engines of a failure domain."""
+"""Input and interface of the role planner of a failure domain."""
 
 import dataclasses
 import datetime
@@ -14,14 +14,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineStatus:
-    """What a planner has to know of an engine.
+    """Status of an engine, as input of the role planner.
 
     Attributes:
-        role: Role it has, or is being changed to.
+        role: Role of the engine, or the target role of a change in progress.
         state: State of its order slot.
-        unreachable: Whether it gave no answer when last asked.
-        since: When this tenure first saw it in its role and in service, on the
-            monotonic clock; None while it is not in service.
+        unreachable: Whether the last query of its state failed.
+        since: Time on the monotonic clock at which this leader first saw the engine
+            in service in this role; None while it is not in service.
     """
 
     engine: schema.Engine
@@ -37,11 +37,11 @@
     def plan(
         self, engines: abc.Sequence[EngineStatus], now: datetime.timedelta
     ) -> abc.Sequence[roles.RoleChange]:
-        """Return the changes wanted now; `now` is the monotonic clock's time."""
+        """Return the role changes to make; `now` is a time of the monotonic clock."""
 
 
 class StatusTracker:
-    """Remembers since when each engine has been in its role."""
+    """Tracks since when each engine has been in its role."""
 
     def __init__(self) -> None:
         self._role_since: dict[str, tuple[schema.Role, datetime.timedelta]] = {}
@@ -53,7 +53,7 @@
         unreachable: bool,
         now: datetime.timedelta,
     ) -> EngineStatus:
-        """Return an engine's standing as of `now`."""
+        """Return the status of an engine at the time `now`."""
         if slot.state is not slots.SlotState.SERVING:
             self._role_since.pop(engine.name, None)
             role = targets.intended_role(engine, slot)
--- a/src/pimentolatch/control/slot_cache.py
+++ b/src/pimentolatch/control/slot_cache.py
@@ -1,8 +1,8 @@
-"""The slots of a failure domain as one tenure knows them.
+"""Caches the order slots of a failure domain during one leadership.
 
-A listing of every slot is large where every engine has one, so most passes read only
-those that move. A slot that moved unseen costs a conditional update that fails, no
-more; where more would be at stake, all are listed.
+A listing of all slots is large if every engine has one, so most passes read only the
+slots of engines that are not in service. A stale cache entry only makes a conditional
+update fail. Where a stale entry could do more harm, all slots are listed.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 __all__ = ["SlotCache"]
 
-# How often every slot is listed even if nothing asks for it.
+# Interval at which all slots are listed even if no entry was invalidated.
 _LIST_INTERVAL = datetime.timedelta(seconds=60)
 
 
@@ -26,7 +26,7 @@
 
 
 class SlotCache:
-    """Reads slots and remembers them."""
+    """Reads slots from the store and caches them."""
 
     def __init__(self, slot_objects: slots.SlotObjects, time: clock.Clock) -> None:
         self._objects = slot_objects
@@ -51,11 +51,11 @@
         ]
 
     def invalidate(self, engines: abc.Iterable[str]) -> None:
-        """Have slots read again although they seem at rest."""
+        """Have slots read again in the next refresh, even of engines in service."""
         self._invalidated.update(engines)
 
     async def refresh(self) -> store.Unavailable | None:
-        """Bring the slots that move up to date."""
+        """Read the slots of engines not in service and the invalidated slots."""
         if self._clock.monotonic() >= self._next_listing:
             return await self.list_all()
         names = self._invalidated.union(slot.engine for slot in self.not_serving)
@@ -68,7 +68,7 @@
         return None
 
     async def list_all(self) -> store.Unavailable | None:
-        """Bring every slot up to date."""
+        """Read all slots of the failure domain."""
         listed = await self._objects.read_all()
         if isinstance(listed, store.Unavailable):
             return listed
@@ -78,7 +78,7 @@
         return None
 
     def pending_ages(self) -> dict[str, datetime.timedelta]:
-        """Return how long each pending order has been seen pending, by engine."""
+        """Return the time since each pending order was first seen, by engine."""
         now = self._clock.monotonic()
         seen: dict[str, _PendingSince] = {}
         for slot in self.not_serving:
--- a/src/pimentolatch/control/slots.py
+++ b/src/pimentolatch/control/slots.py
@@ -1,10 +1,10 @@
-"""Order slots: the one object that decides who may order an engine, and what.
+"""Order slots: the stored object that decides which process may order an engine.
 
 Each engine that was ever changed has a slot in the platform's store. Every step of a
-change is a conditional update of the slot at the version that the step was decided
-on, so of two processes that decide on the same version only one goes on, and one that
-was frozen in between fails at its next step. The slot's sequence number is the
-fencing number of its order; it grows with each order and never repeats.
+change is a conditional update at the slot version that the step is based on. Of two
+processes that decide on the same version only one succeeds, and a process that was
+paused in between fails at its next step. The sequence number of the slot's order is its
+fencing token; it increases with each order and is never reused.
 """
 
 import dataclasses
@@ -33,7 +33,7 @@
 
 
 class SlotState(enum.StrEnum):
-    """Where an engine stands in its life cycle of changes."""
+    """State of an engine in the life cycle of a change."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -42,7 +42,7 @@
 
 
 class Event(enum.StrEnum):
-    """What moves a slot from one state to another."""
+    """Event that changes the state of a slot."""
 
     DRAIN = "drain"
     ABANDON = "abandon"
@@ -52,10 +52,10 @@
     RETURN = "return_to_service"
 
 
-# An engine returns to service only through its slot. A process frozen after it saw
-# the engine drained would otherwise order an engine that another process has put
-# back in service, and cut its streams; the return changes the slot's version, so the
-# frozen process fails to make its order pending.
+# An engine returns to service only through its slot, which changes the slot's version.
+# Otherwise a process that was paused after it saw the engine drained could order an
+# engine that another process has returned to service, and abort its streams. With the
+# new version the paused process fails to make its order pending.
 _LIFE_CYCLE = transitions.Machine(
     model=None,
     states=[state.value for state in SlotState],
@@ -75,9 +75,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """The whole state an engine is meant to be in.
+    """The full target state of an engine.
 
-    Orders carry the whole of it, not a difference, so giving one again is harmless.
+    Orders carry the full state, not a difference, so they are idempotent.
 
     Attributes:
         models: Names of the models to hold, with the versions of their weights.
@@ -87,24 +87,24 @@
     models: tuple[tuple[str, str], ...]
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Return the stored form, which is also the form that engines receive."""
+        """Return the form that is stored and sent to engines."""
         return {"role": self.role, "models": dict(self.models)}
 
     @classmethod
     def from_json(cls, value: dict[str, typing.Any]) -> "Target":
-        """Return the target that a stored value describes."""
+        """Return the target from its stored form."""
         return cls(value["role"], tuple(sorted(value["models"].items())))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """One order to one engine.
+    """An order to an engine.
 
     Attributes:
-        sequence: Fencing number; the higher one is always the later decision.
-        sender: Incarnation of the process that may send it.
-        reason: Why it is given, for the audit trail.
-        document: Number of the document in force when it was given.
+        sequence: Fencing token; a higher one always belongs to a later decision.
+        sender: Incarnation of the process that may send the order.
+        reason: Reason for the order, for the audit trail.
+        document: Number of the document in force when the order was created.
     """
 
     order_id: str
@@ -127,7 +127,7 @@
 
     @classmethod
     def from_json(cls, value: dict[str, typing.Any]) -> "Order":
-        """Return the order that a stored value describes."""
+        """Return the order from its stored form."""
         return cls(
             value["order"],
             value["sequence"],
@@ -143,13 +143,13 @@
     """The order slot of one engine.
 
     Attributes:
-        version: Version of the stored object; 0 while there is none.
-        role: Role the engine is meant to have, or None for the document's.
-        document_role: The document's role when `role` was set; when the document
-            states another one since, the document wins.
-        order: The last order, in whatever state it is.
-        engine_incarnation: The engine's incarnation at the last settlement.
-        reason: Why the change under way was begun.
+        version: Version of the stored object; 0 if there is none.
+        role: Target role of the engine, or None for the document's role.
+        document_role: The document's role when `role` was set. If the document has
+            another role now, the document takes precedence.
+        order: The last order, in any state.
+        engine_incarnation: The engine's incarnation when the last order was settled.
+        reason: Reason for the change in progress.
     """
 
     engine: str
@@ -163,23 +163,25 @@
 
     @property
     def sequence(self) -> int:
-        """Fencing number of the last order; 0 before the first."""
+        """Fencing token of the last order; 0 before the first order."""
         return 0 if self.order is None else self.order.sequence
 
     def after_event(self, event: Event, **changes: typing.Any) -> "Slot":
         """Return the slot after an event.
 
         Raises:
-            ValueError: The life cycle has no such step.
+            ValueError: The event is not allowed in the slot's state.
         """
         found = _LIFE_CYCLE.get_transitions(event.value, self.state.value)
         if not found:
-            raise ValueError(f"{self.engine}: no {event} while {self.state}")
+            raise ValueError(
+                f"{self.engine}: event {event} is not allowed in state {self.state}"
+            )
         state = SlotState(str(found[0].dest))
         return dataclasses.replace(self, state=state, **changes)
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Return the stored form; the version is the object's own."""
+        """Return the stored form; the version is part of the stored object itself."""
         return {
             "state": self.state.value,
             "role": self.role,
@@ -193,7 +195,7 @@
     def from_json(
         cls, engine: str, version: int, value: dict[str, typing.Any]
     ) -> "Slot":
-        """Return the slot that a stored value describes."""
+        """Return the slot from its stored form."""
         order = value["order"]
         return cls(
             engine,
@@ -209,29 +211,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotChanged:
-    """Another process moved the slot first; the update had no effect."""
+    """Another process updated the slot first; this update had no effect."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotUnknown:
-    """The store did not tell whether the update took effect.
+    """It is unknown whether the update took effect.
 
     Attributes:
-        reason: What was seen, for the log.
+        reason: Cause, for the log.
     """
 
     reason: str
 
 
 class SlotObjects:
-    """The order slots of one failure domain in the platform's store."""
+    """Reads and updates the order slots of one failure domain in the store."""
 
     def __init__(self, objects: store.Store, failure_domain: str) -> None:
         self._store = objects
         self._domain = failure_domain
 
     async def read_all(self) -> dict[str, Slot] | store.Unavailable:
-        """Read every slot of the failure domain, by engine, in one call."""
+        """Read all slots of the failure domain in one call, by engine."""
         prefix = slot_name(self._domain, "")
         listing = await self._store.list_objects(SLOT_KIND, prefix)
         if isinstance(listing, store.Unavailable):
@@ -243,7 +245,7 @@
         return {slot.engine: slot for slot in slots}
 
     async def read(self, engine: str) -> Slot | store.Unavailable:
-        """Read one slot; an engine without one has a slot of version 0."""
+        """Read one slot; returns a slot of version 0 if the engine has none."""
         found = await self._store.get(SLOT_KIND, slot_name(self._domain, engine))
         if isinstance(found, store.Unavailable):
             return found
@@ -252,7 +254,7 @@
         return Slot.from_json(engine, found.version, found.value)
 
     async def update(self, slot: Slot) -> Slot | SlotChanged | SlotUnknown:
-        """Write a slot if nobody else has since `slot.version`."""
+        """Write a slot if the stored version is still `slot.version`."""
         outcome = await self._store.put(
             SLOT_KIND,
             slot_name(self._domain, slot.engine),
@@ -268,18 +270,18 @@
         return await self._read_back(slot)
 
     async def _read_back(self, slot: Slot) -> Slot | SlotChanged | SlotUnknown:
-        """Settle a write whose answer was lost.
+        """Determine the outcome of a write whose response was lost.
 
-        Taking it for a failure leaves a pending order that nobody sends; taking it
-        for a success sends an order that another process may have superseded. What
-        stands in the store decides: each pending order has an id of its own, so a
-        slot equal to ours at a newer version is the one that we wrote.
+        Assuming failure could leave a pending order that no process sends; assuming
+        success could send an order that another process has superseded. The stored
+        slot decides: each order has a unique id, so an equal slot at a newer version
+        was written by this update.
         """
         found = await self.read(slot.engine)
         if isinstance(found, store.Unavailable):
             return SlotUnknown(found.reason)
         if found.version == slot.version:
-            return SlotUnknown("the write is not visible yet")
+            return SlotUnknown("the response was lost and the write is not visible yet")
         if found == dataclasses.replace(slot, version=found.version):
             return found
         return SlotChanged()
@@ -288,7 +290,7 @@
 def slot_name(failure_domain: str, engine: str) -> str:
     """Return the name of an engine's slot object.
 
-    The failure domain comes first so that its slots are listed by prefix. An engine
-    that moves to another failure domain is another machine and needs another name.
+    The name begins with the failure domain, so that its slots can be listed by prefix.
+    An engine in another failure domain is a different machine and needs another name.
     """
     return f"{failure_domain}.{engine}"
--- a/src/pimentolatch/control/step_executor.py
+++ b/src/pimentolatch/control/step_executor.py
@@ -1,4 +1,4 @@
-"""Takes the steps that the reconciler decides on, and records them."""
+"""Executes the steps that the reconciler decides on, and audits them."""
 
 import asyncio
 import functools
@@ -14,10 +14,10 @@
 
 
 class StepExecutor:
-    """Takes steps; orders, which last, go on in tasks of their own.
+    """Executes steps; orders take long, so each is sent in a task of its own.
 
-    It outlives the tenures of the duty: an order that was begun is carried to its end
-    by its slot, whoever holds the lease by then.
+    The executor outlives a leadership: an order that has been started is completed
+    under its slot, whichever instance holds the lease by then.
     """
 
     def __init__(
@@ -33,38 +33,38 @@
 
     @property
     def busy(self) -> frozenset[str]:
-        """Engines that are being given an order by this process."""
+        """Engines to which this process is sending an order."""
         return frozenset(e for e, task in self._order_tasks.items() if not task.done())
 
     async def execute(self, step: reconciler.Step, document: int) -> None:
-        """Take one step; a step that fails is decided on anew in the next pass."""
+        """Execute one step; a failed step is decided on again in the next pass."""
         await _execute(step, self, document)
 
     async def wait(self) -> None:
-        """Wait until no order is being given."""
+        """Wait until no order is being sent."""
         await asyncio.gather(*self._order_tasks.values(), return_exceptions=True)
 
     def cancel(self) -> None:
-        """Break off; what is pending is settled by whoever holds the duty next."""
+        """Cancel the sending of orders; the next leader resolves pending ones."""
         for task in self._order_tasks.values():
             task.cancel()
 
     async def update_slot(
         self, slot: slots.Slot, action: str, document: int, detail: str
     ) -> None:
-        """Update a slot and record what came of it."""
+        """Update a slot and record the outcome in the audit trail."""
         outcome = await self._slots.update(slot)
         result = "done" if isinstance(outcome, slots.Slot) else str(outcome)
         self._audit.note(document, action, slot.engine, result, detail)
         _log.info(action, engine=slot.engine, outcome=result, detail=detail)
 
     def start_order(self, request: orders.OrderRequest) -> None:
-        """Give an order in a task of its own."""
+        """Start a task that sends an order."""
         task = asyncio.create_task(self._send(request))
         self._order_tasks[request.engine.name] = task
 
     async def settle(self, step: reconciler.SettleOrder, document: int) -> None:
-        """Settle an order that took effect without its sender's knowledge."""
+        """Settle an order that took effect although its sender does not know it."""
         outcome = await self._order_sender.settle(step.slot, step.state)
         result = "done" if isinstance(outcome, slots.Slot) else str(outcome)
         detail = str(step.slot.order)
@@ -74,8 +74,8 @@
         superseded = request.slot.order if _is_pending(request.slot) else None
         detail = f"{request.target}; {request.reason}; supersedes {superseded}"
         engine = request.engine.name
-        # Written before the order goes out, so that a crash in between leaves the
-        # intention on record and the successor's record tells the rest.
+        # Written before the order is sent. After a crash in between, the intended order
+        # is on record, and the next leader records its outcome.
         self._audit.note(request.document, "order", engine, "intended", detail)
         await self._audit.flush()
         outcome = await self._order_sender.send(request)
@@ -88,7 +88,7 @@
 async def _execute(
     step: reconciler.Step, executor: StepExecutor, document: int
 ) -> None:
-    raise TypeError(f"no such step: {step!r}")
+    raise TypeError(f"unknown type of step: {step!r}")
 
 
 @_execute.register
--- a/src/pimentolatch/control/store_watch.py
+++ b/src/pimentolatch/control/store_watch.py
@@ -1,11 +1,11 @@
-"""Keeps this instance up with objects of the platform's store.
-
-Weighed: 370 instances that each hold a watch would re-arm 18 times a second and take
-a document from the store 370 times for each change; peers spread changes anyway. So two
-instances of each failure domain, those that rank first among the ones that can be
-reached, hold watches, and every instance asks now and then what changed since. Those
-checks bound the time until a document is in force here by themselves, whatever became
-of the links, the watchers or this instance's idea of who watches.
+"""Follows changes of objects in the platform's store.
+
+If each of 370 instances held a watch, they would renew watches 18 times a second and
+read a document 370 times for each change, although peers pass changes on anyway. So
+only two instances of each failure domain, those ranked first among the reachable ones,
+hold a watch, and all others poll for changes. Polling alone bounds the time until a
+document is in force here, whatever the state of the links, of the watching instances
+or of this instance's view of which instances watch.
 """
 
 import datetime
@@ -22,12 +22,12 @@
 
 _log = logbook.Logger("configuration")
 _WATCH_WAIT = datetime.timedelta(seconds=20)
-# A document has to be in force within 11 s, so a check that finds it comes at most 8 s
-# after it, and 3 s are left to read it. At 370 instances this makes 62 reads a second.
+# A document must be in force within 11 s: at most 8 s until a check finds it, and 3 s
+# to read it. With 370 instances this makes 62 reads per second.
 _MIN_CHECK_INTERVAL = datetime.timedelta(seconds=4)
 _MAX_CHECK_INTERVAL = datetime.timedelta(seconds=8)
 _MIN_PAUSE = datetime.timedelta(seconds=0.5)
-# After an outage the fleet's first calls are spread over this time.
+# Spreads the first calls of the fleet's instances over this time after an outage.
 _MAX_PAUSE = datetime.timedelta(seconds=5)
 
 
@@ -35,14 +35,14 @@
     kind: str
 
     async def handle(self, rows: tuple[store.Found, ...]) -> bool:
-        """Take changed objects; False to be shown them again."""
+        """Handle changed objects; returns False to receive them again."""
 
 
 class StoreWatcher:
-    """A task that follows one kind of object for ever.
+    """Follows one kind of object by watching or polling the store.
 
     Args:
-        watches: Tells whether this instance is now one of those that hold a watch.
+        watches: Returns whether this instance should hold a watch now.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self._chance = chance
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow changes until cancelled."""
         revision: int | None = None
         pauses = backoff.Backoff(_MIN_PAUSE, _MAX_PAUSE, self._chance)
         while True:
@@ -84,7 +84,7 @@
     async def _changes(
         self, revision: int | None, watching: bool
     ) -> store.Changes | store.HistoryGone | store.Unavailable:
-        """Return what is new: everything at first and after a gap."""
+        """Return the changes since `revision`; all objects if it is None."""
         if revision is None:
             listing = await self._store.list_objects(self._handler.kind)
             if isinstance(listing, store.Unavailable):
@@ -96,7 +96,7 @@
     async def _pause(
         self, pauses: backoff.Backoff, retry_after: datetime.timedelta | None
     ) -> None:
-        # The platform may ask all instances to return after the same time.
+        # The platform may give all instances the same retry time, so jitter is added.
         at_least = retry_after or datetime.timedelta()
         await self._clock.sleep(at_least + pauses.next_pause())
 
@@ -106,7 +106,7 @@
 
 
 class DocumentHandler:
-    """Reads documents that the head names and hands them to the keeper."""
+    """Reads the document that a changed head names, and puts it in force."""
 
     kind = heads.HEAD_KIND
 
@@ -135,7 +135,7 @@
 
 
 class ViewHandler:
-    """Hands domain views of the store to the node."""
+    """Passes domain views from the store to the node."""
 
     kind = views.DOMAIN_VIEW_KIND
 
--- a/src/pimentolatch/control/targets.py
+++ b/src/pimentolatch/control/targets.py
@@ -1,4 +1,4 @@
-"""What each engine is meant to be, from the document, its slot and the planner."""
+"""Target state of each engine, from the document, its slot and the planner."""
 
 from pimentolatch.backend import orders as order_client
 from pimentolatch.control import slots
@@ -8,10 +8,10 @@
 
 
 def intended_role(engine: schema.Engine, slot: slots.Slot) -> schema.Role:
-    """Return the role an engine is meant to have.
+    """Return the target role of an engine.
 
-    The planner's choice stands in the slot. It gives way to the document when the
-    engine is pinned or when the document's role has been changed since.
+    The slot has the role that the planner chose. The document takes precedence if the
+    engine is pinned or if the document's role has changed since.
     """
     if engine.pinned or slot.role is None or slot.document_role != engine.role:
         return engine.role
@@ -19,25 +19,25 @@
 
 
 def current_role(engine: schema.Engine, slot: slots.Slot) -> schema.Role:
-    """Return the role that the last order gave an engine."""
+    """Return the role set by the last order, or the document's role without one."""
     return engine.role if slot.order is None else slot.order.target.role
 
 
 def target_of(
     document: schema.FleetDocument, engine: schema.Engine, slot: slots.Slot
 ) -> slots.Target:
-    """Return the whole state an engine is meant to be in."""
+    """Return the full target state of an engine."""
     versions = {model.name: model.version for model in document.models}
     models = tuple(sorted((name, versions[name]) for name in engine.models))
     return slots.Target(intended_role(engine, slot), models)
 
 
 def is_met(state: order_client.EngineState, target: slots.Target) -> bool:
-    """Tell whether an engine is in its intended state and at rest."""
+    """Return whether an engine is in its target state with no change running."""
     same = state.role == target.role and state.models == target.models
     return same and not state.changing
 
 
 def needs_load(state: order_client.EngineState, target: slots.Target) -> bool:
-    """Tell whether reaching the target fetches weights from the weight store."""
+    """Return whether a change to the target fetches weights from the weight store."""
     return not set(target.models) <= set(state.models)
--- a/src/pimentolatch/control/view_publisher.py
+++ b/src/pimentolatch/control/view_publisher.py
@@ -1,4 +1,4 @@
-"""Publishes the domain view that follows from the slots."""
+"""Writes and announces the domain view derived from the order slots."""
 
 import typing
 from collections import abc
@@ -16,11 +16,11 @@
 
 
 class ViewPublisher:
-    """Writes and announces the view of one failure domain within one tenure.
+    """Writes and announces the view of one failure domain during one leadership.
 
     Args:
-        leaving: Returns the backend servers that the platform's list shows leaving,
-            or None while it has not been read.
+        leaving: Returns the backend servers that the platform lists as leaving, or
+            None while the list has not been read.
     """
 
     def __init__(
@@ -40,13 +40,13 @@
         self._announced = 0
 
     def withdrawal(self, engine: str) -> drain.Withdrawal | None:
-        """Return the publication of an engine's drain, if this tenure made one."""
+        """Return the withdrawal published for an engine in this leadership, if any."""
         return self._withdrawals.get(engine)
 
     async def publish(
         self, configuration: fleet.Configuration, view: views.DomainView
     ) -> None:
-        """Write the view anew if it has to be; announce it if it is new here."""
+        """Write the view if it must change; announce it if its number is new."""
         if self._needs_writing(configuration, view):
             written = await self._write(configuration)
             if written is None:
@@ -59,18 +59,18 @@
     def _needs_writing(
         self, configuration: fleet.Configuration, view: views.DomainView
     ) -> bool:
-        # A drain that this tenure has not published gets a new view even if the old
-        # one withdraws the engine already: a frozen process may be about to write a
-        # view that returns the engine, and only a newer number makes that fail.
+        # A drain that was not published in this leadership needs a new view even if the
+        # current view withdraws the engine already: a paused process may be about to
+        # write a view that returns the engine, which fails only at a newer number.
         drains = any(self._unpublished(slot) for slot in self._slot_cache.not_serving)
         return drains or self._desired(configuration, view) != view
 
     async def _write(
         self, configuration: fleet.Configuration
     ) -> views.DomainView | None:
-        # The view first, then every slot: a slot that begins to drain after this
-        # listing gets a view of its own, which makes this one's update fail or
-        # overrides it. In the other order this view could return a draining engine.
+        # The view is read before the slots: for a slot that starts draining after this
+        # listing another view is written, which makes this update fail or overrides
+        # it. In the reverse order this view could return a draining engine to service.
         view = await self._views.read()
         if isinstance(view, store.Unavailable) or await self._slot_cache.list_all():
             return None
