--- a/src/pimentolatch/control/change_budget.py
+++ b/src/pimentolatch/control/change_budget.py
@@ -57,7 +57,7 @@
             self._spare.subtract(engine.models)
         return None
 
-    def reclaim(self, engine: schema.Engine) -> bool:
+    def reclaim_change(self, engine: schema.Engine) -> bool:
         """Return whether a drain should be abandoned, and count it as abandoned.
 
         An engine that crashes or leaves while others drain can leave too few engines
--- a/src/pimentolatch/control/domain_controller.py
+++ b/src/pimentolatch/control/domain_controller.py
@@ -30,9 +30,9 @@
 
 __all__ = [
     "ChangeStatus",
-    "DomainController",
-    "ControllerStatus",
     "ControllerSettings",
+    "ControllerStatus",
+    "DomainController",
     "NoPlanner",
 ]
 
@@ -229,10 +229,10 @@
         )
         if self._loop is None:
             _log.info("leadership acquired", failure_domain=self._domain)
-            bounds = reconcile_loop.PassLimits(
+            limits = reconcile_loop.PassLimits(
                 self._settings.engines_polled_per_pass, self._settings.load_interval
             )
             self._loop = reconcile_loop.ReconcileLoop(
-                self._domain, self._deps, self._executor, bounds
+                self._domain, self._deps, self._executor, limits
             )
         await self._loop.run_pass(configuration)
--- a/src/pimentolatch/control/drain.py
+++ b/src/pimentolatch/control/drain.py
@@ -19,8 +19,8 @@
 __all__ = [
     "Drained",
     "InUse",
-    "SendersIdle",
     "SenderCounts",
+    "SendersIdle",
     "ViewObjects",
     "Withdrawal",
     "desired_view",
--- a/src/pimentolatch/control/leader_lease.py
+++ b/src/pimentolatch/control/leader_lease.py
@@ -14,7 +14,7 @@
 
 from pimentolatch import clock, store
 
-__all__ = ["LEASE_KIND", "LeaderLease", "LeaseSettings", "LeaseRecord"]
+__all__ = ["LEASE_KIND", "LeaderLease", "LeaseRecord", "LeaseSettings"]
 
 LEASE_KIND = "duty-leases"
 _NO_HOLDER = ""
@@ -62,7 +62,7 @@
     """A write whose outcome is unknown, and the time at which it started."""
 
     record: LeaseRecord
-    began: datetime.timedelta
+    started_at: datetime.timedelta
 
 
 class LeaderLease:
@@ -113,16 +113,16 @@
 
     async def step(self) -> datetime.timedelta:
         """Renew, acquire or read the lease; returns the time until the next step."""
-        began = self._clock.monotonic()
-        if self.held and await self._write(began):
+        started_at = self._clock.monotonic()
+        if self.held and await self._write(started_at):
             return self._settings.renewal
         found = await self._store.get(LEASE_KIND, self._domain)
         if isinstance(found, store.Unavailable):
             return self._backoff()
         self._failures = 0
         self._observe(found)
-        if self._may_write() and not self._renewed_since(began):
-            await self._write(began)
+        if self._may_write() and not self._renewed_since(started_at):
+            await self._write(started_at)
         return self._pause()
 
     async def release(self) -> None:
@@ -151,17 +151,17 @@
             self._unknown_write is not None
             and self._unknown_write.record == self._record
         ):
-            self._held_until = self._unknown_write.began + self._settings.duration
+            self._held_until = self._unknown_write.started_at + self._settings.duration
 
-    def _renewed_since(self, began: datetime.timedelta) -> bool:
-        return self._held_until >= began + self._settings.duration
+    def _renewed_since(self, started_at: datetime.timedelta) -> bool:
+        return self._held_until >= started_at + self._settings.duration
 
     def _may_write(self) -> bool:
         if self._record.holder in (self._holder, _NO_HOLDER):
             return True
         return self._clock.monotonic() - self._seen_at >= self._settings.duration
 
-    async def _write(self, began: datetime.timedelta) -> bool:
+    async def _write(self, started_at: datetime.timedelta) -> bool:
         is_renewal = self._record.holder == self._holder
         epoch = self._record.epoch + (0 if is_renewal else 1)
         record = LeaseRecord(self._holder, epoch, self._record.renewals + 1)
@@ -169,13 +169,13 @@
             LEASE_KIND, self._domain, record.to_json(), if_version=self._seen_version
         )
         if not isinstance(outcome, store.Written):
-            self._unknown_write = _UnknownWrite(record, began)
+            self._unknown_write = _UnknownWrite(record, started_at)
             return False
         self._record = record
         self._seen_version = outcome.version
         self._seen_at = self._clock.monotonic()
         # Counted from before the call, so that a slow store can't extend the lease.
-        self._held_until = began + self._settings.duration
+        self._held_until = started_at + self._settings.duration
         return True
 
     def _backoff(self) -> datetime.timedelta:
--- a/src/pimentolatch/control/local_document.py
+++ b/src/pimentolatch/control/local_document.py
@@ -115,9 +115,13 @@
         """
         if head.number <= self.known_number:
             return Stale()
-        held = {name: new.get(name, self._parts.get(name)) for name in head.parts}
-        present = {name: text for name, text in held.items() if text is not None}
-        if len(present) != len(held):
+        text_by_name = {
+            name: new.get(name, self._parts.get(name)) for name in head.parts
+        }
+        present = {
+            name: text for name, text in text_by_name.items() if text is not None
+        }
+        if len(present) != len(text_by_name):
             return Unreadable("some parts of the document are missing")
         text = "".join(present[name] for name in head.parts)
         if parts.content_hash(text) != head.content_hash:
--- a/src/pimentolatch/control/orders.py
+++ b/src/pimentolatch/control/orders.py
@@ -17,8 +17,8 @@
 __all__ = [
     "Given",
     "NotGiven",
-    "OrderSender",
     "OrderRequest",
+    "OrderSender",
     "OutcomeOpen",
     "Resolution",
     "Settle",
--- a/src/pimentolatch/control/reconcile_loop.py
+++ b/src/pimentolatch/control/reconcile_loop.py
@@ -30,7 +30,7 @@
 from pimentolatch.document import schema
 from pimentolatch.membership import views
 
-__all__ = ["PassLimits", "Dependencies", "ReconcileLoop", "UnfinishedChange"]
+__all__ = ["Dependencies", "PassLimits", "ReconcileLoop", "UnfinishedChange"]
 
 _log = logbook.Logger("duty")
 
@@ -87,17 +87,17 @@
         failure_domain: str,
         deps: Dependencies,
         executor: step_executor.StepExecutor,
-        bounds: PassLimits,
+        limits: PassLimits,
     ) -> None:
         self._domain = failure_domain
         self._deps = deps
         self._executor = executor
-        self._bounds = bounds
+        self._limits = limits
         self._views = drain.ViewObjects(deps.objects, failure_domain)
         self._slot_cache = slot_cache.SlotCache(
             slots.SlotObjects(deps.objects, failure_domain), deps.clock
         )
-        self._publication = view_publisher.ViewPublisher(
+        self._view_publisher = view_publisher.ViewPublisher(
             self._views,
             self._slot_cache,
             deps.acknowledgements,
@@ -128,7 +128,7 @@
         if failed := await self._slot_cache.refresh():
             _log.warn("platform unavailable", reason=failed.reason)
             return
-        await self._publication.publish(configuration, view)
+        await self._view_publisher.publish(configuration, view)
         await self._run_steps(configuration)
 
     async def _run_steps(self, configuration: fleet.Configuration) -> None:
@@ -136,7 +136,7 @@
         decided = reconciler.next_steps(observed)
         if any(isinstance(s, reconciler.SendOrder) and s.loads for s in decided):
             now = self._deps.clock.monotonic()
-            self._next_load = now + self._bounds.load_interval
+            self._next_load = now + self._limits.load_interval
         self._record_unfinished_changes(decided)
         self._slot_cache.invalidate(reconciler.engine_of(step) for step in decided)
         await asyncio.gather(
@@ -194,12 +194,12 @@
     def _senders_outcomes(self) -> dict[str, drain.SendersIdle | drain.InUse]:
         return {
             slot.engine: self._senders_outcome(slot)
-            for slot in self._slot_cache.not_serving
+            for slot in self._slot_cache.not_in_service
             if slot.state is slots.SlotState.DRAINING
         }
 
     def _senders_outcome(self, slot: slots.Slot) -> drain.SendersIdle | drain.InUse:
-        withdrawal = self._publication.withdrawal(slot.engine)
+        withdrawal = self._view_publisher.withdrawal(slot.engine)
         missing: frozenset[str] = frozenset()
         if withdrawal is not None:
             missing = self._deps.acknowledgements.missing(
@@ -215,10 +215,10 @@
             engine.name: targets.target_of(document, engine, self._slot(engine.name))
             for engine in engines
         }
-        first = {slot.engine for slot in self._slot_cache.not_serving}
-        first |= self._retargeted(targets_by_engine)
-        polled = [engine for engine in engines if engine.name in first]
-        polled += self._next_to_poll([e for e in engines if e.name not in first])
+        priority = {slot.engine for slot in self._slot_cache.not_in_service}
+        priority |= self._retargeted(targets_by_engine)
+        polled = [engine for engine in engines if engine.name in priority]
+        polled += self._next_to_poll([e for e in engines if e.name not in priority])
         answers = await asyncio.gather(
             *(self._deps.engines.state(engine.address) for engine in polled)
         )
@@ -246,10 +246,10 @@
             for engine, target in self._met_targets.items()
             if engine in targets_by_engine and targets_by_engine[engine] != target
         )
-        return set(itertools.islice(changed, self._bounds.engines_polled_per_pass))
+        return set(itertools.islice(changed, self._limits.engines_polled_per_pass))
 
     def _next_to_poll(self, engines: list[schema.Engine]) -> list[schema.Engine]:
-        count = min(self._bounds.engines_polled_per_pass, len(engines))
+        count = min(self._limits.engines_polled_per_pass, len(engines))
         start = self._next_poll_index
         self._next_poll_index = (start + count) % len(engines) if engines else 0
         return [engines[(start + i) % len(engines)] for i in range(count)]
@@ -258,7 +258,7 @@
         self, decided: abc.Sequence[reconciler.Step]
     ) -> None:
         reasons = {
-            slot.engine: slot.state.value for slot in self._slot_cache.not_serving
+            slot.engine: slot.state.value for slot in self._slot_cache.not_in_service
         }
         reasons |= {
             step.engine: step.reason
--- a/src/pimentolatch/control/reconciler.py
+++ b/src/pimentolatch/control/reconciler.py
@@ -20,11 +20,11 @@
 __all__ = [
     "AbandonDrain",
     "BeginDrain",
-    "SendOrder",
     "Blocked",
+    "ObservedState",
     "ReturnToService",
+    "SendOrder",
     "SettleOrder",
-    "ObservedState",
     "Step",
     "engine_of",
     "next_steps",
@@ -143,7 +143,7 @@
 
 def next_steps(observed: ObservedState) -> tuple[Step, ...]:
     """Return the next step of each engine whose change is due or in progress."""
-    budget = _allowance(observed)
+    budget = _change_budget(observed)
     steps: list[Step] = []
     for engine in observed.engines:
         if engine.name in observed.busy:
@@ -154,7 +154,7 @@
     return tuple(steps)
 
 
-def _allowance(observed: ObservedState) -> change_budget.ChangeBudget:
+def _change_budget(observed: ObservedState) -> change_budget.ChangeBudget:
     active = [e for e in observed.engines if e.serving == "active"]
     return change_budget.ChangeBudget(
         observed.document.roles,
@@ -234,7 +234,7 @@
     state = observed.states.get(engine.name)
     met = isinstance(state, order_client.EngineState) and targets.is_met(state, target)
     if engine.serving == "active" and (
-        met or _should_reclaim(observed, engine, budget)
+        met or _reclaim_change(observed, engine, budget)
     ):
         return AbandonDrain(slot)
     outcome = observed.drain_outcomes.get(
@@ -245,11 +245,11 @@
     return _order_step(observed, engine, slot, budget)
 
 
-def _should_reclaim(
+def _reclaim_change(
     observed: ObservedState, engine: schema.Engine, budget: change_budget.ChangeBudget
 ) -> bool:
     unavailable = engine.name in observed.leaving | observed.unreachable
-    return not unavailable and budget.reclaim(engine)
+    return not unavailable and budget.reclaim_change(engine)
 
 
 def _order_step(
@@ -283,8 +283,8 @@
     state = observed.states.get(engine.name)
     if state is None:
         return Blocked(engine.name, "the engine's state has not been read yet")
-    seen = observed.pending_ages.get(engine.name, datetime.timedelta())
-    resolution = orders.resolve(slot, engine, state, seen)
+    pending_age = observed.pending_ages.get(engine.name, datetime.timedelta())
+    resolution = orders.resolve(slot, engine, state, pending_age)
     if isinstance(resolution, orders.Wait):
         return Blocked(engine.name, resolution.reason)
     if isinstance(resolution, orders.Settle):
--- a/src/pimentolatch/control/role_planning.py
+++ b/src/pimentolatch/control/role_planning.py
@@ -9,7 +9,7 @@
 from pimentolatch.decisions import roles
 from pimentolatch.document import schema
 
-__all__ = ["RolePlanner", "EngineStatus", "StatusTracker"]
+__all__ = ["EngineStatus", "RolePlanner", "StatusTracker"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/pimentolatch/control/slot_cache.py
+++ b/src/pimentolatch/control/slot_cache.py
@@ -34,7 +34,7 @@
         self._slots: dict[str, slots.Slot] = {}
         self._invalidated: set[str] = set()
         self._next_listing = datetime.timedelta.min
-        self._is_pending: dict[str, _PendingSince] = {}
+        self._pending_since: dict[str, _PendingSince] = {}
 
     @property
     def by_engine(self) -> abc.Mapping[str, slots.Slot]:
@@ -42,7 +42,7 @@
         return self._slots
 
     @property
-    def not_serving(self) -> list[slots.Slot]:
+    def not_in_service(self) -> list[slots.Slot]:
         """Slots of engines that are not in service."""
         return [
             slot
@@ -58,7 +58,7 @@
         """Read the slots of engines not in service and the invalidated slots."""
         if self._clock.monotonic() >= self._next_listing:
             return await self.list_all()
-        names = self._invalidated.union(slot.engine for slot in self.not_serving)
+        names = self._invalidated.union(slot.engine for slot in self.not_in_service)
         read = await asyncio.gather(*map(self._objects.read, sorted(names)))
         for slot in read:
             if isinstance(slot, store.Unavailable):
@@ -81,10 +81,10 @@
         """Return the time since each pending order was first seen, by engine."""
         now = self._clock.monotonic()
         seen: dict[str, _PendingSince] = {}
-        for slot in self.not_serving:
+        for slot in self.not_in_service:
             if slot.state is slots.SlotState.PENDING:
                 first = _PendingSince(slot.version, now)
-                before = self._is_pending.get(slot.engine, first)
+                before = self._pending_since.get(slot.engine, first)
                 seen[slot.engine] = before if before.version == slot.version else first
-        self._is_pending = seen
+        self._pending_since = seen
         return {engine: now - first.at for engine, first in seen.items()}
--- a/src/pimentolatch/control/view_publisher.py
+++ b/src/pimentolatch/control/view_publisher.py
@@ -62,7 +62,9 @@
         # A drain that was not published in this leadership needs a new view even if the
         # current view withdraws the engine already: a paused process may be about to
         # write a view that returns the engine, which fails only at a newer number.
-        drains = any(self._unpublished(slot) for slot in self._slot_cache.not_serving)
+        drains = any(
+            self._unpublished(slot) for slot in self._slot_cache.not_in_service
+        )
         return drains or self._desired(configuration, view) != view
 
     async def _write(
@@ -77,7 +79,7 @@
         written = await self._views.write(self._desired(configuration, view))
         if written is None:
             return None
-        for slot in self._slot_cache.not_serving:
+        for slot in self._slot_cache.not_in_service:
             if self._unpublished(slot):
                 withdrawal = drain.Withdrawal(slot.version, written.number)
                 self._withdrawals[slot.engine] = withdrawal
