--- a/benchmarks/slopes_state.py
+++ b/benchmarks/slopes_state.py
@@ -15,13 +15,28 @@
 import zlib
 
 from benchmarks import fits
-from pimentolatch import clock, fleet, settings
-from pimentolatch.control import heads, keeper, parts
-from pimentolatch.decisions import dispatcher, model_queues
+from pimentolatch import (
+    clock,
+    fleet,
+    settings,
+)
+from pimentolatch.control import (
+    heads,
+    local_document,
+    parts,
+)
+from pimentolatch.decisions import (
+    dispatcher,
+    model_queues,
+)
 from pimentolatch.document import schema
 from pimentolatch.requests import claims
-from standins import memory_store
-from standins import objects as table
+from standins import (
+    memory_store,
+)
+from standins import (
+    objects as table,
+)
 
 __all__ = ["StateSlopes", "document_of", "measure"]
 
@@ -119,8 +134,8 @@
     ]
     made = [_head(n + 1, document) for n, document in enumerate(documents)]
     tracemalloc.start()
-    held = keeper.DocumentKeeper(fleet.Fleet(), clock.SystemClock())
-    held.release()
+    held = local_document.LocalDocument(fleet.Fleet(), clock.SystemClock())
+    held.set_views_known()
     held.adopt(made[0], pieces[0])
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/src/pimentolatch/control/configuration.py
+++ b/src/pimentolatch/control/configuration.py
@@ -1,8 +1,8 @@
 """Submits documents to the platform's store.
 
-One *head* object says which document is in force; a conditional update of it decides
-every race. A document is kept in parts that are written before the head, so whoever
-sees the head can read the whole document.
+The *head* object names the document in force. A conditional update of the head decides
+between concurrent submissions. The parts of a document are written before the head, so
+a reader of the head can read the whole document.
 """
 
 import asyncio
@@ -26,22 +26,22 @@
 ]
 
 _ATTEMPT_TIME = datetime.timedelta(seconds=15)
-_FIRST_PAUSE = datetime.timedelta(seconds=0.1)
-_LONGEST_PAUSE = datetime.timedelta(seconds=2)
-_ROUNDS = 5
-_WRITES_AT_ONCE = 8
+_MIN_PAUSE = datetime.timedelta(seconds=0.1)
+_MAX_PAUSE = datetime.timedelta(seconds=2)
+_MAX_ROUNDS = 5
+_CONCURRENT_WRITES = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Submission:
-    """A document on its way to the store.
+    """A document to be written to the store.
 
     Attributes:
-        submission_id: The same in every retry of one submission.
-        expected_number: Number of the document the operator looked at; None accepts
-            any. Only with it can a retry through another instance, or one that was
-            frozen, never put the document in force after the operator was told that
-            another one won.
+        submission_id: Idempotency key; the same in every retry of a submission.
+        expected_number: Number of the document that the operator's change is based
+            on, or None for any. Without it, a retry through another instance, or
+            through one that was paused, can put the document in force after the
+            operator was told that another document won.
         pieces: The parts of the document's text; see `with_pieces`.
     """
 
@@ -54,16 +54,16 @@
 
     @property
     def content_hash(self) -> str:
-        """Hash of the document's text; only of a submission with its pieces."""
+        """Hash of the document's text; needs `pieces`, see `with_pieces`."""
         return parts.content_hash("".join(piece.text for piece in self.pieces))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """The document came into force under this number.
+    """The document was put in force, with the number in its head.
 
     Attributes:
-        replaced_by: The document now in force, if it is a later one.
+        replaced_by: Head of the document now in force, if it is a later one.
     """
 
     head: heads.Head
@@ -72,21 +72,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """Another document won; this one has no effect."""
+    """Another document was put in force; this one has no effect."""
 
     winner: heads.Head
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotSubmitted:
-    """This attempt wrote no head and never will; an earlier attempt may have."""
+    """This attempt did not write the head; an earlier attempt may have."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SubmissionUnknown:
-    """The store could not be read back; the document may be in force or not."""
+    """The outcome could not be read from the store; the document may be in force."""
 
     reason: str
 
@@ -96,21 +96,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Current:
-    """The head object as it stands."""
+    """The head object and its version in the store."""
 
     version: int
     head: heads.Head | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Moved:
-    """The head object changed, though the document in force is the same."""
+class _HeadChanged:
+    """The version of the head changed, but it names the same document."""
 
 
 def with_pieces(submission: Submission) -> Submission:
-    """Return a submission cut into parts; a tenth of a second's work at full size.
+    """Return the submission with its document split into parts.
 
-    A caller that serves requests beside it runs this in a thread.
+    This takes 0.1 s of processor time at the largest document size, so a process
+    that serves requests must run it in a thread.
     """
     if submission.pieces:
         return submission
@@ -118,10 +119,10 @@
 
 
 class ConfigurationObjects:
-    """The documents in the platform's store.
+    """Reads and submits documents in the platform's store.
 
     Args:
-        attempt_time: How long a submission is tried before its outcome is unknown.
+        attempt_time: Time limit for the retries of a submission.
     """
 
     def __init__(
@@ -148,47 +149,51 @@
     async def read_parts(
         self, names: tuple[str, ...]
     ) -> dict[str, str] | store.Unavailable:
-        """Read parts by their names."""
+        """Read parts by name; returns their texts."""
         found: dict[str, str] = {}
         for name in names:
             part = await self._store.get(heads.PART_KIND, name)
             if isinstance(part, store.Unavailable):
                 return part
             if isinstance(part, store.Absent):
-                return store.Unavailable(f"part {name} is missing", False)
+                return store.Unavailable(
+                    f"document part {name} does not exist in the store", False
+                )
             found[name] = part.value
         return found
 
     async def submit(self, submission: Submission) -> Outcome:
-        """Put a document in force, or tell truly why it is not."""
+        """Put a document in force; returns the outcome."""
         submission = with_pieces(submission)
-        end = self._clock.monotonic() + self._attempt_time
-        for _ in range(_ROUNDS):
-            outcome = await self._submit_once(submission, end)
-            if not isinstance(outcome, _Moved):
+        deadline = self._clock.monotonic() + self._attempt_time
+        for _ in range(_MAX_ROUNDS):
+            outcome = await self._submit_once(submission, deadline)
+            if not isinstance(outcome, _HeadChanged):
                 return outcome
-        return NotSubmitted("the head kept changing")
+        return NotSubmitted("the head changed during every attempt; submit again")
 
     async def _submit_once(
-        self, submission: Submission, end: datetime.timedelta
-    ) -> Outcome | _Moved:
-        base = await self._read_until(end)
+        self, submission: Submission, deadline: datetime.timedelta
+    ) -> Outcome | _HeadChanged:
+        base = await self._read_until(deadline)
         if isinstance(base, store.Unavailable):
             return NotSubmitted(base.reason)
-        settled = _settled(submission, base)
-        if settled is not None:
-            return settled
+        decided = _decided_outcome(submission, base)
+        if decided is not None:
+            return decided
         names = await self._write_parts(submission.pieces, base.head)
         if isinstance(names, store.Unavailable):
             return NotSubmitted(names.reason)
         head = _next_head(submission, base.head, names)
-        return await self._write_head(submission, head, base.version, end)
+        return await self._write_head(submission, head, base.version, deadline)
 
-    async def _read_until(self, end: datetime.timedelta) -> Current | store.Unavailable:
+    async def _read_until(
+        self, deadline: datetime.timedelta
+    ) -> Current | store.Unavailable:
         pauses = self._pauses()
         while True:
             current = await self.current()
-            if isinstance(current, Current) or self._clock.monotonic() >= end:
+            if isinstance(current, Current) or self._clock.monotonic() >= deadline:
                 return current
             await self._clock.sleep(pauses.next_pause())
 
@@ -197,18 +202,18 @@
         submission: Submission,
         head: heads.Head,
         version: int,
-        end: datetime.timedelta,
-    ) -> Outcome | _Moved:
-        """Write the head, again and again until it is certain what became of it.
-
-        A write whose answer is lost may have taken effect, or may still be on its way
-        and take effect after a read that does not show it. Reading alone can't settle
-        that. The same write on the same version can: at most one of them takes
-        effect, and a conflict tells that the version is gone for all of them, so that
-        what is then read back is final.
+        deadline: datetime.timedelta,
+    ) -> Outcome | _HeadChanged:
+        """Write the head, and retry until the outcome is known.
+
+        A write whose response is lost may have taken effect, or may still be in
+        transit and take effect after a read that does not show it. So a read cannot
+        determine the outcome. Repeating the write at the same version can: at most
+        one of the writes takes effect, and after a conflict none of them can any
+        more, so the head that is read then is final.
         """
         pauses = self._pauses()
-        certain = True
+        effect_known = True
         while True:
             outcome = await self._store.put(
                 heads.HEAD_KIND, heads.HEAD_NAME, head.to_json(), if_version=version
@@ -216,53 +221,55 @@
             if isinstance(outcome, store.Written):
                 return Accepted(head)
             if isinstance(outcome, store.Conflict):
-                return await self._after_conflict(submission, head, certain, end)
-            certain = certain and not outcome.effect_unknown
-            if self._clock.monotonic() >= end:
-                return _unsettled(outcome.reason, certain)
+                return await self._after_conflict(
+                    submission, head, effect_known, deadline
+                )
+            effect_known = effect_known and not outcome.effect_unknown
+            if self._clock.monotonic() >= deadline:
+                return _failed_outcome(outcome.reason, effect_known)
             await self._clock.sleep(pauses.next_pause())
 
     async def _after_conflict(
         self,
         submission: Submission,
         head: heads.Head,
-        certain: bool,
-        end: datetime.timedelta,
-    ) -> Outcome | _Moved:
-        current = await self._read_until(end)
+        effect_known: bool,
+        deadline: datetime.timedelta,
+    ) -> Outcome | _HeadChanged:
+        current = await self._read_until(deadline)
         if isinstance(current, store.Unavailable):
-            return _unsettled(f"conflict, then {current.reason}", certain)
-        settled = _settled(submission, current)
-        if settled is not None:
-            return settled
+            return _failed_outcome(f"conflict, then {current.reason}", effect_known)
+        decided = _decided_outcome(submission, current)
+        if decided is not None:
+            return decided
         if current.head is None or current.head.number < head.number:
-            return _Moved()
+            return _HeadChanged()
         return Lost(current.head)
 
     async def _write_parts(
-        self, wanted: tuple[parts.PartText, ...], base: heads.Head | None
+        self, part_texts: tuple[parts.PartText, ...], base: heads.Head | None
     ) -> tuple[str, ...] | store.Unavailable:
-        """Write the parts that the base document does not have.
+        """Write the parts that the base document lacks; returns all part names.
 
-        A name is used again only if the head that this submission replaces names it,
-        since such a part is removed only after another head took that one's place, and
-        then this submission fails. Any other part of equal content may be garbage that
-        is being removed, so new parts get names of their own.
+        A part is reused only if the base head references it. Such a part is removed
+        only after another head has replaced the base head, and then this submission
+        fails. Any other part with the same content may be about to be removed by the
+        garbage collector, so new parts get unique names.
         """
         known = {name.split(".")[0]: name for name in base.parts} if base else {}
         token = secrets.token_hex(4)
         names = tuple(
             known.get(part.content_hash, f"{part.content_hash}.{token}")
-            for part in wanted
+            for part in part_texts
         )
         new = {
             name: part.text
-            for name, part in zip(names, wanted, strict=True)
+            for name, part in zip(names, part_texts, strict=True)
             if name.endswith(token)
         }
-        turns = asyncio.Semaphore(_WRITES_AT_ONCE)
+        semaphore = asyncio.Semaphore(_CONCURRENT_WRITES)
         outcomes = await asyncio.gather(
-            *(self._write_part(name, text, turns) for name, text in new.items())
+            *(self._write_part(name, text, semaphore) for name, text in new.items())
         )
         for outcome in outcomes:
             if isinstance(outcome, store.Unavailable):
@@ -270,27 +277,30 @@
         return names
 
     async def _write_part(
-        self, name: str, text: str, turns: asyncio.Semaphore
+        self, name: str, text: str, semaphore: asyncio.Semaphore
     ) -> store.Written | store.Conflict | store.Unavailable:
         pauses = self._pauses()
-        end = self._clock.monotonic() + self._attempt_time
-        async with turns:
+        deadline = self._clock.monotonic() + self._attempt_time
+        async with semaphore:
             while True:
                 outcome = await self._store.put(
                     heads.PART_KIND, name, text, if_version=0
                 )
-                # Nobody else writes this name: a conflict is an own attempt's.
+                # The name is unique to this submission, so a conflict means that an
+                # earlier attempt has written the part.
                 if not isinstance(outcome, store.Unavailable):
                     return outcome
-                if self._clock.monotonic() >= end:
+                if self._clock.monotonic() >= deadline:
                     return outcome
                 await self._clock.sleep(pauses.next_pause())
 
     def _pauses(self) -> backoff.Backoff:
-        return backoff.Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, self._chance)
+        return backoff.Backoff(_MIN_PAUSE, _MAX_PAUSE, self._chance)
 
 
-def _settled(submission: Submission, current: Current) -> Accepted | Lost | None:
+def _decided_outcome(
+    submission: Submission, current: Current
+) -> Accepted | Lost | None:
     head = current.head
     number = 0 if head is None else head.number
     if head is not None:
@@ -327,5 +337,7 @@
     return dataclasses.replace(head, parts=names, past=past)
 
 
-def _unsettled(reason: str, certain: bool) -> NotSubmitted | SubmissionUnknown:
-    return NotSubmitted(reason) if certain else SubmissionUnknown(reason)
+def _failed_outcome(
+    reason: str, effect_known: bool
+) -> NotSubmitted | SubmissionUnknown:
+    return NotSubmitted(reason) if effect_known else SubmissionUnknown(reason)
