--- a/benchmarks/peer_member.py
+++ b/benchmarks/peer_member.py
@@ -76,7 +76,7 @@
         fleet.Fleet(),
         time=clock.SystemClock(),
         measured=metrics.Metrics(),
-        source=_Work(),
+        report_source=_Work(),
     )
     await control.start()
     await asyncio.sleep(settle_s)
--- a/src/pimentolatch/cli/commands.py
+++ b/src/pimentolatch/cli/commands.py
@@ -13,7 +13,7 @@
 from pimentolatch import checks, settings
 from pimentolatch import logs as process_logs
 from pimentolatch.cli import explaining, operator_client
-from pimentolatch.document import changes, schema
+from pimentolatch.document import document_diff, schema
 from pimentolatch.entry import process
 from pimentolatch.gateway import daemon
 from pimentolatch.platform import heads
@@ -169,7 +169,7 @@
         _show({"number": 0, "changes": None}, json_output, "no document is in force")
         return
     current = schema.FleetDocument.model_validate(body["document"])
-    found = [str(change) for change in changes.changes(current, document)]
+    found = [str(change) for change in document_diff.compare(current, document)]
     text = "\n".join(found) or f"nothing differs from document {body['number']}"
     _show({"number": body["number"], "changes": found}, json_output, text)
 
--- a/src/pimentolatch/decisions/access.py
+++ b/src/pimentolatch/decisions/access.py
@@ -14,7 +14,7 @@
 import enum
 from collections import abc
 
-from pimentolatch.routes import customers, table
+from pimentolatch.routes import customers, route_table
 
 __all__ = ["Access", "Denial", "decide", "holds"]
 
@@ -40,8 +40,8 @@
 
 
 def decide(
-    configuration: table.Configuration,
-    route: table.Route,
+    configuration: route_table.Configuration,
+    route: route_table.Route,
     keys: abc.Sequence[bytes],
     *,
     current: bool,
@@ -58,7 +58,7 @@
         return Access(None, route.rank)
     customer = None
     if len(keys) == 1:
-        customer = configuration.customers.holder(keys[0])
+        customer = configuration.customers.find_by_key(keys[0])
         if customer is None and keys[0] and not current:
             return Denial.OUT_OF_DATE
     if customer is None:
@@ -68,7 +68,7 @@
 
 
 def holds(
-    configuration: table.Configuration,
+    configuration: route_table.Configuration,
     keys: abc.Sequence[bytes],
     customer: customers.Customer | None,
 ) -> bool:
@@ -83,5 +83,5 @@
     """
     if customer is None or configuration.customers is None:
         return True
-    holder = configuration.customers.holder(keys[0])
+    holder = configuration.customers.find_by_key(keys[0])
     return holder is not None and holder.name == customer.name
--- a/src/pimentolatch/decisions/doubt.py
+++ b/src/pimentolatch/decisions/doubt.py
@@ -16,7 +16,7 @@
 import datetime
 import enum
 
-from pimentolatch.routes import reports
+from pimentolatch.routes import engine_reports
 
 __all__ = ["ASK_AGAIN", "FRESH", "Verdict", "judge"]
 
@@ -37,7 +37,7 @@
 
 
 def judge(
-    report: reports.EngineReport | None, request_id: str, born: int | None = None
+    report: engine_reports.EngineReport | None, request_id: str, born: int | None = None
 ) -> Verdict:
     """Return what has become of a request that an engine has not answered.
 
@@ -48,11 +48,11 @@
     """
     if report is None:
         return Verdict.SILENT
-    if born is not None and report.born not in (None, born):
+    if born is not None and report.started_ms not in (None, born):
         return Verdict.REBORN
-    if report.queued or request_id in report.runs:
+    if report.queued or request_id in report.decoding_ids:
         return Verdict.HAS_IT
     # Prompts that are only read run without being listed.
-    if report.running > len(report.runs):
+    if report.running > len(report.decoding_ids):
         return Verdict.HAS_IT
     return Verdict.LOST
--- a/src/pimentolatch/decisions/engine_loads.py
+++ b/src/pimentolatch/decisions/engine_loads.py
@@ -228,7 +228,7 @@
             engine
             for engine in self._engines.values()
             if engine.server.stage is stage
-            and not engine.server.leaving
+            and not engine.server.draining
             and engine.server.incarnation not in without
             and not engine.is_changing(now)
         ]
--- a/src/pimentolatch/decisions/placement.py
+++ b/src/pimentolatch/decisions/placement.py
@@ -31,7 +31,7 @@
     urgency,
 )
 from pimentolatch.requests import prompts
-from pimentolatch.routes import servers, table
+from pimentolatch.routes import route_table, servers
 
 __all__ = ["Placement", "utilization"]
 
@@ -91,7 +91,7 @@
     def choose(
         self,
         request: placement_types.PlacementRequest,
-        traits: table.EngineTraits,
+        traits: route_table.EngineTraits,
         now: datetime.timedelta,
         without: frozenset[servers.Incarnation] = frozenset(),
     ) -> placement_types.PlacementResult:
@@ -127,7 +127,7 @@
         self,
         prompt: prompts.Prompt,
         prefill_engine: engine_loads.EngineLoad,
-        traits: table.EngineTraits,
+        traits: route_table.EngineTraits,
         now: datetime.timedelta,
         without: frozenset[servers.Incarnation] = frozenset(),
     ) -> engine_loads.EngineLoad | None:
@@ -150,7 +150,7 @@
     def _candidates(
         self,
         request: placement_types.PlacementRequest,
-        traits: table.EngineTraits,
+        traits: route_table.EngineTraits,
         now: datetime.timedelta,
         decode_engines: abc.Sequence[engine_loads.EngineLoad],
         prefill_engines: abc.Sequence[engine_loads.EngineLoad],
@@ -208,7 +208,7 @@
     def _decode_cost(
         self,
         decode_engine: engine_loads.EngineLoad,
-        traits: table.EngineTraits,
+        traits: route_table.EngineTraits,
         now: datetime.timedelta,
     ) -> float:
         full = utilization(decode_engine, traits, now)
@@ -281,7 +281,7 @@
 
 def utilization(
     decode_engine: engine_loads.EngineLoad,
-    traits: table.EngineTraits,
+    traits: route_table.EngineTraits,
     now: datetime.timedelta,
 ) -> float:
     """Return the used share of an engine's slots or KV memory, whichever is scarcer."""
--- a/src/pimentolatch/decisions/server_plan.py
+++ b/src/pimentolatch/decisions/server_plan.py
@@ -23,7 +23,7 @@
 import math
 from collections import abc
 
-from pimentolatch.routes import table
+from pimentolatch.routes import route_table
 
 __all__ = ["InitialSize", "Order", "Policy", "ServerCounts", "ServerPlanner"]
 
@@ -126,7 +126,7 @@
 
     def plan(
         self,
-        scaling: table.Scaling,
+        scaling: route_table.Scaling,
         current: abc.Mapping[str, ServerCounts],
         now: datetime.timedelta,
     ) -> tuple[Order, ...]:
@@ -145,7 +145,7 @@
         )
 
     def _wanted(
-        self, scaling: table.Scaling, current: abc.Mapping[str, ServerCounts]
+        self, scaling: route_table.Scaling, current: abc.Mapping[str, ServerCounts]
     ) -> dict[tuple[str, bool], int]:
         domains = sorted(scaling.prices, key=lambda name: (scaling.prices[name], name))
         nothing = ServerCounts(0, 0)
@@ -154,9 +154,9 @@
         uses_spot = self._policy.spot and _spot_is_cheaper(scaling)
         if uses_spot:
             kept = max(1, len(domains) - self._spare(scaling))
-            per_domain = min(scaling.most, math.ceil(self._need / kept))
+            per_domain = min(scaling.max_servers, math.ceil(self._need / kept))
             for domain in domains:
-                room = max(0, scaling.most - found[domain].on_demand)
+                room = max(0, scaling.max_servers - found[domain].on_demand)
                 spot_counts[domain] = min(per_domain, room)
         spot_serving = sum(min(found[d].spot, spot_counts[d]) for d in domains)
         on_demand_counts = self._on_demand_counts(
@@ -167,7 +167,7 @@
             wanted |= {(domain, True): count for domain, count in spot_counts.items()}
         return wanted
 
-    def _spare(self, scaling: table.Scaling) -> int:
+    def _spare(self, scaling: route_table.Scaling) -> int:
         """Return the number of failure domains whose loss spot servers cover."""
         if self._policy.spare_domains is not None:
             return self._policy.spare_domains
@@ -181,7 +181,7 @@
 
     def _on_demand_counts(
         self,
-        scaling: table.Scaling,
+        scaling: route_table.Scaling,
         found: abc.Mapping[str, ServerCounts],
         missing: int,
         spot_counts: abc.Mapping[str, int],
@@ -191,14 +191,14 @@
         Servers already in service are kept first, in the cheapest domains: moving them
         would cost a boot and their prefix caches.
         """
-        least = {d: max(0, scaling.least - spot_counts[d]) for d in found}
+        least = {d: max(0, scaling.min_servers - spot_counts[d]) for d in found}
         on_demand_counts = {
-            domain: min(least[domain], scaling.most) for domain in found
+            domain: min(least[domain], scaling.max_servers) for domain in found
         }
         missing -= sum(on_demand_counts.values())
         for room_of in (
             lambda d: found[d].on_demand,
-            lambda d: scaling.most - spot_counts[d],
+            lambda d: scaling.max_servers - spot_counts[d],
         ):
             for domain in found:
                 more = max(0, min(missing, room_of(domain) - on_demand_counts[domain]))
@@ -212,7 +212,7 @@
         count: int,
         found: ServerCounts | None,
         now: datetime.timedelta,
-        scaling: table.Scaling,
+        scaling: route_table.Scaling,
     ) -> bool:
         refused = self._refused.get(key)
         if refused is not None and now - refused < _REFUSAL_BACKOFF:
@@ -223,10 +223,10 @@
             return serving != count
         if sent.count != count:
             return True
-        return serving != count and now - sent.at >= scaling.boot + _REORDER_DELAY
+        return serving != count and now - sent.at >= scaling.boot_time + _REORDER_DELAY
 
 
-def _spot_is_cheaper(scaling: table.Scaling) -> bool:
+def _spot_is_cheaper(scaling: route_table.Scaling) -> bool:
     """Return whether spot servers with one spare failure domain cost less."""
     domains = len(scaling.prices)
     return scaling.spot_price * domains < domains - 1
--- a/src/pimentolatch/decisions/stage_plan.py
+++ b/src/pimentolatch/decisions/stage_plan.py
@@ -28,8 +28,8 @@
     stage_split,
 )
 from pimentolatch.routes import (
+    route_table,
     servers,
-    table,
 )
 
 __all__ = ["STREAM_DRAIN_TIME", "Change", "StagePlanner"]
@@ -98,7 +98,7 @@
     def plan(
         self,
         loads: engine_loads.EngineLoads,
-        traits: table.EngineTraits,
+        traits: route_table.EngineTraits,
         pause_target_ms: float,
         prefill_demand: float,
         prefill_rate: float,
@@ -114,7 +114,7 @@
             prefill_rate: Prompt tokens that an engine prefills per millisecond.
             now: The current time.
         """
-        engines = [e for e in loads.all() if not e.server.leaving]
+        engines = [e for e in loads.all() if not e.server.draining]
         prefill_engines = [
             e for e in engines if e.server.stage is servers.Stage.PREFILL
         ]
@@ -265,9 +265,9 @@
                 self._target_stages.setdefault(name, engine.change.stage)
 
     def _changing(
-        self, traits: table.EngineTraits, now: datetime.timedelta
+        self, traits: route_table.EngineTraits, now: datetime.timedelta
     ) -> set[servers.Incarnation]:
-        change_time = traits.stage_change + STREAM_DRAIN_TIME
+        change_time = traits.stage_change_time + STREAM_DRAIN_TIME
         self._ordered_at = {
             name: at
             for name, at in self._ordered_at.items()
@@ -335,7 +335,7 @@
 
 def _decode_need(
     decode_engines: abc.Sequence[engine_loads.EngineLoad],
-    traits: table.EngineTraits,
+    traits: route_table.EngineTraits,
     pause_target_ms: float,
     now: datetime.timedelta,
 ) -> float:
--- a/src/pimentolatch/document/changes.py
+++ b/src/pimentolatch/document/document_diff.py
@@ -5,12 +5,12 @@
 
 from pimentolatch.document import schema
 
-__all__ = ["Added", "Change", "Changed", "Removed", "changes"]
+__all__ = ["Added", "Change", "Changed", "Removed", "compare"]
 
 Json = typing.Any
 # Keys of callers are secrets' hashes; that one differs is all an operator needs.
-_HIDDEN_FIELDS = frozenset({"key_sha256"})
-_SHOWN_LENGTH = 60
+_SECRET_FIELDS = frozenset({"key_sha256"})
+_MAX_SHOWN_LENGTH = 60
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
 Change = Added | Removed | Changed
 
 
-def changes(
+def compare(
     before: schema.FleetDocument, after: schema.FleetDocument
 ) -> tuple[Change, ...]:
     """Return what replacing `before` by `after` changes, in the document's order.
@@ -57,24 +57,26 @@
     entries is no change.
     """
     return tuple(
-        _of_mappings("", before.model_dump(mode="json"), after.model_dump(mode="json"))
+        _compare_mappings(
+            "", before.model_dump(mode="json"), after.model_dump(mode="json")
+        )
     )
 
 
-def _of_values(path: str, before: Json, after: Json) -> list[Change]:
+def _compare_values(path: str, before: Json, after: Json) -> list[Change]:
     if before == after:
         return []
     if isinstance(before, dict) and isinstance(after, dict):
-        return _of_mappings(path, before, after)
+        return _compare_mappings(path, before, after)
     if _is_named(before) and _is_named(after):
-        return _of_mappings(path, _by_name(before), _by_name(after))
+        return _compare_mappings(path, _by_name(before), _by_name(after))
     field = path.rpartition(".")[2]
-    if field in _HIDDEN_FIELDS:
+    if field in _SECRET_FIELDS:
         return [Changed(path, "(hidden)", "(another)")]
-    return [Changed(path, _shown(before), _shown(after))]
+    return [Changed(path, _shorten(before), _shorten(after))]
 
 
-def _of_mappings(
+def _compare_mappings(
     path: str, before: dict[str, Json], after: dict[str, Json]
 ) -> list[Change]:
     found: list[Change] = []
@@ -85,7 +87,7 @@
         elif name not in before:
             found.append(Added(inner))
         else:
-            found += _of_values(inner, before[name], after[name])
+            found += _compare_values(inner, before[name], after[name])
     return found
 
 
@@ -99,6 +101,6 @@
     return {item["name"]: item for item in value}
 
 
-def _shown(value: Json) -> str:
+def _shorten(value: Json) -> str:
     text = repr(value)
-    return text if len(text) <= _SHOWN_LENGTH else text[:_SHOWN_LENGTH] + "..."
+    return text if len(text) <= _MAX_SHOWN_LENGTH else text[:_MAX_SHOWN_LENGTH] + "..."
--- a/src/pimentolatch/document/schema.py
+++ b/src/pimentolatch/document/schema.py
@@ -188,14 +188,14 @@
 
     @pydantic.model_validator(mode="after")
     def _names_are_unique(self) -> typing.Self:
-        _unique("failure_domains", (item.name for item in self.failure_domains))
-        _unique("models", (item.name for item in self.models))
-        _unique("services", (item.name for item in self.services))
-        _unique("backend_servers", (item.name for item in self.backend_servers))
-        _unique("callers", (item.name for item in self.callers))
-        _unique("callers' key_sha256", (item.key_sha256 for item in self.callers))
+        _check_unique("failure_domains", (item.name for item in self.failure_domains))
+        _check_unique("models", (item.name for item in self.models))
+        _check_unique("services", (item.name for item in self.services))
+        _check_unique("backend_servers", (item.name for item in self.backend_servers))
+        _check_unique("callers", (item.name for item in self.callers))
+        _check_unique("callers' key_sha256", (item.key_sha256 for item in self.callers))
         addresses = (item.address.url for item in self.backend_servers)
-        _unique("backend_servers' addresses", addresses)
+        _check_unique("backend_servers' addresses", addresses)
         return self
 
     @pydantic.model_validator(mode="after")
@@ -204,11 +204,13 @@
         models = {item.name for item in self.models}
         services = {item.name for item in self.services}
         for server in self.backend_servers:
-            _known(server.name, "failure domain", (server.failure_domain,), domains)
+            _check_declared(
+                server.name, "failure domain", (server.failure_domain,), domains
+            )
             if isinstance(server, Engine):
-                _known(server.name, "model", server.models, models)
+                _check_declared(server.name, "model", server.models, models)
             else:
-                _known(server.name, "service", server.services, services)
+                _check_declared(server.name, "service", server.services, services)
         return self
 
     @property
@@ -232,14 +234,16 @@
         return None
 
 
-def _unique(what: str, names: abc.Iterable[str]) -> None:
+def _check_unique(what: str, names: abc.Iterable[str]) -> None:
     counts = collections.Counter(names)
     repeated = sorted(name for name, count in counts.items() if count > 1)
     if repeated:
         raise ValueError(f"{what} must differ; {repeated[0]!r} stands twice")
 
 
-def _known(server: str, what: str, used: abc.Iterable[str], known: set[str]) -> None:
+def _check_declared(
+    server: str, what: str, used: abc.Iterable[str], known: set[str]
+) -> None:
     for name in used:
         if name not in known:
             raise ValueError(
--- a/src/pimentolatch/entry/guard.py
+++ b/src/pimentolatch/entry/bounded_http.py
@@ -18,7 +18,7 @@
     "ABORT_EXTENSION",
     "CLOSE_EXTENSION",
     "TARGET_EXTENSION",
-    "GuardedProtocol",
+    "BoundedHttpProtocol",
 ]
 
 # Ends the connection at once; for callers that do not read.
@@ -43,7 +43,7 @@
     """The head is over `HEAD_LIMIT_BYTES`."""
 
 
-class GuardedProtocol(httptools_impl.HttpToolsProtocol):
+class BoundedHttpProtocol(httptools_impl.HttpToolsProtocol):
     """One connection of a caller."""
 
     @property
@@ -65,17 +65,17 @@
     _head_too_large = False
     _in_head = False
     _in_message = False
-    _ignoring = False
+    _discarding_input = False
     _timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: typing.Any) -> None:
         """Start the bound on the first byte."""
         super().connection_made(transport)
-        self._arm(self.first_byte_seconds)
+        self._start_timer(self.first_byte_seconds)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Drop the timer."""
-        self._disarm()
+        self._cancel_timer()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
@@ -83,21 +83,21 @@
 
         Most requests arrive whole in one read and need no timer.
         """
-        if self._ignoring:
+        if self._discarding_input:
             return
         was_in_head, was_in_message = self._in_head, self._in_message
         super().data_received(data)
         if self._in_head:
             self._head_bytes += len(data)
             if self._head_bytes > self.head_limit_bytes:
-                self._refuse(431, self._head_too_large_text())
+                self._refuse(431, self._head_too_large_message())
             elif not was_in_head:
-                self._arm(self.head_seconds)
+                self._start_timer(self.head_seconds)
         elif self._in_message:
             if was_in_head or not was_in_message:
-                self._arm(MESSAGE_SECONDS)
+                self._start_timer(MESSAGE_SECONDS)
         else:
-            self._disarm()
+            self._cancel_timer()
 
     def eof_received(self) -> bool | None:  # type: ignore[override]
         """Handle a caller that closed its sending side.
@@ -106,26 +106,26 @@
         of a service that has begun runs to its end in any case, so its answer is
         still written, for a caller that only half closed.
         """
-        if self._ignoring:
+        if self._discarding_input:
             return None
         if self._in_message:
             self._refuse(400, "the connection was closed before the request's end")
             return None
-        if not self._answering():
+        if not self._response_pending():
             return None
-        if not self.runs_to_its_end(self.cycle.scope["path"]):
+        if not self.continues_after_eof(self.cycle.scope["path"]):
             return None
         self.cycle.keep_alive = False
         return True
 
-    def runs_to_its_end(self, path: str) -> bool:
+    def continues_after_eof(self, path: str) -> bool:
         """Tell whether a request goes on when its caller has stopped sending."""
         return path.startswith(_SERVICE_PATHS)
 
     def send_400_response(self, msg: str) -> None:
         """Refuse a malformed request without a mark on an earlier one's answer."""
         if self._head_too_large:
-            self._refuse(431, self._head_too_large_text())
+            self._refuse(431, self._head_too_large_message())
         else:
             self._refuse(400, "the request is not valid HTTP/1.1")
 
@@ -158,12 +158,12 @@
         """Stop waiting long for a body whose request is answered."""
         super().on_response_complete()
         if self._in_message and not self.transport.is_closing():
-            self._arm(LINGER_SECONDS)
+            self._start_timer(LINGER_SECONDS)
 
-    def _head_too_large_text(self) -> str:
+    def _head_too_large_message(self) -> str:
         return f"the head is over {self.head_limit_bytes} bytes"
 
-    def _answering(self) -> bool:
+    def _response_pending(self) -> bool:
         return self.cycle is not None and not self.cycle.response_complete
 
     def _refuse(self, status: int, message: str) -> None:
@@ -173,13 +173,13 @@
         a while: closing a socket with unread bytes resets the connection, and the
         caller would lose the refusal.
         """
-        self._ignoring = True
-        self._disarm()
-        if self.pipeline or (self._in_head and self._answering()):
+        self._discarding_input = True
+        self._cancel_timer()
+        if self.pipeline or (self._in_head and self._response_pending()):
             # An earlier request of the connection is still being answered.
             self.cycle.keep_alive = False
             return
-        if self._answering():
+        if self._response_pending():
             self.cycle.disconnected = True
             self.cycle.message_event.set()
             if self.cycle.response_started:
@@ -195,20 +195,20 @@
         self.transport.write_eof()
         self._timer = self.loop.call_later(LINGER_SECONDS, self.transport.abort)
 
-    def _arm(self, seconds: float) -> None:
-        self._disarm()
-        self._timer = self.loop.call_later(seconds, self._overdue)
+    def _start_timer(self, seconds: float) -> None:
+        self._cancel_timer()
+        self._timer = self.loop.call_later(seconds, self._on_timeout)
 
-    def _disarm(self) -> None:
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _overdue(self) -> None:
+    def _on_timeout(self) -> None:
         if self._in_head:
             self._refuse(
                 408, f"the head took more than {self.head_seconds:g} s to arrive"
             )
-        elif not self._answering():
+        elif not self._response_pending():
             # Nothing came at all, or the rest of a body that was refused.
             self.transport.abort()
--- a/src/pimentolatch/entry/callers.py
+++ b/src/pimentolatch/entry/caller_front_end.py
@@ -12,10 +12,10 @@
 
 from pimentolatch import clock, fleet, index, metrics, results, settings
 from pimentolatch.backend import instance, outcomes
-from pimentolatch.entry import answers, bodies, gate
+from pimentolatch.entry import graceful_shutdown, http_responses, request_parsing
 from pimentolatch.requests import completion, identity, service_call, stream
 
-__all__ = ["CallerFace", "TicketIssuer"]
+__all__ = ["CallerFrontEnd", "TicketIssuer"]
 
 _log = logbook.Logger("callers")
 _ANONYMOUS = "anonymous"
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Read:
+class _RequestData:
     """What every kind of request carries."""
 
     caller: str
@@ -44,7 +44,7 @@
     body: bytes
 
 
-class CallerFace:
+class CallerFrontEnd:
     """Handlers of callers' requests.
 
     Args:
@@ -53,7 +53,7 @@
         completions: Runs completions.
         calls: Runs calls of plain services.
         issuer: Hands out tickets.
-        door: Counts requests in flight.
+        shutdown: Counts requests in flight.
         time: Clock of deadlines.
         measured: Metrics of this instance.
     """
@@ -66,7 +66,7 @@
         completions: completion.CompletionRunner,
         calls: service_call.ServiceCallRunner,
         issuer: TicketIssuer,
-        door: gate.Gate,
+        shutdown: graceful_shutdown.GracefulShutdown,
         time: clock.Clock,
         measured: metrics.Metrics,
     ) -> None:
@@ -74,17 +74,17 @@
         self._completions = completions
         self._calls = calls
         self._issuer = issuer
-        self._gate = door
+        self._shutdown = shutdown
         self._clock = time
         self._metrics = measured
         self._indexes = index.Indexes()
-        self._limits = bodies.ReadLimits(
+        self._limits = request_parsing.BodyLimits(
             chosen.max_body_bytes, datetime.timedelta(seconds=chosen.body_timeout_s)
         )
 
     def application(self) -> typing.Any:
         """Return the ASGI application."""
-        routed = applications.Starlette(
+        router = applications.Starlette(
             routes=[
                 routing.Route("/v1/completions", self.complete, methods=["POST"]),
                 routing.Route("/v1/models", self.models),
@@ -94,11 +94,11 @@
                 ),
             ],
             exception_handlers={
-                exceptions.HTTPException: _no_such_path,
+                exceptions.HTTPException: _http_error,
                 Exception: _internal_error,
             },
         )
-        return self._closing_when_stopping(routed)
+        return self._close_connections_on_stop(router)
 
     async def models(self, request: requests.Request) -> responses.Response:
         """List the models that are served."""
@@ -109,16 +109,18 @@
 
     async def tickets(self, request: requests.Request) -> responses.Response:
         """Hand out tickets, which calls can carry as idempotency keys."""
-        with self._gate.request():
-            read = await self._read(request)
-            if isinstance(read, results.Refusal):
-                return self._refused("tickets", read)
-            asked = bodies.check_json(bodies.TicketsBody, read.body or b"{}")
+        with self._shutdown.track_request():
+            data = await self._read_request(request)
+            if isinstance(data, results.Refusal):
+                return self._refusal_response("tickets", data)
+            asked = request_parsing.parse_json(
+                request_parsing.TicketsBody, data.body or b"{}"
+            )
             if isinstance(asked, results.Refusal):
-                return self._refused("tickets", asked)
-            issued = await self._issuer.issue(read.caller, asked.count)
+                return self._refusal_response("tickets", asked)
+            issued = await self._issuer.issue(data.caller, asked.count)
         if isinstance(issued, results.Refusal):
-            return self._refused("tickets", issued)
+            return self._refusal_response("tickets", issued)
         self._count("tickets", results.ResultCode.OK)
         seconds = self._issuer.ticket_lifetime.total_seconds()
         return responses.JSONResponse(
@@ -128,28 +130,28 @@
     async def complete(self, request: requests.Request) -> typing.Any:
         """Answer a completion, streamed or whole."""
         started = self._clock.monotonic()
-        with contextlib.ExitStack() as held:
-            held.enter_context(self._gate.request())
-            read = await self._read(request)
-            if isinstance(read, results.Refusal):
-                return self._refused("completion", read)
-            body = bodies.check_json(bodies.CompletionBody, read.body)
+        with contextlib.ExitStack() as request_scope:
+            request_scope.enter_context(self._shutdown.track_request())
+            data = await self._read_request(request)
+            if isinstance(data, results.Refusal):
+                return self._refusal_response("completion", data)
+            body = request_parsing.parse_json(request_parsing.CompletionBody, data.body)
             if isinstance(body, results.Refusal):
-                return self._refused("completion", body)
+                return self._refusal_response("completion", body)
             asked = stream.Completion(
                 identity.new_id(),
-                read.caller,
+                data.caller,
                 body.model,
                 body.prompt,
                 body.max_tokens,
-                read.deadline,
-                bodies.priority_of(request.headers),
+                data.deadline,
+                request_parsing.parse_priority(request.headers),
             )
-            return answers.CompletionAnswer(
+            return http_responses.CompletionResponse(
                 asked,
                 self._completions.run(asked),
                 streamed=body.stream,
-                release=held.pop_all(),
+                release=request_scope.pop_all(),
                 time=self._clock,
                 started=started,
                 measured=self._metrics,
@@ -158,10 +160,10 @@
     async def call(self, request: requests.Request) -> responses.Response:
         """Answer a call of a plain service."""
         request_id = _request_id(request)
-        with self._gate.request():
+        with self._shutdown.track_request():
             outcome = await self._call_outcome(request, request_id)
         if isinstance(outcome, results.Refusal):
-            return self._refused("service", outcome, request_id)
+            return self._refusal_response("service", outcome, request_id)
         self._count("service", results.ResultCode.OK)
         return responses.Response(
             outcome.body,
@@ -173,31 +175,31 @@
     async def _call_outcome(
         self, request: requests.Request, request_id: str
     ) -> outcomes.Answered | results.Refusal:
-        key = bodies.idempotency_key_of(request.headers)
+        key = request_parsing.parse_idempotency_key(request.headers)
         if isinstance(key, results.Refusal):
             return key
         forwarded = instance.FORWARDED_HEADER in request.headers
-        read = await self._read(request, forwarded=forwarded)
-        if isinstance(read, results.Refusal):
-            return read
+        data = await self._read_request(request, forwarded=forwarded)
+        if isinstance(data, results.Refusal):
+            return data
         call = service_call.ServiceCall(
             request_id,
-            read.caller,
+            data.caller,
             request.path_params["service"],
             request.path_params["operation"],
-            read.body,
+            data.body,
             request.headers.get("content-type", "application/json"),
-            read.deadline,
+            data.deadline,
             key,
             request.headers.get("authorization"),
             forwarded,
         )
         return await self._calls.run(call)
 
-    async def _read(
+    async def _read_request(
         self, request: requests.Request, *, forwarded: bool = False
-    ) -> _Read | results.Refusal:
-        if refusal := self._gate.refusal(forwarded=forwarded):
+    ) -> _RequestData | results.Refusal:
+        if refusal := self._shutdown.refusal(forwarded=forwarded):
             return refusal
         caller = self._caller(request)
         if isinstance(caller, results.Refusal):
@@ -205,10 +207,10 @@
         deadline = self._deadline(request)
         if isinstance(deadline, results.Refusal):
             return deadline
-        body = await bodies.read_body(request, self._limits)
+        body = await request_parsing.read_body(request, self._limits)
         if isinstance(body, results.Refusal):
             return body
-        return _Read(caller, deadline, body)
+        return _RequestData(caller, deadline, body)
 
     def _caller(self, request: requests.Request) -> str | results.Refusal:
         document = self._fleet.view.document
@@ -232,22 +234,22 @@
         seconds = _DEFAULT_DEADLINE_SECONDS
         if document is not None:
             seconds = document.admission.default_deadline_s
-        return bodies.deadline_of(
+        return request_parsing.parse_deadline(
             request.headers,
             self._clock.monotonic(),
             datetime.timedelta(seconds=seconds),
         )
 
-    def _refused(
+    def _refusal_response(
         self, kind: str, refusal: results.Refusal, request_id: str | None = None
     ) -> responses.Response:
         self._count(kind, refusal.code)
-        return answers.refusal_response(refusal, request_id)
+        return http_responses.refusal_response(refusal, request_id)
 
     def _count(self, kind: str, code: results.ResultCode) -> None:
         self._metrics.requests.labels(kind, code.name.lower()).inc()
 
-    def _closing_when_stopping(self, application: typing.Any) -> typing.Any:
+    def _close_connections_on_stop(self, application: typing.Any) -> typing.Any:
         """Ask callers to leave their kept connections once a stop is announced.
 
         A caller that keeps a connection open would send its next request into an
@@ -255,19 +257,24 @@
         it opens its next connection through the balancer, which knows better.
         """
 
-        async def closing(
-            scope: answers.Scope, receive: answers.Receive, send: answers.Send
+        async def wrapped(
+            scope: http_responses.Scope,
+            receive: http_responses.Receive,
+            send: http_responses.Send,
         ) -> None:
-            def sending(
+            def send_closing(
                 message: typing.MutableMapping[str, typing.Any],
             ) -> abc.Awaitable[None]:
-                if message["type"] == "http.response.start" and not self._gate.ready:
+                if (
+                    message["type"] == "http.response.start"
+                    and not self._shutdown.ready
+                ):
                     message["headers"] = [*message["headers"], _CLOSE_HEADER]
                 return send(message)
 
-            await application(scope, receive, sending)
+            await application(scope, receive, send_closing)
 
-        return closing
+        return wrapped
 
 
 def _request_id(request: requests.Request) -> str:
@@ -278,12 +285,12 @@
     return identity.new_id()
 
 
-async def _no_such_path(
+async def _http_error(
     request: requests.Request, error: Exception
 ) -> responses.Response:
     assert isinstance(error, exceptions.HTTPException)
     refusal = results.invalid(f"{request.method} {request.url.path}: {error.detail}")
-    return answers.refusal_response(refusal, status=error.status_code)
+    return http_responses.refusal_response(refusal, status=error.status_code)
 
 
 async def _internal_error(
@@ -295,4 +302,4 @@
         "the instance failed on this request",
         results.Execution.UNKNOWN,
     )
-    return answers.refusal_response(refusal)
+    return http_responses.refusal_response(refusal)
--- a/src/pimentolatch/entry/control_plane.py
+++ b/src/pimentolatch/entry/control_plane.py
@@ -21,14 +21,14 @@
 from pimentolatch.platform import objects
 from pimentolatch.requests import suspect_completions
 
-__all__ = ["ControlPlane", "NoShares"]
+__all__ = ["ControlPlane", "NullReportTable"]
 
 # Two, so that the loss of one leaves no gap; both ask the platform for changes.
 _WATCHERS = 2
 _LEAVING_HOLD = datetime.timedelta(seconds=120)
 
 
-class NoShares:
+class NullReportTable:
     """Stands for a share table where nobody looks at peers' work."""
 
     def update(self, peer: str, work: work_reports.WorkReport) -> None:
@@ -42,8 +42,8 @@
     """The platform, the peers, and the documents and views they bring.
 
     Args:
-        source: Returns the work of this instance, for peers.
-        table: Takes the peers' work.
+        report_source: Returns the work of this instance, for peers.
+        report_table: Takes the peers' work.
         crashes: Completions that have ended engines, for peers.
     """
 
@@ -55,13 +55,15 @@
         time: clock.Clock,
         measured: metrics.Metrics,
         crashes: suspect_completions.SuspectCompletions | None = None,
-        source: typing.Callable[[], work_reports.WorkReport] = work_reports.WorkReport,
-        table: share_spread.ShareTable | None = None,
+        report_source: typing.Callable[
+            [], work_reports.WorkReport
+        ] = work_reports.WorkReport,
+        report_table: share_spread.ShareTable | None = None,
     ) -> None:
         self._clock = time
         chance = random.Random()
         reached_at = chosen.peers.reached_at
-        self._own = incarnations.Identity(
+        self._identity = incarnations.Identity(
             incarnations.new_incarnation(chosen.instance, time),
             chosen.failure_domain,
             reached_at.host,
@@ -81,7 +83,7 @@
         self._keeper = keeper.DocumentKeeper(own_fleet, time)
         self._table = view_table.ViewTable(own_fleet.adopt_view, self._keeper.release)
         self._links = links.Links(
-            self._own, chosen.peers.address, time, chosen.peers.suspect_after_s
+            self._identity, chosen.peers.address, time, chosen.peers.suspect_after_s
         )
         self._spread = spread.DocumentSpread(self._keeper, self._links, time, chance)
         interval = datetime.timedelta(seconds=chosen.peers.heartbeat_interval_s)
@@ -90,13 +92,13 @@
         )
         crashes = crashes or suspect_completions.SuspectCompletions(time)
         self._peering = peering.Peering(
-            self._own,
+            self._identity,
             chosen.peers,
             objects=self._store,
             documents=self._spread,
             table=self._table,
             spread=share_spread.ShareSpread(
-                source, table or NoShares(), time, interval
+                report_source, report_table or NullReportTable(), time, interval
             ),
             leaving_servers=self._leaving,
             crashes=crashes,
@@ -124,12 +126,12 @@
             ),
         )
         self._tasks: list[asyncio.Task[typing.Any]] = []
-        peer_metrics.show(measured, self._figures())
+        peer_metrics.register(measured, self._gauges())
 
     @property
     def incarnation(self) -> str:
         """This process."""
-        return self._own.incarnation
+        return self._identity.incarnation
 
     @property
     def store(self) -> store.Store:
@@ -153,16 +155,16 @@
         return self._leaving.known
 
     @property
-    def near_instances(self) -> frozenset[str]:
+    def domain_instances(self) -> frozenset[str]:
         """Instances of the own failure domain that can be heard, this one included."""
-        near = self._peering.node.members.steady(self._own.failure_domain)
+        near = self._peering.node.members.steady(self._identity.failure_domain)
         names = {incarnations.instance_of(name) for name in near}
-        return frozenset(names | {self._own.instance})
+        return frozenset(names | {self._identity.instance})
 
     @property
     def instance_count(self) -> int:
         """Instances of the whole fleet, by the platform's list as last read."""
-        return max(len(self._peering.instances), len(self.near_instances))
+        return max(len(self._peering.instances), len(self.domain_instances))
 
     @property
     def waits_for(self) -> str:
@@ -176,7 +178,7 @@
         spread_time = self._spread.spread_time
         delay = self._keeper.delay
         return {
-            "incarnation": self._own.incarnation,
+            "incarnation": self._identity.incarnation,
             "peers": sorted(self._links.linked),
             "suspected": list(self._peering.suspected),
             "views": self._table.numbers,
@@ -191,7 +193,7 @@
             "peer_frames": self._links.frames,
         }
 
-    def _figures(self) -> dict[str, tuple[str, typing.Callable[[], float]]]:
+    def _gauges(self) -> dict[str, tuple[str, typing.Callable[[], float]]]:
         return {
             "peers": ("Linked peers.", lambda: len(self._links.linked)),
             "peers_suspected": (
@@ -237,8 +239,8 @@
         """Start; raises `OSError` if the peers' address can't be had."""
         await self._peering.start()
         for follower in self._followers:
-            kept = tasks.keep_running("follower", follower.run, self._clock)
-            self._tasks.append(asyncio.create_task(kept))
+            supervised = tasks.keep_running("follower", follower.run, self._clock)
+            self._tasks.append(asyncio.create_task(supervised))
 
     async def stop(self) -> None:
         """Stop; called when this instance sends nothing to anybody any more."""
--- a/src/pimentolatch/entry/gate.py
+++ b/src/pimentolatch/entry/graceful_shutdown.py
@@ -7,12 +7,12 @@
 
 from pimentolatch import results
 
-__all__ = ["Gate"]
+__all__ = ["GracefulShutdown"]
 
 _STOPPING_RETRY_AFTER = datetime.timedelta(seconds=1)
 
 
-class Gate:
+class GracefulShutdown:
     """Admits requests until the instance stops."""
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         )
 
     @contextlib.contextmanager
-    def request(self) -> abc.Iterator[None]:
+    def track_request(self) -> abc.Iterator[None]:
         """Hold the instance up for the length of one request."""
         self._in_flight += 1
         self._empty.clear()
@@ -72,7 +72,7 @@
             if self._in_flight == 0:
                 self._empty.set()
 
-    async def wait_empty(self, limit: datetime.timedelta) -> bool:
+    async def wait_drained(self, limit: datetime.timedelta) -> bool:
         """Wait until no request is in flight; False if the limit passed first."""
         try:
             async with asyncio.timeout(limit.total_seconds()):
--- a/src/pimentolatch/entry/answers.py
+++ b/src/pimentolatch/entry/http_responses.py
@@ -12,10 +12,10 @@
 
 from pimentolatch import clock, metrics, results, waits
 from pimentolatch.backend import instance
-from pimentolatch.entry import guard
+from pimentolatch.entry import bounded_http
 from pimentolatch.requests import stream
 
-__all__ = ["CompletionAnswer", "refusal_response"]
+__all__ = ["CompletionResponse", "refusal_response"]
 
 _log = logbook.Logger("answers")
 # After these the rest of the body may still be on its way; see `servers`.
@@ -25,7 +25,7 @@
 )
 # A caller that reads nothing keeps an engine's stream open while others wait for a
 # place in the batch. A caller on a poor link still reads something in this time.
-_STALL_SECONDS = 10.0
+_SEND_TIMEOUT_SECONDS = 10.0
 _STREAM_HEADERS = [
     (b"content-type", b"text/event-stream; charset=utf-8"),
     (b"cache-control", b"no-store"),
@@ -53,14 +53,14 @@
     )
 
 
-class CompletionAnswer:
+class CompletionResponse:
     """Answers one completion, streamed or whole, for as long as its caller stays.
 
     A caller that disconnects ends the work at once: closing the events closes the
     engine's stream, so that no engine goes on writing for nobody.
 
     Args:
-        asked: The completion.
+        request: The completion.
         events: Its events.
         streamed: Whether to send them as they come.
         release: Closed when the answer is over.
@@ -71,7 +71,7 @@
 
     def __init__(
         self,
-        asked: stream.Completion,
+        request: stream.Completion,
         events: abc.AsyncGenerator[stream.CompletionEvent, None],
         *,
         streamed: bool,
@@ -80,7 +80,7 @@
         started: datetime.timedelta,
         measured: metrics.Metrics,
     ) -> None:
-        self._asked = asked
+        self._request = request
         self._events = events
         self._streamed = streamed
         self._release = release
@@ -91,94 +91,94 @@
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Run the answer as an ASGI application."""
         with self._release:
-            work = asyncio.ensure_future(self._answer(scope, receive, send))
-            gone = asyncio.ensure_future(_disconnected(receive))
+            work = asyncio.ensure_future(self._respond(scope, receive, send))
+            disconnected = asyncio.ensure_future(_wait_for_disconnect(receive))
             try:
-                await asyncio.wait((work, gone), return_when="FIRST_COMPLETED")
+                await asyncio.wait((work, disconnected), return_when="FIRST_COMPLETED")
             finally:
-                gone.cancel()
+                disconnected.cancel()
                 if not work.done():
                     work.cancel()
                     await asyncio.wait((work,))
             if not work.cancelled():
                 work.result()
 
-    async def _answer(self, scope: Scope, receive: Receive, send: Send) -> None:
+    async def _respond(self, scope: Scope, receive: Receive, send: Send) -> None:
         async with contextlib.aclosing(self._events):
             first = await anext(self._events)
             if not isinstance(first, results.Refusal):
                 self._metrics.first_token.observe(self._seconds_since(self._started))
                 if self._streamed:
-                    await self._stream(first, scope, send)
+                    await self._send_stream(first, scope, send)
                     return
-            response = await self._whole(first)
+            response = await self._full_response(first)
             await response(scope, receive, send)
 
-    async def _whole(self, event: stream.CompletionEvent) -> responses.Response:
+    async def _full_response(self, event: stream.CompletionEvent) -> responses.Response:
         text: list[str] = []
         while isinstance(event, stream.Delta):
             text.append(event.text)
             event = await anext(self._events)
-        request_id = self._asked.request_id
+        request_id = self._request.request_id
         if isinstance(event, results.Refusal):
             self._count(event.code)
             return refusal_response(event, request_id)
-        self._ended(event)
+        self._count_completed(event)
         return responses.JSONResponse(
             self._body("".join(text), event),
             headers={instance.REQUEST_ID_HEADER: request_id},
         )
 
-    async def _stream(
+    async def _send_stream(
         self, event: stream.CompletionEvent, scope: Scope, send: Send
     ) -> None:
-        request_id = self._asked.request_id
+        request_id = self._request.request_id
         headers = [
             *_STREAM_HEADERS,
             (instance.REQUEST_ID_HEADER.encode(), request_id.encode()),
         ]
         await send({"type": "http.response.start", "status": 200, "headers": headers})
-        limits = waits.Waits()
-        before = f'data: {{"id": "{request_id}", "choices": [{{"index": 0, "text": '
+        timeouts = waits.Waits()
+        prefix = f'data: {{"id": "{request_id}", "choices": [{{"index": 0, "text": '
         try:
             while isinstance(event, stream.Delta):
                 text = (
-                    f'{before}{json.dumps(event.text)}, "finish_reason": null}}]}}\n\n'
+                    f'{prefix}{json.dumps(event.text)}, "finish_reason": null}}]}}\n\n'
                 )
-                await limits.within(_STALL_SECONDS, _send_body(send, text))
+                await timeouts.within(_SEND_TIMEOUT_SECONDS, _send_body(send, text))
                 waiting_since = self._clock.monotonic()
                 event = await anext(self._events)
                 self._metrics.token_gap.observe(self._seconds_since(waiting_since))
-            ending = _send_body(send, self._last_events(event), last=True)
-            await limits.within(_STALL_SECONDS, ending)
+            ending = _send_body(send, self._final_events(event), last=True)
+            await timeouts.within(_SEND_TIMEOUT_SECONDS, ending)
         except TimeoutError:
             _log.warn("caller reads nothing; answer given up", request=request_id)
-            scope["extensions"][guard.ABORT_EXTENSION]["call"]()
+            scope["extensions"][bounded_http.ABORT_EXTENSION]["call"]()
             # Lets the server see the connection's end before this answer's.
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         finally:
-            limits.close()
+            timeouts.close()
 
-    def _last_events(self, event: stream.Ended | results.Refusal) -> str:
+    def _final_events(self, event: stream.Ended | results.Refusal) -> str:
         if isinstance(event, results.Refusal):
             self._count(event.code)
             return f"data: {json.dumps(event.to_json())}\n\n"
-        self._ended(event)
+        self._count_completed(event)
         body = json.dumps(self._body("", event))
         return f"data: {body}\n\ndata: [DONE]\n\n"
 
     def _body(self, text: str, ended: stream.Ended) -> dict[str, typing.Any]:
         choice = {"index": 0, "text": text, "finish_reason": "stop"}
         return {
-            "id": self._asked.request_id,
+            "id": self._request.request_id,
             "object": "text_completion",
-            "model": self._asked.model,
+            "model": self._request.model,
             "choices": [choice],
             "usage": {"completion_tokens": ended.length},
         }
 
-    def _ended(self, event: stream.Ended) -> None:
+    def _count_completed(self, event: stream.Ended) -> None:
         self._count(results.ResultCode.OK)
         self._metrics.resumed.inc(event.resumptions)
 
@@ -195,6 +195,6 @@
     )
 
 
-async def _disconnected(receive: Receive) -> None:
+async def _wait_for_disconnect(receive: Receive) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
--- a/src/pimentolatch/entry/servers.py
+++ b/src/pimentolatch/entry/http_server.py
@@ -10,26 +10,26 @@
 import uvicorn
 
 from pimentolatch import settings
-from pimentolatch.entry import guard
+from pimentolatch.entry import bounded_http
 
 __all__ = ["HttpServer"]
 
 _IDLE_SECONDS = 75
 # Where requests have ended before a server stops, this bounds callers that don't read.
-_CLOSE_LIMIT = datetime.timedelta(seconds=5)
-_DATE_SECONDS = 1.0
+_CLOSE_TIMEOUT = datetime.timedelta(seconds=5)
+_DATE_REFRESH_SECONDS = 1.0
 _START_POLL_SECONDS = 0.005
 
 
 class _Server(uvicorn.Server):
     def __init__(self, config: uvicorn.Config) -> None:
         super().__init__(config)
-        self._exit_asked = asyncio.Event()
+        self._exit_requested = asyncio.Event()
 
-    def ask_exit(self) -> None:
+    def request_exit(self) -> None:
         """Let the server end."""
         self.should_exit = True
-        self._exit_asked.set()
+        self._exit_requested.set()
 
     async def main_loop(self) -> None:
         """Keep the date header up to date until the server is to end.
@@ -39,8 +39,8 @@
         """
         while not await self.on_tick(0):
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(_DATE_SECONDS):
-                    await self._exit_asked.wait()
+                async with asyncio.timeout(_DATE_REFRESH_SECONDS):
+                    await self._exit_requested.wait()
 
     @contextlib.contextmanager
     def capture_signals(self) -> abc.Iterator[None]:
@@ -55,15 +55,15 @@
         application: The application.
         address: Where to listen.
         protocol: Makes the protocol of each connection.
-        close_limit: How long answers under way may take once the server stops.
+        close_timeout: How long answers under way may take once the server stops.
     """
 
     def __init__(
         self,
         application: typing.Any,
         address: settings.Address,
-        protocol: typing.Callable[..., typing.Any] = guard.GuardedProtocol,
-        close_limit: datetime.timedelta = _CLOSE_LIMIT,
+        protocol: typing.Callable[..., typing.Any] = bounded_http.BoundedHttpProtocol,
+        close_timeout: datetime.timedelta = _CLOSE_TIMEOUT,
     ) -> None:
         self._server = _Server(
             uvicorn.Config(
@@ -79,7 +79,7 @@
                 access_log=False,
                 server_header=False,
                 timeout_keep_alive=_IDLE_SECONDS,
-                timeout_graceful_shutdown=math.ceil(close_limit.total_seconds()),
+                timeout_graceful_shutdown=math.ceil(close_timeout.total_seconds()),
                 backlog=2048,
             )
         )
@@ -96,20 +96,20 @@
 
     async def stop(self) -> None:
         """Close the address and the idle connections, after answers under way."""
-        self._server.ask_exit()
+        self._server.request_exit()
         if self._task is not None:
             await self._task
 
     def abort(self) -> None:
         """Close the address and every connection at once."""
         self._server.force_exit = True
-        self._server.ask_exit()
+        self._server.request_exit()
         for connection in list(self._server.server_state.connections):
             connection.transport.abort()
         if self._task is not None:
             self._task.cancel()
-        for listening in getattr(self._server, "servers", []):
-            listening.close()
+        for listener in getattr(self._server, "servers", []):
+            listener.close()
 
     async def _serve(self) -> None:
         try:
--- a/src/pimentolatch/entry/operators.py
+++ b/src/pimentolatch/entry/operator_front_end.py
@@ -11,20 +11,20 @@
 from pimentolatch.audit import trail
 from pimentolatch.control import configuration, heads, holder
 from pimentolatch.document import schema
-from pimentolatch.entry import bodies, control_plane, gate
+from pimentolatch.entry import control_plane, graceful_shutdown, request_parsing
 from pimentolatch.requests import identity
 
-__all__ = ["OperatorFace"]
+__all__ = ["OperatorFrontEnd"]
 
 _DOCUMENT_LIMIT_BYTES = 16_000_000
 _DOCUMENT_READ_TIME = datetime.timedelta(seconds=30)
 _DOCUMENT_BOOK = "documents"
-_AUDIT_RECORDS = 100
-_AUDIT_LIMIT = 5000
+_AUDIT_DEFAULT_RECORDS = 100
+_AUDIT_MAX_RECORDS = 5000
 _RETRY_AFTER = datetime.timedelta(seconds=2)
 
 
-class OperatorFace:
+class OperatorFrontEnd:
     """Handlers of operators' requests."""
 
     def __init__(
@@ -34,7 +34,7 @@
         own_fleet: fleet.Fleet,
         control: control_plane.ControlPlane,
         duty: holder.DutyHolder,
-        door: gate.Gate,
+        shutdown: graceful_shutdown.GracefulShutdown,
         time: clock.Clock,
         measured: metrics.Metrics,
     ) -> None:
@@ -42,7 +42,7 @@
         self._fleet = own_fleet
         self._control = control
         self._duty = duty
-        self._gate = door
+        self._shutdown = shutdown
         self._clock = time
         self._metrics = measured
         self._trail = trail.AuditTrail(
@@ -69,7 +69,7 @@
 
     async def ready(self, request: requests.Request) -> responses.Response:
         """Tell whether the balancer should send requests here."""
-        if not self._gate.ready:
+        if not self._shutdown.ready:
             return responses.PlainTextResponse("stopping\n", 503)
         if self._fleet.view.configuration is None:
             reason = self._control.waits_for
@@ -78,7 +78,7 @@
 
     async def metrics(self, request: requests.Request) -> responses.Response:
         """Return the metrics."""
-        self._metrics.in_flight.set(self._gate.in_flight)
+        self._metrics.in_flight.set(self._shutdown.in_flight)
         current = self._fleet.view.configuration
         self._metrics.configuration.set(0 if current is None else current.number)
         return responses.Response(
@@ -96,13 +96,13 @@
                 "configuration": None
                 if current is None
                 else {"number": current.number, "hash": current.content_hash},
-                "requests_in_flight": self._gate.in_flight,
-                "stopping": not self._gate.ready,
+                "requests_in_flight": self._shutdown.in_flight,
+                "stopping": not self._shutdown.ready,
                 "withdrawn": sorted(view.withdrawn),
                 "roles": dict(view.roles),
             }
             | self._control.status()
-            | {"duty": _duty(self._duty.status())}
+            | {"duty": _duty_status(self._duty.status())}
         )
 
     async def document(self, request: requests.Request) -> responses.Response:
@@ -115,31 +115,31 @@
 
     async def submit(self, request: requests.Request) -> responses.Response:
         """Put a document in force."""
-        limits = bodies.ReadLimits(_DOCUMENT_LIMIT_BYTES, _DOCUMENT_READ_TIME)
-        raw = await bodies.read_body(request, limits)
+        limits = request_parsing.BodyLimits(_DOCUMENT_LIMIT_BYTES, _DOCUMENT_READ_TIME)
+        raw = await request_parsing.read_body(request, limits)
         if isinstance(raw, results.Refusal):
-            return _refused(raw)
+            return _refusal_response(raw)
         # A document of a megabyte takes a third of a second to check. In the event
         # loop every stream of this instance would stand still for it.
-        submission = await asyncio.to_thread(self._submission, request, raw)
+        submission = await asyncio.to_thread(self._parse_submission, request, raw)
         if isinstance(submission, results.Refusal):
-            return _refused(submission)
+            return _refusal_response(submission)
         outcome = await self._control.submit(submission)
-        await self._note(submission, outcome)
+        await self._record_in_trail(submission, outcome)
         if isinstance(outcome, configuration.Accepted):
-            return responses.JSONResponse(_accepted(outcome))
+            return responses.JSONResponse(_accepted_json(outcome))
         if isinstance(outcome, configuration.Lost):
             refusal = results.Refusal(
                 results.ResultCode.DOCUMENT_CONFLICT,
                 f"document {outcome.winner.number} by {outcome.winner.operator} won",
                 results.Execution.NOT_RUN,
             )
-            body = refusal.to_json() | {"winner": _head(outcome.winner)}
+            body = refusal.to_json() | {"winner": _head_json(outcome.winner)}
             return responses.JSONResponse(body, refusal.http_status)
-        own_id = "submission" not in request.query_params
-        if isinstance(outcome, configuration.NotSubmitted) and own_id:
+        generated_id = "submission" not in request.query_params
+        if isinstance(outcome, configuration.NotSubmitted) and generated_id:
             # An id that the operator brought may have been tried elsewhere before.
-            return _refused(
+            return _refusal_response(
                 results.Refusal(
                     results.ResultCode.STORE_UNAVAILABLE,
                     f"the document was not submitted: {outcome.reason}",
@@ -147,7 +147,7 @@
                     _RETRY_AFTER,
                 )
             )
-        return _refused(
+        return _refusal_response(
             results.Refusal(
                 results.ResultCode.SUBMISSION_UNKNOWN,
                 f"the platform did not tell what became of it: {outcome.reason}",
@@ -156,7 +156,7 @@
             )
         )
 
-    async def _note(
+    async def _record_in_trail(
         self, submission: configuration.Submission, outcome: configuration.Outcome
     ) -> None:
         number = 0
@@ -173,14 +173,16 @@
 
     async def audit(self, request: requests.Request) -> responses.Response:
         """Return the newest records of the audit trail, oldest first."""
-        text = request.query_params.get("count", str(_AUDIT_RECORDS))
-        if not text.isascii() or not text.isdigit() or int(text) > _AUDIT_LIMIT:
-            message = f"count: found {text!r}; must be a number up to {_AUDIT_LIMIT}"
-            return _refused(results.invalid(message))
+        text = request.query_params.get("count", str(_AUDIT_DEFAULT_RECORDS))
+        if not text.isascii() or not text.isdigit() or int(text) > _AUDIT_MAX_RECORDS:
+            message = (
+                f"count: found {text!r}; must be a number up to {_AUDIT_MAX_RECORDS}"
+            )
+            return _refusal_response(results.invalid(message))
         reader = trail.AuditReader(self._control.store)
         records = await reader.latest_of_all(int(text))
         if isinstance(records, store.Unavailable):
-            return _refused(
+            return _refusal_response(
                 results.Refusal(
                     results.ResultCode.STORE_UNAVAILABLE,
                     f"the audit trail can't be read now: {records.reason}",
@@ -191,7 +193,7 @@
         rows = [record.to_json() for record in records]
         return responses.JSONResponse({"records": rows})
 
-    def _submission(
+    def _parse_submission(
         self, request: requests.Request, raw: bytes
     ) -> configuration.Submission | results.Refusal:
         document = checks.check_text(schema.FleetDocument, raw.decode(errors="replace"))
@@ -213,14 +215,14 @@
         )
 
 
-def _accepted(outcome: configuration.Accepted) -> dict[str, typing.Any]:
-    body = _head(outcome.head)
+def _accepted_json(outcome: configuration.Accepted) -> dict[str, typing.Any]:
+    body = _head_json(outcome.head)
     if outcome.replaced_by is not None:
-        body["replaced_by"] = _head(outcome.replaced_by)
+        body["replaced_by"] = _head_json(outcome.replaced_by)
     return body
 
 
-def _duty(status: holder.DutyStatus) -> dict[str, typing.Any]:
+def _duty_status(status: holder.DutyStatus) -> dict[str, typing.Any]:
     changes = [
         {
             "engine": change.engine,
@@ -233,7 +235,7 @@
     return {"held": status.held, "holder": status.holder, "changes": changes}
 
 
-def _head(head: heads.Head) -> dict[str, typing.Any]:
+def _head_json(head: heads.Head) -> dict[str, typing.Any]:
     return {
         "number": head.number,
         "hash": head.content_hash,
@@ -242,7 +244,7 @@
     }
 
 
-def _refused(refusal: results.Refusal) -> responses.Response:
+def _refusal_response(refusal: results.Refusal) -> responses.Response:
     return responses.Response(
         json.dumps(refusal.to_json()),
         refusal.http_status,
--- a/src/pimentolatch/entry/peer_metrics.py
+++ b/src/pimentolatch/entry/peer_metrics.py
@@ -6,22 +6,22 @@
 
 from pimentolatch import metrics
 
-__all__ = ["show"]
+__all__ = ["register"]
 
 _PREFIX = "pimentolatch_"
 
 
-def show(
+def register(
     measured: metrics.Metrics,
-    figures: dict[str, tuple[str, typing.Callable[[], float]]],
+    gauges: dict[str, tuple[str, typing.Callable[[], float]]],
 ) -> None:
     """Add gauges that are read when they are asked for.
 
     Args:
         measured: Where to add them.
-        figures: By name, what a gauge shows and where it is read.
+        gauges: By name, what a gauge shows and where it is read.
     """
-    for name, (text, read) in figures.items():
+    for name, (text, read) in gauges.items():
         gauge = prometheus_client.Gauge(
             _PREFIX + name, text, registry=measured.registry
         )
--- a/src/pimentolatch/entry/peer_work.py
+++ b/src/pimentolatch/entry/peer_reports.py
@@ -7,12 +7,12 @@
 from pimentolatch.decisions import demand, dispatcher, work_reports
 from pimentolatch.entry import control_plane
 
-__all__ = ["PeerTable", "PeerWork"]
+__all__ = ["PeerCountUpdater", "PeerReportTable"]
 
 _INTERVAL = datetime.timedelta(seconds=1)
 
 
-class PeerTable:
+class PeerReportTable:
     """Puts peers' shares, with the time they came, into the decisions' table."""
 
     def __init__(self, decisions: dispatcher.Dispatcher, time: clock.Clock) -> None:
@@ -35,14 +35,14 @@
 
     def demand(self) -> tuple[demand.Totals, ...]:
         """Return the newest totals of this instance and of the peers that are heard."""
-        return (*self.own().totals, *self._demand.values())
+        return (*self.own_report().totals, *self._demand.values())
 
-    def own(self) -> work_reports.WorkReport:
+    def own_report(self) -> work_reports.WorkReport:
         """Return the work of this instance, for the peers."""
         return self._decisions.shares(self._clock.monotonic())
 
 
-class PeerWork:
+class PeerCountUpdater:
     """A task that tells the decisions who shares the engines and the limits."""
 
     def __init__(
@@ -59,6 +59,6 @@
         """Keep the numbers up to date until cancelled."""
         while True:
             self._decisions.set_instances(
-                self._control.near_instances, self._control.instance_count
+                self._control.domain_instances, self._control.instance_count
             )
             await self._clock.sleep(_INTERVAL)
--- a/src/pimentolatch/entry/planner.py
+++ b/src/pimentolatch/entry/planner.py
@@ -35,7 +35,7 @@
         self._history = demand.History()
         self._state_tracker = state_tracker.StateTracker()
         self._next_sample = datetime.timedelta()
-        self._last: tuple[roles.RoleChange, ...] = ()
+        self._last_plan: tuple[roles.RoleChange, ...] = ()
 
     def plan(
         self, engines: abc.Sequence[standings.Standing], now: datetime.timedelta
@@ -45,12 +45,12 @@
         if document is None:
             return ()
         if now < self._next_sample:
-            return self._last
+            return self._last_plan
         self._next_sample = now + _SAMPLE_INTERVAL
         self._history.observe(now, self._totals())
         states = self._state_tracker.observe(now, map(_state, engines))
-        self._last = roles.plan(now, states, self._history.samples, document.roles)
-        return self._last
+        self._last_plan = roles.plan(now, states, self._history.samples, document.roles)
+        return self._last_plan
 
 
 def _state(standing: standings.Standing) -> engine_states.EngineState:
--- a/src/pimentolatch/entry/process.py
+++ b/src/pimentolatch/entry/process.py
@@ -11,14 +11,14 @@
 from pimentolatch.control import holder
 from pimentolatch.decisions import outstanding_work
 from pimentolatch.entry import (
-    callers,
+    caller_front_end,
     clients,
     control_plane,
-    gate,
-    operators,
-    peer_work,
+    graceful_shutdown,
+    http_server,
+    operator_front_end,
+    peer_reports,
     planner,
-    servers,
 )
 from pimentolatch.membership import sender_counts
 from pimentolatch.requests import (
@@ -46,7 +46,7 @@
     def __init__(self, chosen: settings.EntrySettings, time: clock.Clock) -> None:
         self._settings = chosen
         self._clock = time
-        self._gate = gate.Gate()
+        self._shutdown = graceful_shutdown.GracefulShutdown()
         self._fleet = fleet.Fleet()
         self._metrics = metrics.Metrics()
         self._work = outstanding_work.OutstandingWork()
@@ -61,11 +61,11 @@
             moves=self._clients.caches,
         )
         decisions = self._completions.scheduler.decisions
-        self._peer_table = peer_work.PeerTable(decisions, time)
+        self._peer_reports = peer_reports.PeerReportTable(decisions, time)
         self._senders = sender_counts.SenderCounts(
             self._work.requests,
             lambda: self._control.known_incarnations,
-            self._peer_table,
+            self._peer_reports,
         )
         self._control = control_plane.ControlPlane(
             chosen,
@@ -73,11 +73,13 @@
             time=time,
             measured=self._metrics,
             crashes=self._completions.suspects,
-            source=self._peer_table.own,
-            table=self._senders,
+            report_source=self._peer_reports.own_report,
+            report_table=self._senders,
         )
-        self._peer_work = peer_work.PeerWork(decisions, self._control, time)
-        self._duty = self._duty_holder()
+        self._peer_counts = peer_reports.PeerCountUpdater(
+            decisions, self._control, time
+        )
+        self._duty = self._build_duty_holder()
         self._sender = service_call.Sender(
             own_fleet=self._fleet,
             own_domain=chosen.failure_domain,
@@ -85,16 +87,16 @@
             work=self._work,
             time=time,
         )
-        self._keyed = self._keyed_calls()
-        self._caller_server = servers.HttpServer(
-            self._caller_face().application(), chosen.callers
+        self._keyed_calls = self._build_keyed_calls()
+        self._caller_server = http_server.HttpServer(
+            self._build_caller_front_end().application(), chosen.callers
         )
-        self._operator_server = servers.HttpServer(
-            self._operator_face().application(), chosen.operators
+        self._operator_server = http_server.HttpServer(
+            self._build_operator_front_end().application(), chosen.operators
         )
         self._tasks: list[asyncio.Task[None]] = []
 
-    def _duty_holder(self) -> holder.DutyHolder:
+    def _build_duty_holder(self) -> holder.DutyHolder:
         return holder.DutyHolder(
             self._control.store,
             self._fleet,
@@ -105,10 +107,10 @@
             senders=self._senders,
             engines=orders.HttpOrderClient(self._settings.instance),
             leaving=lambda: self._control.leaving_servers,
-            planner=planner.DemandPlanner(self._fleet, self._peer_table.demand),
+            planner=planner.DemandPlanner(self._fleet, self._peer_reports.demand),
         )
 
-    def _keyed_calls(self) -> once.AtMostOnce:
+    def _build_keyed_calls(self) -> once.AtMostOnce:
         objects, time = self._control.store, self._clock
         owner = claims.Owner(self._control.incarnation, self._settings.callers)
         table = keys.KeyTable(time)
@@ -124,27 +126,27 @@
             time=time,
         )
 
-    def _caller_face(self) -> callers.CallerFace:
-        return callers.CallerFace(
+    def _build_caller_front_end(self) -> caller_front_end.CallerFrontEnd:
+        return caller_front_end.CallerFrontEnd(
             self._settings,
             own_fleet=self._fleet,
             completions=self._completions,
             calls=service_call.ServiceCallRunner(
-                own_fleet=self._fleet, sender=self._sender, keyed=self._keyed
+                own_fleet=self._fleet, sender=self._sender, keyed=self._keyed_calls
             ),
-            issuer=self._keyed,
-            door=self._gate,
+            issuer=self._keyed_calls,
+            shutdown=self._shutdown,
             time=self._clock,
             measured=self._metrics,
         )
 
-    def _operator_face(self) -> operators.OperatorFace:
-        return operators.OperatorFace(
+    def _build_operator_front_end(self) -> operator_front_end.OperatorFrontEnd:
+        return operator_front_end.OperatorFrontEnd(
             self._settings,
             own_fleet=self._fleet,
             control=self._control,
             duty=self._duty,
-            door=self._gate,
+            shutdown=self._shutdown,
             time=self._clock,
             measured=self._metrics,
         )
@@ -156,24 +158,26 @@
         await self._caller_server.start()
         for work in (
             self._completions.scheduler.run,
-            self._peer_work.run,
+            self._peer_counts.run,
             self._duty.run,
         ):
-            kept = tasks.keep_running(work.__qualname__, work, self._clock)
-            self._tasks.append(asyncio.create_task(kept))
+            supervised = tasks.keep_running(work.__qualname__, work, self._clock)
+            self._tasks.append(asyncio.create_task(supervised))
         _log.info("started", failure_domain=self._settings.failure_domain)
 
     async def stop(self, notice: datetime.timedelta = BALANCER_NOTICE) -> None:
         """Stop without cutting a request."""
-        _log.info("stopping", in_flight=self._gate.in_flight)
-        self._gate.announce_stop()
+        _log.info("stopping", in_flight=self._shutdown.in_flight)
+        self._shutdown.announce_stop()
         await self._clock.sleep(notice)
-        self._gate.stop()
+        self._shutdown.stop()
         await self._duty.stop()
         grace = datetime.timedelta(seconds=self._settings.stop_grace_s)
-        if not await self._gate.wait_empty(grace):
-            _log.warn("requests cut at the end of the grace", n=self._gate.in_flight)
-        await self._keyed.retire()
+        if not await self._shutdown.wait_drained(grace):
+            _log.warn(
+                "requests cut at the end of the grace", n=self._shutdown.in_flight
+            )
+        await self._keyed_calls.retire()
         await self._caller_server.stop()
         await self._operator_server.stop()
         for task in self._tasks:
--- a/src/pimentolatch/entry/bodies.py
+++ b/src/pimentolatch/entry/request_parsing.py
@@ -13,12 +13,12 @@
 
 __all__ = [
     "CompletionBody",
-    "ReadLimits",
+    "BodyLimits",
     "TicketsBody",
-    "check_json",
-    "deadline_of",
-    "idempotency_key_of",
-    "priority_of",
+    "parse_json",
+    "parse_deadline",
+    "parse_idempotency_key",
+    "parse_priority",
     "read_body",
 ]
 
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadLimits:
+class BodyLimits:
     """Bounds on reading a body."""
 
     size: int
@@ -63,15 +63,15 @@
 
 
 async def read_body(
-    request: requests.Request, limits: ReadLimits
+    request: requests.Request, limits: BodyLimits
 ) -> bytes | results.Refusal:
     """Read a body.
 
     A caller that sends slowly or without end would hold memory and a connection for
     as long as it likes; past either bound the request is refused.
     """
-    announced = request.headers.get("content-length", "0")
-    if announced.isdigit() and int(announced) > limits.size:
+    declared_length = request.headers.get("content-length", "0")
+    if declared_length.isdigit() and int(declared_length) > limits.size:
         return _too_large(limits)
     body = bytearray()
     try:
@@ -92,7 +92,7 @@
     return bytes(body)
 
 
-def _too_large(limits: ReadLimits) -> results.Refusal:
+def _too_large(limits: BodyLimits) -> results.Refusal:
     return results.Refusal(
         results.ResultCode.BODY_TOO_LARGE,
         f"the body is over {limits.size} bytes",
@@ -100,7 +100,7 @@
     )
 
 
-def deadline_of(
+def parse_deadline(
     headers: typing.Mapping[str, str],
     now: datetime.timedelta,
     default: datetime.timedelta,
@@ -117,7 +117,7 @@
     return now + min(datetime.timedelta(milliseconds=int(text)), MAX_REQUEST_TIMEOUT)
 
 
-def check_json(model: type[ModelT], raw: bytes) -> ModelT | results.Refusal:
+def parse_json(model: type[ModelT], raw: bytes) -> ModelT | results.Refusal:
     """Parse a body and check it against a model."""
     try:
         value = json.loads(raw)
@@ -129,7 +129,7 @@
     return checked
 
 
-def idempotency_key_of(
+def parse_idempotency_key(
     headers: typing.Mapping[str, str],
 ) -> str | None | results.Refusal:
     """Return the idempotency key, with or without the quotes of a structured field."""
@@ -147,7 +147,7 @@
     return text
 
 
-def priority_of(headers: typing.Mapping[str, str]) -> int:
+def parse_priority(headers: typing.Mapping[str, str]) -> int:
     """Return the priority that the `Priority` header's urgency asks for.
 
     The header is that of RFC 9218: `u=0` is most urgent, `u=7` least, 3 the default.
--- a/src/pimentolatch/gateway/capacity_controller.py
+++ b/src/pimentolatch/gateway/capacity_controller.py
@@ -18,7 +18,7 @@
     control_api,
     objects,
 )
-from pimentolatch.routes import table
+from pimentolatch.routes import route_table
 
 __all__ = ["CapacityController"]
 
@@ -79,7 +79,9 @@
             if service.scaling is not None:
                 await self._order_for_service(service.name, service.scaling)
 
-    async def _order_for_service(self, service: str, scaling: table.Scaling) -> None:
+    async def _order_for_service(
+        self, service: str, scaling: route_table.Scaling
+    ) -> None:
         planner = await self._planner(service)
         if planner is None:
             return
--- a/src/pimentolatch/gateway/client_request.py
+++ b/src/pimentolatch/gateway/client_request.py
@@ -8,10 +8,10 @@
 
 from pimentolatch import results
 from pimentolatch.decisions import access
-from pimentolatch.entry import guard
+from pimentolatch.entry import bounded_http
 from pimentolatch.platform import heads
 from pimentolatch.requests import digests
-from pimentolatch.routes import table
+from pimentolatch.routes import route_table
 
 __all__ = ["PASSED_ON", "ClientRequest", "ClientResponse", "Fields"]
 
@@ -41,8 +41,8 @@
     fields: Fields
     body: bytes
     head: heads.ClientHead
-    route: table.Route
-    service: table.Service
+    route: route_table.Route
+    service: route_table.Service
     arrived_at: datetime.timedelta
     deadline: datetime.timedelta
     digest: digests.RequestDigest
@@ -125,4 +125,4 @@
         """Close the connection, so that a partial response does not look complete."""
         self.outcome = reason
         self.finished = True
-        self._scope["extensions"][guard.CLOSE_EXTENSION]["call"]()
+        self._scope["extensions"][bounded_http.CLOSE_EXTENSION]["call"]()
--- a/src/pimentolatch/gateway/decode_client.py
+++ b/src/pimentolatch/gateway/decode_client.py
@@ -156,7 +156,7 @@
         if not generation.request.route.repeatable:
             # The request must not run twice, so no other engine is tried.
             generation.progress.possible_runs = max(
-                generation.progress.possible_runs, generation.request.route.most_servers
+                generation.progress.possible_runs, generation.request.route.max_attempts
             )
 
     async def _relay_response(
@@ -260,7 +260,7 @@
         request = generation.request
         if not request.route.repeatable:
             return await opened.link.read()
-        limit = max(_STALL_GAPS * request.route.pause_target, _MIN_STALL_TIMEOUT)
+        limit = max(_STALL_GAPS * request.route.event_gap_target, _MIN_STALL_TIMEOUT)
         if generation.unprefilled:
             limit = max(limit, request_progress.first_event_limit(generation.place))
         while True:
--- a/src/pimentolatch/gateway/fleet_state.py
+++ b/src/pimentolatch/gateway/fleet_state.py
@@ -5,7 +5,7 @@
 from collections import abc
 
 from pimentolatch.decisions import engine_loads
-from pimentolatch.routes import servers, table
+from pimentolatch.routes import route_table, servers
 
 __all__ = ["FleetState"]
 
@@ -28,7 +28,7 @@
     """
 
     def __init__(self) -> None:
-        self.configuration: table.Configuration | None = None
+        self.configuration: route_table.Configuration | None = None
         self.configuration_spec: typing.Any = None
         self.servers = servers.ServerTable()
         self.servers_revision = 0
@@ -54,7 +54,9 @@
         """Register a callback that runs after each change of the server table."""
         self._on_change.append(call)
 
-    def configure(self, configuration: table.Configuration, spec: typing.Any) -> bool:
+    def configure(
+        self, configuration: route_table.Configuration, spec: typing.Any
+    ) -> bool:
         """Apply a configuration if it is newer; return whether it was applied."""
         if configuration.version <= self.version:
             return False
@@ -92,7 +94,7 @@
         """Remove servers whose entries have expired."""
         self._change((), removed)
 
-    def engine_traits(self, service: str) -> table.EngineTraits | None:
+    def engine_traits(self, service: str) -> route_table.EngineTraits | None:
         """Return the configured properties of a service's engines, if any."""
         if self.configuration is None or service not in self.configuration.services:
             return None
@@ -123,7 +125,7 @@
     def _change(
         self, changed: abc.Iterable[servers.Server], removed: abc.Iterable[str]
     ) -> None:
-        self.servers.change(changed, removed)
+        self.servers.update(changed, removed)
         self._update_loads()
 
     def _update_loads(self) -> None:
--- a/src/pimentolatch/gateway/front_end.py
+++ b/src/pimentolatch/gateway/front_end.py
@@ -16,8 +16,8 @@
     repeat_budget,
 )
 from pimentolatch.entry import (
-    gate,
-    guard,
+    bounded_http,
+    graceful_shutdown,
 )
 from pimentolatch.gateway import (
     client_request,
@@ -28,7 +28,7 @@
 )
 from pimentolatch.platform import heads
 from pimentolatch.requests import digests
-from pimentolatch.routes import table
+from pimentolatch.routes import route_table
 
 __all__ = ["Forwarder", "RouteFrontEnd"]
 
@@ -62,7 +62,7 @@
         forwarders: For plain requests and for requests with a prompt.
         budget: Retry budget; each request counts towards it.
         check: Tells which requests may be dispatched.
-        request_gate: Counts requests in flight for a graceful shutdown.
+        shutdown: Counts requests in flight for a graceful shutdown.
         log: Log of requests and their outcomes.
         digest_key: Key of the requests' digests; the same on all instances.
         time: Clock.
@@ -73,7 +73,7 @@
         fleet: fleet_state.FleetState,
         forwarders: tuple[Forwarder, Forwarder],
         budget: repeat_budget.RepeatBudget,
-        request_gate: gate.Gate,
+        shutdown: graceful_shutdown.GracefulShutdown,
         check: dispatch_check.DispatchCheck,
         log: request_log.RequestLog,
         digest_key: bytes,
@@ -85,19 +85,19 @@
         self._request_log = log
         self._plain, self._prompts = forwarders
         self._budget = budget
-        self._gate = request_gate
+        self._shutdown = shutdown
         self._clock = time
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request (ASGI)."""
-        with self._gate.request():
+        with self._shutdown.track_request():
             await self._serve(scope, receive, self._announcing_shutdown(send))
 
     def _announcing_shutdown(self, send: Send) -> Send:
         """Ask clients to close their connection once this instance is stopping."""
 
         async def announcing(message: Message) -> None:
-            if message["type"] == "http.response.start" and not self._gate.ready:
+            if message["type"] == "http.response.start" and not self._shutdown.ready:
                 message["headers"] = [*message["headers"], _CLOSE]
             await send(message)
 
@@ -135,11 +135,11 @@
         self,
         scope: Scope,
         receive: Receive,
-        configuration: table.Configuration,
+        configuration: route_table.Configuration,
         arrived_at: datetime.timedelta,
     ) -> client_request.ClientRequest | results.Refusal | None:
         """Read a complete request; None if its client disconnected before its end."""
-        target = scope["extensions"][guard.TARGET_EXTENSION]["bytes"]
+        target = scope["extensions"][bounded_http.TARGET_EXTENSION]["bytes"]
         try:
             head = heads.read_client(scope["headers"])
         except ValueError as error:
@@ -286,7 +286,7 @@
 
 
 def _fields_to_forward(
-    fields: client_request.Fields, configuration: table.Configuration
+    fields: client_request.Fields, configuration: route_table.Configuration
 ) -> client_request.Fields:
     """Return the client's header fields that are forwarded to servers.
 
--- a/src/pimentolatch/gateway/http_protocol.py
+++ b/src/pimentolatch/gateway/http_protocol.py
@@ -3,13 +3,13 @@
 import functools
 import typing
 
-from pimentolatch.entry import guard
+from pimentolatch.entry import bounded_http
 from pimentolatch.gateway import fleet_state
 
 __all__ = ["RouteProtocol", "protocol_class"]
 
 
-class RouteProtocol(guard.GuardedProtocol):
+class RouteProtocol(bounded_http.BoundedHttpProtocol):
     """One client connection; the newest limits apply to each request."""
 
     def __init__(
@@ -39,7 +39,7 @@
             return super().first_byte_seconds
         return self._fleet.configuration.limits.idle_timeout.total_seconds()
 
-    def runs_to_its_end(self, path: str) -> bool:
+    def continues_after_eof(self, path: str) -> bool:
         """Return False: a client that closes its side has disconnected."""
         return False
 
--- a/src/pimentolatch/gateway/plain_forwarder.py
+++ b/src/pimentolatch/gateway/plain_forwarder.py
@@ -99,7 +99,7 @@
             tried.add(server.incarnation)
             may_repeat = (
                 request.route.repeatable
-                and possible_runs + 1 < request.route.most_servers
+                and possible_runs + 1 < request.route.max_attempts
             )
             sent_at = self._clock.now()
             outcome = await self._send(server, request, may_repeat)
--- a/src/pimentolatch/gateway/process.py
+++ b/src/pimentolatch/gateway/process.py
@@ -22,8 +22,8 @@
     server_choice,
 )
 from pimentolatch.entry import (
-    gate,
-    servers,
+    graceful_shutdown,
+    http_server,
 )
 from pimentolatch.gateway import (
     beacon_exchange,
@@ -72,7 +72,7 @@
     def __init__(self, chosen: settings.GatewaySettings, time: clock.Clock) -> None:
         self._settings = chosen
         self._clock = time
-        self._gate = gate.Gate()
+        self._shutdown = graceful_shutdown.GracefulShutdown()
         self._fleet = fleet_state.FleetState()
         self._client = dispatch.ServerClient(time)
         self._server_choice = server_choice.ServerChoice(chosen.failure_domain)
@@ -115,13 +115,13 @@
             self._request_log,
             self._metrics,
         )
-        self._face = servers.HttpServer(
+        self._face = http_server.HttpServer(
             self._route_face(),
             chosen.clients,
             http_protocol.protocol_class(self._fleet),
             datetime.timedelta(seconds=chosen.bounds.stop_grace_s),
         )
-        self._readiness = servers.HttpServer(self._ready, chosen.readiness)
+        self._readiness = http_server.HttpServer(self._ready, chosen.readiness)
         self._fleet.on_change(self._drop_unlisted)
         self._tasks: list[asyncio.Task[None]] = []
         self._build_peer_parts()
@@ -131,13 +131,13 @@
                 self._peer_table,
                 self._quarantine,
                 self._leader_tasks.leadership,
-                self._gate,
+                self._shutdown,
             )
         )
-        self._metrics_server: servers.HttpServer | None = None
+        self._metrics_server: http_server.HttpServer | None = None
         if chosen.metrics is not None:
             endpoint = route_metrics.MetricsEndpoint(self._metrics)
-            self._metrics_server = servers.HttpServer(endpoint, chosen.metrics)
+            self._metrics_server = http_server.HttpServer(endpoint, chosen.metrics)
 
     @property
     def budget(self) -> repeat_budget.RepeatBudget:
@@ -184,7 +184,7 @@
             chosen.peers.address.port,
             time,
         )
-        self._snapshots = servers.HttpServer(
+        self._snapshots = http_server.HttpServer(
             peer_snapshots.SnapshotEndpoint(fleet, self._expired_servers),
             chosen.peers.address,
         )
@@ -226,7 +226,7 @@
             self._fleet,
             (plain_requests, self._stream_forwarder),
             self._budget,
-            self._gate,
+            self._shutdown,
             self._permission,
             self._request_log,
             self._settings.digest_key.encode(),
@@ -241,7 +241,7 @@
     async def _ready(
         self, scope: typing.Any, receive: typing.Any, send: typing.Any
     ) -> None:
-        ready = self._gate.ready and self._fleet.complete
+        ready = self._shutdown.ready and self._fleet.complete
         await send(
             {
                 "type": "http.response.start",
@@ -314,8 +314,8 @@
 
     async def stop(self) -> None:
         """Stop gracefully: requests that end within the grace period are completed."""
-        _log.info("stopping", in_flight=self._gate.in_flight)
-        self._gate.announce_stop()
+        _log.info("stopping", in_flight=self._shutdown.in_flight)
+        self._shutdown.announce_stop()
         self._leader_tasks.leadership.announce_stop()
         self._beacon_exchange.announce_stop()
         await self._clock.sleep(_DRAIN_DELAY)
@@ -329,7 +329,7 @@
         if not closing.done():
             _log.warn(
                 "requests aborted at the end of the grace period",
-                n=self._gate.in_flight,
+                n=self._shutdown.in_flight,
             )
             closing.cancel()
         await self.abort()
--- a/src/pimentolatch/gateway/request_progress.py
+++ b/src/pimentolatch/gateway/request_progress.py
@@ -236,7 +236,7 @@
         request.arrived_at if progress.last_event_at is None else progress.last_event_at
     )
     route = request.route
-    gap = waiting.client_gap(route.latency_target, route.pause_target)
+    gap = waiting.client_gap(route.latency_target, route.event_gap_target)
     return min(request.deadline, since + gap)
 
 
--- a/src/pimentolatch/gateway/route_metrics.py
+++ b/src/pimentolatch/gateway/route_metrics.py
@@ -14,7 +14,7 @@
 
 from pimentolatch import results
 from pimentolatch.decisions import prompt_sizes
-from pimentolatch.entry import gate
+from pimentolatch.entry import graceful_shutdown
 from pimentolatch.gateway import (
     client_request,
     fleet_state,
@@ -172,7 +172,7 @@
         peers: The live peers.
         suspects: Requests in quarantine.
         own_leadership: Tells whether this instance is the leader.
-        request_gate: Counts the requests in flight.
+        shutdown: Counts the requests in flight.
     """
 
     def __init__(
@@ -181,19 +181,23 @@
         peers: peer_table.PeerTable,
         suspects: quarantine.Quarantine,
         own_leadership: leadership.Leadership,
-        request_gate: gate.Gate,
+        shutdown: graceful_shutdown.GracefulShutdown,
     ) -> None:
         self._fleet = fleet
         self._peers = peers
         self._suspects = suspects
         self._leadership = own_leadership
-        self._gate = request_gate
+        self._shutdown = shutdown
 
     def collect(self) -> typing.Iterator[core.GaugeMetricFamily]:
         """Yield the gauges."""
         fleet = self._fleet
         for name, text, value in (
-            ("requests_in_flight", "Requests now being served.", self._gate.in_flight),
+            (
+                "requests_in_flight",
+                "Requests now being served.",
+                self._shutdown.in_flight,
+            ),
             ("configuration_version", "Version in force.", fleet.version),
             ("servers", "Servers that are listed.", len(fleet.servers.all())),
             ("servers_revision", "Revision of the servers.", fleet.servers_revision),
--- a/src/pimentolatch/gateway/stage_controller.py
+++ b/src/pimentolatch/gateway/stage_controller.py
@@ -19,8 +19,8 @@
 )
 from pimentolatch.platform import engines
 from pimentolatch.routes import (
+    route_table,
     servers,
-    table,
 )
 
 __all__ = ["StageController"]
@@ -110,7 +110,7 @@
             return
         traits = self._fleet.engine_traits(engine.server.service)
         if traits is not None:
-            absence = traits.stage_change + stage_plan.STREAM_DRAIN_TIME
+            absence = traits.stage_change_time + stage_plan.STREAM_DRAIN_TIME
             until = self._clock.monotonic() + absence
             engine.begin_change(engine_loads.StageChange(change.stage, until))
 
@@ -141,9 +141,9 @@
         state = engines.decode_report(report.body)
         if state is None or state.changing or state.stage is change.stage:
             return False
-        if change.engine.born is not None and state.born not in (
+        if change.engine.started_ms is not None and state.started_ms not in (
             None,
-            change.engine.born,
+            change.engine.started_ms,
         ):
             _log.info(
                 "stage change not ordered: engine has restarted",
@@ -153,7 +153,10 @@
         if not self._leadership.valid():
             return False
         order = engines.StageOrder(
-            change.stage.value, self._name, self._leadership.fence, state.orders
+            change.stage.value,
+            self._name,
+            self._leadership.fence,
+            state.accepted_orders,
         )
         answer = await calls.call(
             "POST",
@@ -184,11 +187,11 @@
         return answer.status in _ACCEPTED
 
 
-def _pause_target(configuration: table.Configuration, service: str) -> float:
+def _pause_target(configuration: route_table.Configuration, service: str) -> float:
     """Return the shortest pause target of a service's routes in ms; 0 if none."""
     targets = [
-        route.pause_target / datetime.timedelta(milliseconds=1)
+        route.event_gap_target / datetime.timedelta(milliseconds=1)
         for route in configuration.routes
-        if route.pause_target and any(s.service == service for s in route.shares)
+        if route.event_gap_target and any(s.service == service for s in route.shares)
     ]
     return min(targets, default=0.0)
--- a/src/pimentolatch/gateway/stall_checker.py
+++ b/src/pimentolatch/gateway/stall_checker.py
@@ -9,7 +9,7 @@
 from pimentolatch.decisions import doubt, engine_loads
 from pimentolatch.gateway import dispatch, request_log
 from pimentolatch.platform import engines
-from pimentolatch.routes import reports, servers
+from pimentolatch.routes import engine_reports, servers
 
 __all__ = ["StallChecker"]
 
@@ -18,7 +18,7 @@
 # event.
 _REPORT_TIMEOUT = datetime.timedelta(milliseconds=300)
 _Outcome = typing.TypeVar("_Outcome")
-_ReportTask = asyncio.Task["reports.EngineReport | None"]
+_ReportTask = asyncio.Task["engine_reports.EngineReport | None"]
 
 
 class StallChecker:
@@ -42,7 +42,7 @@
     ) -> doubt.Verdict:
         """Ask an engine whether it still has a request."""
         report = await self._report(engine.server)
-        verdict = doubt.judge(report, request_id, engine.server.born)
+        verdict = doubt.judge(report, request_id, engine.server.started_ms)
         self._request_log.write(
             request_log.DOUBTED,
             request_id,
@@ -51,7 +51,7 @@
             verdict=verdict.value,
             queued=None if report is None else report.queued,
             running=None if report is None else report.running,
-            listed=report is not None and request_id in report.runs,
+            listed=report is not None and request_id in report.decoding_ids,
         )
         return verdict
 
@@ -87,7 +87,9 @@
         finally:
             task.cancel()
 
-    async def _report(self, server: servers.Server) -> reports.EngineReport | None:
+    async def _report(
+        self, server: servers.Server
+    ) -> engine_reports.EngineReport | None:
         now = self._clock.monotonic()
         at, report_task = self._pending_reports.get(server.incarnation, (now, None))
         if report_task is None or (report_task.done() and now - at > doubt.FRESH):
@@ -101,7 +103,7 @@
 
     async def _fetch_report(
         self, server: servers.Server
-    ) -> reports.EngineReport | None:
+    ) -> engine_reports.EngineReport | None:
         response = await self._client.call(
             server, "GET", engines.REPORT_TARGET, limit=_REPORT_TIMEOUT
         )
@@ -109,5 +111,5 @@
             return engines.decode_report(response.body)
         if isinstance(response, dispatch.NotSent) and not response.unresponsive:
             # It refuses further connections, so it is running and at capacity.
-            return reports.EngineReport(servers.Stage.DECODE, False, 0, queued=1)
+            return engine_reports.EngineReport(servers.Stage.DECODE, False, 0, queued=1)
         return None
--- a/src/pimentolatch/gateway/stream_forwarder.py
+++ b/src/pimentolatch/gateway/stream_forwarder.py
@@ -152,7 +152,7 @@
         progress: request_progress.Progress,
     ) -> bool:
         """Place and dispatch a request once; True if its response is finished."""
-        if progress.possible_runs >= max(1, request.route.most_servers):
+        if progress.possible_runs >= max(1, request.route.max_attempts):
             return await self._give_up(response, progress)
         place = await self._placer.place(request, progress)
         if isinstance(place, placement_types.Infeasible):
--- a/src/pimentolatch/platform/configuration.py
+++ b/src/pimentolatch/platform/configuration.py
@@ -4,7 +4,7 @@
 import typing
 from collections import abc
 
-from pimentolatch.routes import customers, table
+from pimentolatch.routes import customers, route_table
 
 __all__ = ["CONFIGURATION_KIND", "CONFIGURATION_NAME", "UNREADABLE", "decode"]
 
@@ -17,14 +17,14 @@
 _Fields = abc.Mapping[str, typing.Any]
 
 
-def decode(spec: _Fields) -> table.Configuration:
+def decode(spec: _Fields) -> route_table.Configuration:
     """Return the configuration that a spec holds.
 
     Raises:
         One of `UNREADABLE`: The spec is not a configuration.
     """
     services = (_service(fields) for fields in spec["services"])
-    return table.Configuration(
+    return route_table.Configuration(
         int(spec["version"]),
         [_route(fields) for fields in spec["routes"]],
         {service.name: service for service in services},
@@ -33,18 +33,18 @@
     )
 
 
-def _route(fields: _Fields) -> table.Route:
-    return table.Route(
+def _route(fields: _Fields) -> route_table.Route:
+    return route_table.Route(
         name=fields["name"],
         host=fields["host"].lower(),
         path_prefix=fields["path_prefix"],
-        kind=table.Kind(fields["kind"]),
+        kind=route_table.Kind(fields["kind"]),
         shares=_shares(fields),
         timeout=_milliseconds(fields["timeout_ms"]),
         latency_target=_milliseconds(fields.get("latency_target_ms", 0)),
-        pause_target=_milliseconds(fields.get("gap_target_ms", 0)),
+        event_gap_target=_milliseconds(fields.get("gap_target_ms", 0)),
         rank=int(fields.get("priority", 0)),
-        most_servers=int(fields.get("max_attempts", 1)),
+        max_attempts=int(fields.get("max_attempts", 1)),
         # The platform's name speaks of sessions; what it says is that the requests
         # name the parts of a prompt.
         carries_prompt=bool(fields.get("sticky", False)),
@@ -53,29 +53,30 @@
     )
 
 
-def _shares(fields: _Fields) -> tuple[table.ServiceShare, ...]:
+def _shares(fields: _Fields) -> tuple[route_table.ServiceShare, ...]:
     split = fields.get("traffic_split")
     if not split:
-        return (table.ServiceShare(fields["service"], 1.0),)
+        return (route_table.ServiceShare(fields["service"], 1.0),)
     return tuple(
-        table.ServiceShare(part["service"], float(part["weight"])) for part in split
+        route_table.ServiceShare(part["service"], float(part["weight"]))
+        for part in split
     )
 
 
-def _service(fields: _Fields) -> table.Service:
+def _service(fields: _Fields) -> route_table.Service:
     engine, scaling = fields.get("engine"), fields.get("scaling")
-    return table.Service(
+    return route_table.Service(
         name=fields["name"],
         engine=None if engine is None else _engine(engine),
         scaling=None if scaling is None else _scaling(scaling),
     )
 
 
-def _engine(fields: _Fields) -> table.EngineTraits:
-    return table.EngineTraits(
+def _engine(fields: _Fields) -> route_table.EngineTraits:
+    return route_table.EngineTraits(
         slots=int(fields["slots"]),
         kv_tokens=int(fields["kv_tokens"]),
-        stage_change=datetime.timedelta(seconds=fields.get("switch_s", 0)),
+        stage_change_time=datetime.timedelta(seconds=fields.get("switch_s", 0)),
     )
 
 
@@ -102,18 +103,18 @@
     return customers.KeyedCustomer(customers.Customer(name, rank), encoded)
 
 
-def _scaling(fields: _Fields) -> table.Scaling:
-    return table.Scaling(
-        least=int(fields["min"]),
-        most=int(fields["max"]),
-        boot=datetime.timedelta(seconds=fields["boot_s"]),
+def _scaling(fields: _Fields) -> route_table.Scaling:
+    return route_table.Scaling(
+        min_servers=int(fields["min"]),
+        max_servers=int(fields["max"]),
+        boot_time=datetime.timedelta(seconds=fields["boot_s"]),
         spot_price=float(fields.get("spot_price", 1.0)),
         prices={zone: float(price) for zone, price in fields["zone_prices"].items()},
     )
 
 
-def _limits(fields: _Fields) -> table.ClientLimits:
-    return table.ClientLimits(
+def _limits(fields: _Fields) -> route_table.ClientLimits:
+    return route_table.ClientLimits(
         head_bytes=int(fields["max_header_bytes"]),
         body_bytes=int(fields["max_body_bytes"]),
         head_timeout=_milliseconds(fields["header_timeout_ms"]),
--- a/src/pimentolatch/platform/engines.py
+++ b/src/pimentolatch/platform/engines.py
@@ -6,7 +6,7 @@
 
 import logbook
 
-from pimentolatch.routes import reports, servers
+from pimentolatch.routes import engine_reports, servers
 
 __all__ = [
     "ORDER_TARGET",
@@ -83,11 +83,11 @@
     )
 
 
-def decode_report(body: bytes) -> reports.EngineReport | None:
+def decode_report(body: bytes) -> engine_reports.EngineReport | None:
     """Decode an engine's report; None if it is not understood."""
     try:
         fields = json.loads(body)
-        return reports.EngineReport(
+        return engine_reports.EngineReport(
             servers.Stage(fields["stage"]),
             # Busy with an order; it says nothing of requests.
             bool(fields["busy"]),
--- a/src/pimentolatch/platform/entries.py
+++ b/src/pimentolatch/platform/entries.py
@@ -60,12 +60,12 @@
         service=_text(spec, "service"),
         address=_address(_text(spec, "address")),
         failure_domain=_text(spec, "zone"),
-        leaving=_STATES[state],
+        draining=_STATES[state],
         stage=_stage(spec.get("stage")),
         slots=_whole(spec, "slots", 1, _MOST_SLOTS),
-        cold=datetime.timedelta(milliseconds=_milliseconds(spec)),
+        remaining_warm_up=datetime.timedelta(milliseconds=_milliseconds(spec)),
         # Absent where servers never start again under their id.
-        born=_whole(spec, "born", 0, _MOST_NUMBER) if "born" in spec else None,
+        started_ms=_whole(spec, "born", 0, _MOST_NUMBER) if "born" in spec else None,
         spot=spec.get("spot") is True,
     )
 
--- a/src/pimentolatch/protocol/beacons.py
+++ b/src/pimentolatch/protocol/beacons.py
@@ -225,7 +225,7 @@
         beacon.stopping,
         [[reader.instance, reader.age_ms] for reader in beacon.readers],
         [[member.host, member.failure_domain] for member in beacon.members],
-        [[engine.server_id, engine.born] for engine in engines.numbered],
+        [[engine.server_id, engine.started_ms] for engine in engines.numbered],
         loads,
         cached,
         [[d.service, d.reading, d.writing, d.rate] for d in beacon.demands],
--- a/src/pimentolatch/protocol/snapshots.py
+++ b/src/pimentolatch/protocol/snapshots.py
@@ -96,14 +96,14 @@
 def _server_row(server: servers.Server) -> list[typing.Any]:
     return [
         server.server_id,
-        server.born,
+        server.started_ms,
         server.service,
         f"{server.address.host}:{server.address.port}",
         server.failure_domain,
-        server.leaving,
+        server.draining,
         None if server.stage is None else server.stage.value,
         server.slots,
-        server.cold / _MS,
+        server.remaining_warm_up / _MS,
         server.spot,
     ]
 
@@ -115,11 +115,11 @@
         service=_text(service),
         address=settings.Address.from_text(address),
         failure_domain=_text(domain),
-        leaving=bool(leaving),
+        draining=bool(leaving),
         stage=None if stage is None else servers.Stage(stage),
         slots=int(slots),
-        cold=float(cold) * _MS,
-        born=None if born is None else int(born),
+        remaining_warm_up=float(cold) * _MS,
+        started_ms=None if born is None else int(born),
         spot=bool(spot),
     )
 
--- a/src/pimentolatch/routes/customers.py
+++ b/src/pimentolatch/routes/customers.py
@@ -48,7 +48,7 @@
             for key in entry.keys:
                 self._add(key, entry.customer)
 
-    def holder(self, key: bytes) -> Customer | None:
+    def find_by_key(self, key: bytes) -> Customer | None:
         """Return who holds a key; None if nobody does."""
         return self._by_key.get(_digest(key))
 
--- a/src/pimentolatch/routes/reports.py
+++ b/src/pimentolatch/routes/engine_reports.py
@@ -14,17 +14,17 @@
     Attributes:
         stage: What it does.
         changing: It is carrying out an order.
-        orders: Orders that it has accepted in this life.
+        accepted_orders: Orders that it has accepted in this life.
         queued: Requests that wait.
         running: Requests that it works on.
-        runs: Ids of those of them that write an answer.
-        born: Unix time of its start in milliseconds; None if it does not say.
+        decoding_ids: Ids of those of them that write an answer.
+        started_ms: Unix time of its start in milliseconds; None if it does not say.
     """
 
     stage: servers.Stage
     changing: bool
-    orders: int
+    accepted_orders: int
     queued: int = 0
     running: int = 0
-    runs: frozenset[str] = frozenset()
-    born: int | None = None
+    decoding_ids: frozenset[str] = frozenset()
+    started_ms: int | None = None
--- a/src/pimentolatch/routes/table.py
+++ b/src/pimentolatch/routes/route_table.py
@@ -50,9 +50,9 @@
         shares: The services behind the route; more than one splits its requests.
         timeout: Longest time a request may be kept, from its arrival to its last byte.
         latency_target: Time in which an answer (a stream: its first event) is on time.
-        pause_target: Longest pause between events of a stream that is still on time.
+        event_gap_target: Longest time between events of a stream that is on time.
         rank: 0 is the most urgent.
-        most_servers: Servers that one request may be sent to.
+        max_attempts: Servers that one request may be sent to.
         carries_prompt: Whether requests name the parts of a prompt.
         resumable: Whether a broken stream may be continued on another server.
         public: Whether requests need no key.
@@ -65,9 +65,9 @@
     shares: tuple[ServiceShare, ...]
     timeout: datetime.timedelta
     latency_target: datetime.timedelta
-    pause_target: datetime.timedelta
+    event_gap_target: datetime.timedelta
     rank: int
-    most_servers: int
+    max_attempts: int
     carries_prompt: bool
     resumable: bool
     public: bool = False
@@ -104,12 +104,12 @@
     Attributes:
         slots: Requests that an engine runs at once.
         kv_tokens: Tokens that fit an engine's memory.
-        stage_change: How long an engine is away when its stage changes.
+        stage_change_time: How long an engine is away when its stage changes.
     """
 
     slots: int
     kv_tokens: int
-    stage_change: datetime.timedelta
+    stage_change_time: datetime.timedelta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -117,17 +117,17 @@
     """What the operator says of a service whose servers are ordered.
 
     Attributes:
-        least: Servers of both kinds together in each failure domain, at least.
-        most: The same, at most.
-        boot: Time until an ordered server serves.
+        min_servers: Servers of both kinds together in each failure domain, at least.
+        max_servers: The same, at most.
+        boot_time: Time until an ordered server serves.
         spot_price: Price of a server that may be taken back, as a share of the other
             kind's.
         prices: Price of a server by failure domain.
     """
 
-    least: int
-    most: int
-    boot: datetime.timedelta
+    min_servers: int
+    max_servers: int
+    boot_time: datetime.timedelta
     spot_price: float
     prices: abc.Mapping[str, float]
 
@@ -175,7 +175,7 @@
         limits: ClientLimits,
         customers: customer_table.Customers | None = None,
     ) -> None:
-        self._by_place = {(r.host, r.path_prefix): r for r in routes}
+        self._by_prefix = {(r.host, r.path_prefix): r for r in routes}
         self.version = version
         self.services = services
         self.limits = limits
@@ -184,14 +184,14 @@
     @property
     def routes(self) -> abc.Collection[Route]:
         """All routes."""
-        return self._by_place.values()
+        return self._by_prefix.values()
 
     def select(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix that begins a path, or None."""
         host = host.lower()
         end = path.rfind("/") + 1
         while end > 0:
-            route = self._by_place.get((host, path[:end]))
+            route = self._by_prefix.get((host, path[:end]))
             if route is not None:
                 return route
             end = path.rfind("/", 0, end - 1) + 1
--- a/src/pimentolatch/routes/servers.py
+++ b/src/pimentolatch/routes/servers.py
@@ -10,7 +10,7 @@
 
 __all__ = ["Incarnation", "Server", "ServerTable", "Stage", "shared_incarnation"]
 
-_MOST_SHARED = 8192
+_MAX_CACHED = 8192
 
 
 class Stage(enum.Enum):
@@ -31,21 +31,21 @@
     count of a life that has ended.
 
     Attributes:
-        born: Unix time of its start in milliseconds; None if it does not say.
+        started_ms: Unix time of its start in milliseconds; None if it does not say.
     """
 
     server_id: str
-    born: int | None = None
+    started_ms: int | None = None
 
 
-@functools.lru_cache(maxsize=_MOST_SHARED)
-def shared_incarnation(server_id: str, born: int | None) -> Incarnation:
+@functools.lru_cache(maxsize=_MAX_CACHED)
+def shared_incarnation(server_id: str, started_ms: int | None) -> Incarnation:
     """Return the one object that stands for a life of a server.
 
     Every beacon names the same lives; to look up an object that is the key itself is
     several times faster than to compare two alike.
     """
-    return Incarnation(server_id, born)
+    return Incarnation(server_id, started_ms)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -53,11 +53,11 @@
     """A backend server as its entry describes it.
 
     Attributes:
-        leaving: It takes no new requests and ends what runs.
+        draining: It takes no new requests and ends what runs.
         stage: None for servers that are no engines.
         slots: Requests that it works on at once.
-        cold: How much longer it is slow after its start.
-        born: Unix time of its start in milliseconds; None if it does not say.
+        remaining_warm_up: How much longer it is slow after its start.
+        started_ms: Unix time of its start in milliseconds; None if it does not say.
         spot: It costs less and may be taken back.
         incarnation: Which life of the server this is.
     """
@@ -66,16 +66,16 @@
     service: str
     address: settings.Address
     failure_domain: str
-    leaving: bool
+    draining: bool
     stage: Stage | None
     slots: int
-    cold: datetime.timedelta = datetime.timedelta()
-    born: int | None = None
+    remaining_warm_up: datetime.timedelta = datetime.timedelta()
+    started_ms: int | None = None
     spot: bool = False
     incarnation: Incarnation = dataclasses.field(init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
-        incarnation = shared_incarnation(self.server_id, self.born)
+        incarnation = shared_incarnation(self.server_id, self.started_ms)
         object.__setattr__(self, "incarnation", incarnation)
 
 
@@ -91,7 +91,7 @@
         self._servers = {server.server_id: server for server in servers}
         self._index()
 
-    def change(self, changed: abc.Iterable[Server], removed: abc.Iterable[str]) -> None:
+    def update(self, changed: abc.Iterable[Server], removed: abc.Iterable[str]) -> None:
         """Take the changes after the last revision."""
         for server in changed:
             self._servers[server.server_id] = server
@@ -114,6 +114,6 @@
     def _index(self) -> None:
         found: dict[str, list[Server]] = {}
         for server in self._servers.values():
-            if not server.leaving:
+            if not server.draining:
                 found.setdefault(server.service, []).append(server)
         self._by_service = found
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -16,7 +16,7 @@
 import aiosonic
 
 from pimentolatch import clock, settings
-from pimentolatch.entry import process, servers
+from pimentolatch.entry import http_server, process
 from standins import engine, plain, platform
 
 __all__ = ["main"]
@@ -59,7 +59,7 @@
     stack: contextlib.AsyncExitStack, application: typing.Any
 ) -> settings.Address:
     address = _free_address()
-    server = servers.HttpServer(application, address)
+    server = http_server.HttpServer(application, address)
     await server.start()
     stack.push_async_callback(server.stop)
     return address
--- a/tests/features/steps/capacity_steps.py
+++ b/tests/features/steps/capacity_steps.py
@@ -12,13 +12,13 @@
 from pimentolatch.decisions import server_plan
 from pimentolatch.gateway import capacity_controller, fleet_state
 from pimentolatch.platform import configuration, control_api
-from pimentolatch.routes import servers, table
+from pimentolatch.routes import route_table, servers
 from standins import memory_store, objects
 from tests.support import route_world, scaling_world
 
 SECOND = datetime.timedelta(seconds=1)
 PRICES = {"north": 1.0, "east": 0.8, "south": 1.25, "west": 0.9}
-SCALING = table.Scaling(1, 15, scaling_world.BOOT, 0.18, PRICES)
+SCALING = route_table.Scaling(1, 15, scaling_world.BOOT, 0.18, PRICES)
 FIRST = {"north": 8, "east": 8, "south": 7, "west": 7}
 NEED = sum(FIRST.values())
 DAYS = 40
@@ -139,10 +139,10 @@
             desired[order.failure_domain, order.spot] = order.count
             both = desired.get((order.failure_domain, False), 0)
             both += desired.get((order.failure_domain, True), 0)
-            assert both <= SCALING.most, (order, both)
+            assert both <= SCALING.max_servers, (order, both)
         for domain in PRICES:
             both = sum(desired.get((domain, spot), 0) for spot in (False, True))
-            assert both >= SCALING.least, (domain, both)
+            assert both >= SCALING.min_servers, (domain, both)
 
 
 @behave.then("capacity: what suffices serves at the end of each")
--- a/tests/features/steps/config_logic_steps.py
+++ b/tests/features/steps/config_logic_steps.py
@@ -9,7 +9,7 @@
 
 from pimentolatch import clock, fleet, store
 from pimentolatch.control import collector, configuration, heads, keeper, parts, spread
-from pimentolatch.document import changes, schema
+from pimentolatch.document import document_diff, schema
 from pimentolatch.protocol import messages
 from standins import memory_store, objects
 from tests.support import config_history, config_world, schedule
@@ -329,8 +329,8 @@
 def compare(context):
     before = operators_document(["kept", "old"], 60, "a")
     after = operators_document(["new", "kept"], 90, "b")
-    assert changes.changes(before, before) == ()
-    context.changes = [str(change) for change in changes.changes(before, after)]
+    assert document_diff.compare(before, before) == ()
+    context.changes = [str(change) for change in document_diff.compare(before, after)]
 
 
 @behave.then(
--- a/tests/features/steps/customers_steps.py
+++ b/tests/features/steps/customers_steps.py
@@ -203,7 +203,7 @@
         world = context.world
         _, instance = world.instances["one"]
         await world.drain("d1")
-        await world.until(lambda: instance.fleet.servers.get("d1").leaving)
+        await world.until(lambda: instance.fleet.servers.get("d1").draining)
         asked = asyncio.create_task(ask(context, "digest", KEYS["north"][0]))
         await asyncio.sleep(WAIT_S)
         assert not asked.done(), asked.result()
--- a/tests/features/steps/product_steps.py
+++ b/tests/features/steps/product_steps.py
@@ -11,7 +11,7 @@
 
 from pimentolatch import checks
 from pimentolatch.control import parts
-from pimentolatch.document import changes, schema
+from pimentolatch.document import document_diff, schema
 from standins import deployments, processes
 
 EXAMPLES = pathlib.Path("examples")
@@ -251,4 +251,4 @@
     assert len(context.pairs) == 2
     for before, after in context.pairs:
         assert before == after
-        assert changes.changes(before, after) == ()
+        assert document_diff.compare(before, after) == ()
--- a/tests/features/steps/requests_http_steps.py
+++ b/tests/features/steps/requests_http_steps.py
@@ -13,7 +13,12 @@
 from hypothesis import strategies
 
 from pimentolatch import metrics, results, settings
-from pimentolatch.entry import answers, bodies, guard, servers
+from pimentolatch.entry import (
+    bounded_http,
+    http_responses,
+    http_server,
+    request_parsing,
+)
 from pimentolatch.requests import stream
 from standins import callers, deployments, processes
 from tests.support import completions, virtual_time
@@ -266,7 +271,7 @@
     async def play():
         clock = virtual_time.LoopClock()
         asked = stream.Completion("r", "c", "m", "p", 9, datetime.timedelta(hours=1))
-        answer = answers.CompletionAnswer(
+        answer = http_responses.CompletionResponse(
             asked,
             events(),
             streamed=True,
@@ -276,7 +281,9 @@
             measured=metrics.Metrics(),
         )
         abort = {"call": lambda: context.seen.append("aborted")}
-        await answer({"extensions": {guard.ABORT_EXTENSION: abort}}, receive, send)
+        await answer(
+            {"extensions": {bounded_http.ABORT_EXTENSION: abort}}, receive, send
+        )
         return clock.monotonic().total_seconds()
 
     context.play = play
@@ -298,16 +305,16 @@
 
 @behave.given("an HTTP server that waits {limit:g} s for a head")
 def hasty_server(context, limit):
-    before = guard.HEAD_SECONDS
-    guard.HEAD_SECONDS = limit
-    context.add_cleanup(setattr, guard, "HEAD_SECONDS", before)
+    before = bounded_http.HEAD_SECONDS
+    bounded_http.HEAD_SECONDS = limit
+    context.add_cleanup(setattr, bounded_http, "HEAD_SECONDS", before)
 
 
 @behave.when("a caller sends half a head and waits")
 def half_a_head(context):
     async def play():
         address = settings.Address(host=processes.Network().address(), port=8080)
-        server = servers.HttpServer(None, address)
+        server = http_server.HttpServer(None, address)
         await server.start()
         reader, writer = await asyncio.open_connection(address.host, address.port)
         writer.write(b"POST /v1/completions HTTP/1.1\r\nhost")
@@ -348,13 +355,17 @@
     @hypothesis.settings(derandomize=True, database=None, max_examples=400)
     @hypothesis.given(**context.checks)
     def any_input(timeout, key, priority, body):
-        due = bodies.deadline_of({"x-request-timeout-ms": timeout}, zero, default)
-        assert is_refusal(due) or zero < due <= bodies.MAX_REQUEST_TIMEOUT, due
-        found = bodies.idempotency_key_of({"idempotency-key": key})
+        due = request_parsing.parse_deadline(
+            {"x-request-timeout-ms": timeout}, zero, default
+        )
+        assert is_refusal(due) or zero < due <= request_parsing.MAX_REQUEST_TIMEOUT, due
+        found = request_parsing.parse_idempotency_key({"idempotency-key": key})
         assert is_refusal(found) or (0 < len(found) <= 300 and found.isascii()), found
-        assert 0 <= bodies.priority_of({"priority": priority}) <= 7
-        checked = bodies.check_json(bodies.CompletionBody, body)
-        assert is_refusal(checked) or isinstance(checked, bodies.CompletionBody)
+        assert 0 <= request_parsing.parse_priority({"priority": priority}) <= 7
+        checked = request_parsing.parse_json(request_parsing.CompletionBody, body)
+        assert is_refusal(checked) or isinstance(
+            checked, request_parsing.CompletionBody
+        )
         context.examples = getattr(context, "examples", 0) + 1
 
     any_input()
--- a/tests/features/steps/routes_entries_steps.py
+++ b/tests/features/steps/routes_entries_steps.py
@@ -13,7 +13,7 @@
 from pimentolatch import clock, store
 from pimentolatch.platform import configuration, engines, entries, objects
 from pimentolatch.protocol import beacons, snapshots
-from pimentolatch.routes import reports, servers, table
+from pimentolatch.routes import engine_reports, route_table, servers
 from standins import route_server
 from tests.features.steps import routes_logic_steps, routes_store_steps
 from tests.support import raw_server, route_world
@@ -216,12 +216,12 @@
     "configurations": Fuzzed(
         route_world.configuration(3, route_world.ROUTES[:1]),
         decode_configuration,
-        (table.Configuration, Exception),
+        (route_table.Configuration, Exception),
     ),
     "reports": Fuzzed(
         report(),
         lambda value: engines.decode_report(as_json(value)),
-        (reports.EngineReport, type(None)),
+        (engine_reports.EngineReport, type(None)),
     ),
     "read prompts": Fuzzed(
         {"kv_handle": "h1", "tokens": 5, "version": 1},
--- a/tests/features/steps/routes_fleet_steps.py
+++ b/tests/features/steps/routes_fleet_steps.py
@@ -16,7 +16,7 @@
 from pimentolatch.gateway import cache_updates
 from pimentolatch.protocol import beacons
 from pimentolatch.requests import prompts
-from pimentolatch.routes import reports, servers, table
+from pimentolatch.routes import engine_reports, route_table, servers
 from tests.support import fleet_parts, route_world
 
 NOW = datetime.timedelta(seconds=100)
@@ -28,7 +28,9 @@
 def judged(context, verdict, what):
     def report(queued, running, *runs):
         stage = servers.Stage.DECODE
-        return reports.EngineReport(stage, False, 0, queued, running, frozenset(runs))
+        return engine_reports.EngineReport(
+            stage, False, 0, queued, running, frozenset(runs)
+        )
 
     found = {
         "nothing": None,
@@ -211,7 +213,7 @@
     prompt = prompts.Prompt("m", sum(p.tokens for p in parts), 50, 50, parts)
     target = datetime.timedelta(milliseconds=800)
     asked = placement_types.PlacementRequest(prompt, 2, False, target, 4 * target, 0.9)
-    traits = table.EngineTraits(8, 200_000, SECOND)
+    traits = route_table.EngineTraits(8, 200_000, SECOND)
     return placement.Placement(context.loads, domain).choose(asked, traits, NOW)
 
 
@@ -329,7 +331,7 @@
     prompt = prompts.Prompt("m", tokens, 50, 50, (prompts.Part("own", tokens),))
     target = datetime.timedelta(milliseconds=800)
     asked = placement_types.PlacementRequest(prompt, 2, False, target, 4 * target, 0.9)
-    traits = table.EngineTraits(8, 200_000, SECOND)
+    traits = route_table.EngineTraits(8, 200_000, SECOND)
     return placement.Placement(context.loads, "here").choose(asked, traits, NOW)
 
 
@@ -457,7 +459,7 @@
 @behave.then('fleet: "d" knows that "{name}" leaves')
 def knows_leaving(context, name):
     def leaves():
-        return known(context, "d").servers.get(name).leaving
+        return known(context, "d").servers.get(name).draining
 
     context.run(context.world.until(leaves))
     assert not known(context, "d").watches_store
--- a/tests/features/steps/routes_incarnations_steps.py
+++ b/tests/features/steps/routes_incarnations_steps.py
@@ -35,7 +35,7 @@
 from pimentolatch.protocol import beacons
 from pimentolatch.requests import prompts
 from pimentolatch.routes import (
-    reports,
+    engine_reports,
     servers,
 )
 from standins import (
@@ -59,7 +59,7 @@
         False,
         stage,
         8,
-        born=born,
+        started_ms=born,
     )
 
 
@@ -188,7 +188,7 @@
 
 
 def verdict(born, queued, runs=()):
-    report = reports.EngineReport(
+    report = engine_reports.EngineReport(
         servers.Stage.DECODE, False, 0, queued, len(runs), frozenset(runs), born
     )
     return doubt.judge(report, "r1", 1000)
@@ -277,14 +277,14 @@
         reader.born = 1000
         await world.write("servers", name, reader.entry())
         known = world.instances["one"][1].fleet
-        await world.until(lambda: known.servers.get(name).born == 1000)
+        await world.until(lambda: known.servers.get(name).started_ms == 1000)
         known.loads("lm").get("d1").prefill_tokens[0] += 10_000
         reader.faults.append("slow")
         asked = asyncio.create_task(world.ask("digest", request))
         await world.until(lambda: reader.queued)
         reader.born = 2000
         await world.write("servers", name, reader.entry())
-        await world.until(lambda: known.servers.get(name).born == 2000)
+        await world.until(lambda: known.servers.get(name).started_ms == 2000)
         return await asked
 
     context.reply = context.route_runner.run(ask())
--- a/tests/features/steps/routes_logic_steps.py
+++ b/tests/features/steps/routes_logic_steps.py
@@ -20,7 +20,7 @@
 from pimentolatch.platform import configuration
 from pimentolatch.protocol import beacons
 from pimentolatch.requests import prompts
-from pimentolatch.routes import servers, table
+from pimentolatch.routes import route_table, servers
 from tests.support import route_world
 
 SOURCES = pathlib.Path(__file__).parents[3] / "src" / "pimentolatch"
@@ -36,10 +36,10 @@
 SHARED_KEY = prompts.part_key(SHARED.name)
 NOW = datetime.timedelta(seconds=100)
 SECOND = datetime.timedelta(seconds=1)
-TRAITS = table.EngineTraits(
+TRAITS = route_table.EngineTraits(
     slots=8,
     kv_tokens=200_000,
-    stage_change=SECOND,
+    stage_change_time=SECOND,
 )
 
 
--- a/tests/features/steps/routes_stages_steps.py
+++ b/tests/features/steps/routes_stages_steps.py
@@ -3,13 +3,13 @@
 import behave
 
 from pimentolatch.decisions import engine_loads, stage_plan
-from pimentolatch.routes import servers, table
+from pimentolatch.routes import route_table, servers
 
 NOW = datetime.timedelta(seconds=100)
 SECOND = datetime.timedelta(seconds=1)
 TICK = SECOND / 2
 RATE = 50.0
-TRAITS = table.EngineTraits(64, 500_000, 3 * SECOND)
+TRAITS = route_table.EngineTraits(64, 500_000, 3 * SECOND)
 # Until its streams have ended and it has changed, an engine serves nobody.
 AWAY = 5 * SECOND
 
@@ -21,7 +21,7 @@
 
 @behave.when("{rate:d} tokens a second are to be read for {seconds:d} seconds")
 def demand(context, rate, seconds):
-    traits = table.EngineTraits(64, 500_000, 3 * SECOND)
+    traits = route_table.EngineTraits(64, 500_000, 3 * SECOND)
     context.planned = []
     for tick in range(seconds * 2):
         at = NOW + tick * SECOND / 2
--- a/tests/features/steps/routes_waiting_steps.py
+++ b/tests/features/steps/routes_waiting_steps.py
@@ -19,7 +19,7 @@
 async def leaves(context, name):
     """Have an engine leave and wait until the instance knows."""
     await context.world.drain(name)
-    await context.world.until(lambda: known(context).servers.get(name).leaving)
+    await context.world.until(lambda: known(context).servers.get(name).draining)
 
 
 @behave.when(
--- a/tests/support/fleet_parts.py
+++ b/tests/support/fleet_parts.py
@@ -17,12 +17,12 @@
 from pimentolatch.gateway import cache_updates, fleet_state, load_exchange
 from pimentolatch.protocol import beacons
 from pimentolatch.requests import prompts
-from pimentolatch.routes import servers, table
+from pimentolatch.routes import route_table, servers
 
 SERVICE = "lm"
 MS = datetime.timedelta(milliseconds=1)
 _NO_TIME = datetime.timedelta()
-TRAITS = table.EngineTraits(64, 497_579, datetime.timedelta(seconds=3))
+TRAITS = route_table.EngineTraits(64, 497_579, datetime.timedelta(seconds=3))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -175,9 +175,9 @@
         self.name = name
         self.place = neighbours.Place(name, domain)
         self.known = fleet_state.FleetState()
-        services = {SERVICE: table.Service(SERVICE, TRAITS)}
-        limits = table.ClientLimits(1, 1, MS, MS)
-        self.known.configure(table.Configuration(1, (), services, limits), None)
+        services = {SERVICE: route_table.Service(SERVICE, TRAITS)}
+        limits = route_table.ClientLimits(1, 1, MS, MS)
+        self.known.configure(route_table.Configuration(1, (), services, limits), None)
         self.known.replace_servers(1, listed)
         self.loads = self.known.loads(SERVICE)
         self.updates = cache_updates.CacheUpdates()
--- a/tests/support/fleet_world.py
+++ b/tests/support/fleet_world.py
@@ -305,7 +305,7 @@
             self.orders.append((self.now, change))
             engine = self.engines[change.engine.server_id]
             engine.changing = True
-            away = fleet_parts.TRAITS.stage_change + stage_plan.STREAM_DRAIN_TIME
+            away = fleet_parts.TRAITS.stage_change_time + stage_plan.STREAM_DRAIN_TIME
             first.known.engine_load(change.engine).begin_change(
                 engine_loads.StageChange(change.stage, self.time + away)
             )
@@ -329,7 +329,7 @@
             for instance in self.instances.values():
                 instance.known.update_servers(self._revision, [engine.server], [])
 
-        away = fleet_parts.TRAITS.stage_change / fleet_parts.MS
+        away = fleet_parts.TRAITS.stage_change_time / fleet_parts.MS
         self.at(self.now + away, back)
         self.at(self.now + away + LIST_LAG_MS, listed)
 
