--- a/src/pimentolatch/document/__init__.py
+++ b/src/pimentolatch/document/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet document: what operators submit, its checks and its differences."""
+"""The fleet document: its schema, validation and differences."""
--- a/src/pimentolatch/document/document_diff.py
+++ b/src/pimentolatch/document/document_diff.py
@@ -1,4 +1,4 @@
-"""Says what one fleet document would change of another, for operators to read."""
+"""Human-readable differences between two fleet documents."""
 
 import dataclasses
 import typing
@@ -8,14 +8,18 @@
 __all__ = ["Added", "Change", "Changed", "Removed", "compare"]
 
 Json = typing.Any
-# Keys of callers are secrets' hashes; that one differs is all an operator needs.
+# Hashes of callers' secret keys: shown as changed, without their values.
 _SECRET_FIELDS = frozenset({"key_sha256"})
 _MAX_SHOWN_LENGTH = 60
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Added:
-    """An entry that only the later document has; `path` is like `models.badge`."""
+    """An entry that only the later document has.
+
+    Attributes:
+        path: Names of the entry and those around it, for example `models.badge`.
+    """
 
     path: str
 
@@ -35,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changed:
-    """A field that differs."""
+    """A field with different values."""
 
     path: str
     before: str
@@ -51,10 +55,9 @@
 def compare(
     before: schema.FleetDocument, after: schema.FleetDocument
 ) -> tuple[Change, ...]:
-    """Return what replacing `before` by `after` changes, in the document's order.
+    """Return the changes from `before` to `after`, in the document's order.
 
-    Entries of lists are told apart by their names, so a different order of equal
-    entries is no change.
+    Entries of lists are matched by name, so reordering them is no change.
     """
     return tuple(
         _compare_mappings(
--- a/src/pimentolatch/document/schema.py
+++ b/src/pimentolatch/document/schema.py
@@ -1,4 +1,4 @@
-"""The fleet document: one statement of everything the fleet should serve."""
+"""Schema of the fleet document: the complete intended configuration of a fleet."""
 
 import collections
 import typing
@@ -26,13 +26,13 @@
 
 
 class Model(checks.CheckedModel):
-    """A model that callers may name.
+    """A model that callers may request.
 
     Attributes:
-        name: Name callers use.
-        version: Version of the weights engines should hold.
+        name: Name of the model in requests.
+        version: Version of the weights that engines should load.
         kv_bytes_per_token: Size of the KV cache of one token, in bytes.
-        context_tokens: Longest prompt and answer together, in tokens.
+        context_tokens: Context length: largest prompt plus output, in tokens.
     """
 
     name: Name
@@ -45,14 +45,18 @@
     """A backend server that runs a model.
 
     Attributes:
-        checks_fencing: Whether the engine refuses an order with an old fencing number.
+        checks_fencing: Whether the engine rejects orders with an outdated fencing
+            token.
         reads_time_out_s: Longest time the engine waits for the rest of an order it
-            has begun to receive; it bounds how long an order may stay on the way.
-        role: Role at first; the role planner may change it unless `pinned`.
-        streams: Streams the engine batches at once.
-        prefill_tokens_per_s: Prompt tokens it reads a second when doing only that.
-        decode_tokens_per_s: Tokens it writes a second, over all its streams.
-        serving: `withdrawn` takes the engine out of service without a cut.
+            has begun to receive; it bounds how long an order can be in transit.
+        models: Models the engine can serve.
+        role: Initial role; the role planner may change it unless `pinned`.
+        pinned: Whether the role is fixed.
+        streams: Largest batch, in streams.
+        prefill_tokens_per_s: Prefill throughput without concurrent decoding, in prompt
+            tokens a second.
+        decode_tokens_per_s: Decode throughput over all streams, in tokens a second.
+        serving: `withdrawn` drains the engine and takes it out of service.
     """
 
     kind: typing.Literal["engine"] = "engine"
@@ -71,7 +75,13 @@
 
 
 class PlainServer(checks.CheckedModel):
-    """A backend server that answers the calls of a plain service."""
+    """A backend server of plain services.
+
+    Attributes:
+        services: Services whose calls it serves.
+        concurrent_calls: Largest number of concurrent calls.
+        serving: `withdrawn` drains the server and takes it out of service.
+    """
 
     kind: typing.Literal["plain"] = "plain"
     name: Name
@@ -88,14 +98,18 @@
 
 
 class Operation(checks.CheckedModel):
-    """A call of a plain service; `repeatable` says whether it may run twice."""
+    """An operation of a plain service.
+
+    Attributes:
+        repeatable: Whether a call may run more than once, and so be retried.
+    """
 
     name: Name
     repeatable: bool
 
 
 class Service(checks.CheckedModel):
-    """A plain service beside the engines."""
+    """A service that is not served by model engines."""
 
     name: Name
     operations: tuple[Operation, ...] = pydantic.Field(min_length=1)
@@ -106,9 +120,10 @@
 
     Attributes:
         key_sha256: SHA-256 of the caller's bearer key, in hexadecimal.
-        weight: Share of the fleet relative to other callers when it is full.
-        tokens_per_second: Sustained limit on work, in weighted tokens a second.
-        burst_tokens: Work the caller may bring at once above the sustained limit.
+        weight: Relative share of the fleet under overload (weighted fair queueing).
+        tokens_per_second: Refill rate of the caller's token bucket, in weighted tokens
+            a second.
+        burst_tokens: Capacity of the token bucket, in weighted tokens.
     """
 
     name: Name
@@ -119,11 +134,11 @@
 
 
 class AdmissionPolicy(checks.CheckedModel):
-    """Bounds on waiting.
+    """Admission control.
 
     Attributes:
-        default_deadline_s: Deadline of a request that states none.
-        queue_wait_limit_s: Longest wait before a request is refused.
+        default_deadline_s: Timeout of a request without one of its own.
+        queue_wait_limit_s: Longest time in the queue before a request is refused.
     """
 
     default_deadline_s: float = pydantic.Field(default=30.0, gt=0, le=3600)
@@ -131,14 +146,15 @@
 
 
 class RoutingPolicy(checks.CheckedModel):
-    """Where work is sent.
+    """Routing of requests.
 
     Attributes:
-        engine_subset: Engines of one model that one instance sends to in its failure
-            domain, at most; more only where an engine would have fewer than two
-            instances that send to it.
-        retry_share: Retries allowed as a share of successful requests.
-        kv_bytes_per_s: Speed at which one engine fetches a KV cache from another.
+        engine_subset: Largest number of engines of a model, within the own failure
+            domain, that one instance sends to. It is exceeded only where an engine
+            would otherwise receive requests from fewer than two instances.
+        retry_share: Retry budget, as a fraction of successful requests.
+        kv_bytes_per_s: Throughput of a KV transfer between two engines, in bytes a
+            second.
     """
 
     engine_subset: int = pydantic.Field(default=24, ge=1, le=256)
@@ -147,16 +163,16 @@
 
 
 class RolePolicy(checks.CheckedModel):
-    """How readily engines change role.
+    """Limits and costs of role changes.
 
     Attributes:
-        change_cost_s: Time an engine is away for a role change.
-        dwell_s: Least time an engine keeps a role.
-        concurrent_changes: Changes under way at once in a failure domain, at most.
-        change_weight: Price of one role change, in seconds of one engine's work, on
-            top of what the change itself costs; higher means fewer changes.
-        least_serving_share: Share of a model's engines in a failure domain that stays
-            in service at all times, rounded down; of two or more, one always stays.
+        change_cost_s: Time an engine is out of service for a role change.
+        dwell_s: Shortest time between two role changes of an engine.
+        concurrent_changes: Largest number of concurrent changes in a failure domain.
+        change_weight: Penalty for a role change, in seconds of one engine's work, added
+            to the cost of the change itself; a higher value means fewer changes.
+        least_serving_share: Smallest fraction of a model's engines in a failure domain
+            that stays in service, rounded down; of two or more, at least one stays.
     """
 
     change_cost_s: float = pydantic.Field(default=8.0, ge=0, le=600)
@@ -167,14 +183,14 @@
 
 
 class FailureDomain(checks.CheckedModel):
-    """A group of machines that can fail or be cut off together."""
+    """A group of machines that can fail or be partitioned off together."""
 
     name: Name
     region: Name
 
 
 class FleetDocument(checks.CheckedModel):
-    """The whole intended configuration of a fleet."""
+    """The complete intended configuration of a fleet."""
 
     fleet: Name
     failure_domains: tuple[FailureDomain, ...] = pydantic.Field(min_length=1)
@@ -238,7 +254,9 @@
     counts = collections.Counter(names)
     repeated = sorted(name for name, count in counts.items() if count > 1)
     if repeated:
-        raise ValueError(f"{what} must differ; {repeated[0]!r} stands twice")
+        raise ValueError(
+            f"{what} must be unique; {repeated[0]!r} is listed more than once"
+        )
 
 
 def _check_declared(
@@ -247,6 +265,6 @@
     for name in used:
         if name not in known:
             raise ValueError(
-                f"{server} names the {what} {name!r}; declare it or use one of "
-                f"{sorted(known)}"
+                f"{server} names the {what} {name!r}, which is not declared; "
+                f"declare it or use one of {sorted(known)}"
             )
--- a/src/pimentolatch/entry/__init__.py
+++ b/src/pimentolatch/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon of an entry instance, put together from the other packages."""
+"""The entry instance daemon: HTTP front ends, control plane and process lifecycle."""
--- a/src/pimentolatch/entry/bounded_http.py
+++ b/src/pimentolatch/entry/bounded_http.py
@@ -1,9 +1,12 @@
-"""The HTTP/1.1 protocol of callers' connections, with bounds on what may arrive.
+"""HTTP/1.1 protocol of callers' connections, with bounds on size and time.
 
-The server library bounds neither the size of a request's head nor the time it takes,
-drops the answer of a caller that closes its sending side, and writes the error of a
-malformed request into the middle of an answer that still streams on the connection.
-Each of these lets one caller hold memory for ever or spoil another answer.
+It mends four faults of the server library:
+
+- The size of a request's head is unbounded, so one caller can hold any memory.
+- So is the time a head takes to arrive, so one caller can hold a connection forever.
+- The response to a caller that half-closes its connection is dropped.
+- The error for a malformed pipelined request is written into the middle of a response
+  that is still streaming on the connection.
 """
 
 import asyncio
@@ -21,44 +24,46 @@
     "BoundedHttpProtocol",
 ]
 
-# Ends the connection at once; for callers that do not read.
+# ASGI extension: aborts the connection at once, for callers that stop reading.
 ABORT_EXTENSION = "pimentolatch.abort"
-# Closes the connection after what was written; for answers that broke off.
+# ASGI extension: closes the connection once written data is sent, for responses that
+# end early.
 CLOSE_EXTENSION = "pimentolatch.close"
-# The request's target as the caller sent it.
+# ASGI extension: the request target as received, in bytes.
 TARGET_EXTENSION = "pimentolatch.target"
 
 HEAD_LIMIT_BYTES = 32_768
 HEAD_SECONDS = 10.0
-# Above the longest time a body may take, which the handlers see to themselves.
+# Upper bound for a whole request. The handlers bound the time of a body themselves;
+# this is above the longest they allow.
 MESSAGE_SECONDS = 330.0
 FIRST_BYTE_SECONDS = 75.0
-# How long the rest of a refused body is read and dropped, so that the caller, still
-# sending, gets to read the refusal rather than a reset connection.
+# Time for which the rest of a refused body is read and discarded, so that a caller that
+# is still sending receives the refusal and not a connection reset.
 LINGER_SECONDS = 5.0
 _SERVICE_PATHS = "/v1/services/"
 
 
 class _HeadTooLargeError(Exception):
-    """The head is over `HEAD_LIMIT_BYTES`."""
+    """The head of a request is over the limit."""
 
 
 class BoundedHttpProtocol(httptools_impl.HttpToolsProtocol):
-    """One connection of a caller."""
+    """A caller's connection; subclasses override the bounds."""
 
     @property
     def head_limit_bytes(self) -> int:
-        """Largest head of a request."""
+        """Largest head of a request, in bytes."""
         return HEAD_LIMIT_BYTES
 
     @property
     def head_seconds(self) -> float:
-        """Longest time a head may take to arrive."""
+        """Longest time a head may take to arrive, in seconds."""
         return HEAD_SECONDS
 
     @property
     def first_byte_seconds(self) -> float:
-        """Longest time a new connection may stay silent."""
+        """Longest time until the first byte on a new connection, in seconds."""
         return FIRST_BYTE_SECONDS
 
     _head_bytes = 0
@@ -69,19 +74,19 @@
     _timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: typing.Any) -> None:
-        """Start the bound on the first byte."""
+        """Start the timeout of the first byte."""
         super().connection_made(transport)
         self._start_timer(self.first_byte_seconds)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drop the timer."""
+        """Cancel the timer."""
         self._cancel_timer()
         super().connection_lost(exc)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrived, and bound what has not yet arrived.
+        """Parse the data, and start the timeout of a request that is incomplete.
 
-        Most requests arrive whole in one read and need no timer.
+        Most requests arrive in one read and need no timer.
         """
         if self._discarding_input:
             return
@@ -102,14 +107,17 @@
     def eof_received(self) -> bool | None:  # type: ignore[override]
         """Handle a caller that closed its sending side.
 
-        Mostly it has gone for good, and its completion is cancelled at once. A call
-        of a service that has begun runs to its end in any case, so its answer is
-        still written, for a caller that only half closed.
+        It has usually disconnected, so a completion is cancelled at once. A service
+        call that has started is never cancelled, so its response is still written, for
+        a caller that only half-closed the connection.
+
+        Returns:
+            True to keep the transport open for the response.
         """
         if self._discarding_input:
             return None
         if self._in_message:
-            self._refuse(400, "the connection was closed before the request's end")
+            self._refuse(400, "connection closed before the end of the request")
             return None
         if not self._response_pending():
             return None
@@ -119,18 +127,18 @@
         return True
 
     def continues_after_eof(self, path: str) -> bool:
-        """Tell whether a request goes on when its caller has stopped sending."""
+        """Whether a request continues after its caller closed its sending side."""
         return path.startswith(_SERVICE_PATHS)
 
     def send_400_response(self, msg: str) -> None:
-        """Refuse a malformed request without a mark on an earlier one's answer."""
+        """Refuse a malformed request without corrupting an earlier response."""
         if self._head_too_large:
             self._refuse(431, self._head_too_large_message())
         else:
-            self._refuse(400, "the request is not valid HTTP/1.1")
+            self._refuse(400, "request is not valid HTTP/1.1")
 
     def on_message_begin(self) -> None:
-        """Note that a request's head has begun."""
+        """Start to count the head of a new request."""
         super().on_message_begin()
         self._in_head = self._in_message = True
         self._head_bytes = 0
@@ -140,7 +148,7 @@
         }
 
     def on_headers_complete(self) -> None:
-        """Bound the head also when it came in one read."""
+        """Check the size of a head that arrived in one read."""
         size = len(self.url) + sum(len(n) + len(v) for n, v in self.headers)
         if size > self.head_limit_bytes:
             self._head_too_large = True
@@ -150,33 +158,33 @@
         super().on_headers_complete()
 
     def on_message_complete(self) -> None:
-        """Note that a request is whole."""
+        """Record that the request is complete."""
         self._in_message = False
         super().on_message_complete()
 
     def on_response_complete(self) -> None:
-        """Stop waiting long for a body whose request is answered."""
+        """Shorten the timeout of a body whose request has been answered."""
         super().on_response_complete()
         if self._in_message and not self.transport.is_closing():
             self._start_timer(LINGER_SECONDS)
 
     def _head_too_large_message(self) -> str:
-        return f"the head is over {self.head_limit_bytes} bytes"
+        return f"request head is larger than the limit of {self.head_limit_bytes} bytes"
 
     def _response_pending(self) -> bool:
         return self.cycle is not None and not self.cycle.response_complete
 
     def _refuse(self, status: int, message: str) -> None:
-        """Refuse the request that is now arriving, and read nothing more.
+        """Refuse the request that is arriving, and parse nothing more.
 
-        The sending side is closed at once and the rest of what arrives is dropped for
-        a while: closing a socket with unread bytes resets the connection, and the
-        caller would lose the refusal.
+        The sending side is closed at once, and incoming data is discarded for
+        `LINGER_SECONDS`: closing a socket with unread bytes resets the connection, and
+        the caller would lose the refusal.
         """
         self._discarding_input = True
         self._cancel_timer()
         if self.pipeline or (self._in_head and self._response_pending()):
-            # An earlier request of the connection is still being answered.
+            # The response to an earlier request of the connection is still being sent.
             self.cycle.keep_alive = False
             return
         if self._response_pending():
@@ -207,8 +215,8 @@
     def _on_timeout(self) -> None:
         if self._in_head:
             self._refuse(
-                408, f"the head took more than {self.head_seconds:g} s to arrive"
+                408, f"request head did not arrive within {self.head_seconds:g} s"
             )
         elif not self._response_pending():
-            # Nothing came at all, or the rest of a body that was refused.
+            # Either nothing arrived, or the rest of a refused body did not.
             self.transport.abort()
--- a/src/pimentolatch/entry/caller_front_end.py
+++ b/src/pimentolatch/entry/caller_front_end.py
@@ -1,4 +1,4 @@
-"""The HTTP face towards callers."""
+"""HTTP front end for callers: completions, service calls, tickets and models."""
 
 import contextlib
 import dataclasses
@@ -25,19 +25,19 @@
 
 
 class TicketIssuer(typing.Protocol):
-    """Hands out tickets for calls that may run only once."""
+    """Issues tickets: idempotency keys of calls that may run at most once."""
 
     @property
     def ticket_lifetime(self) -> datetime.timedelta:
-        """How long a ticket and its result can be used."""
+        """Time for which a ticket and its result stay valid."""
 
     async def issue(self, caller: str, count: int) -> list[str] | results.Refusal:
-        """Return new tickets for a caller."""
+        """Issue tickets to a caller."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _RequestData:
-    """What every kind of request carries."""
+    """The caller, deadline and body of a request of any kind."""
 
     caller: str
     deadline: datetime.timedelta
@@ -49,11 +49,11 @@
 
     Args:
         chosen: Settings of this instance.
-        own_fleet: The configuration in force.
+        own_fleet: Holds the configuration in force.
         completions: Runs completions.
         calls: Runs calls of plain services.
-        issuer: Hands out tickets.
-        shutdown: Counts requests in flight.
+        issuer: Issues tickets.
+        shutdown: Tracks requests in flight for a graceful shutdown.
         time: Clock of deadlines.
         measured: Metrics of this instance.
     """
@@ -101,24 +101,24 @@
         return self._close_connections_on_stop(router)
 
     async def models(self, request: requests.Request) -> responses.Response:
-        """List the models that are served."""
+        """List the models of the configuration."""
         document = self._fleet.view.document
         names = [] if document is None else [model.name for model in document.models]
         rows = [{"id": name, "object": "model"} for name in names]
         return responses.JSONResponse({"object": "list", "data": rows})
 
     async def tickets(self, request: requests.Request) -> responses.Response:
-        """Hand out tickets, which calls can carry as idempotency keys."""
+        """Issue tickets, which calls can carry as idempotency keys."""
         with self._shutdown.track_request():
             data = await self._read_request(request)
             if isinstance(data, results.Refusal):
                 return self._refusal_response("tickets", data)
-            asked = request_parsing.parse_json(
+            body = request_parsing.parse_json(
                 request_parsing.TicketsBody, data.body or b"{}"
             )
-            if isinstance(asked, results.Refusal):
-                return self._refusal_response("tickets", asked)
-            issued = await self._issuer.issue(data.caller, asked.count)
+            if isinstance(body, results.Refusal):
+                return self._refusal_response("tickets", body)
+            issued = await self._issuer.issue(data.caller, body.count)
         if isinstance(issued, results.Refusal):
             return self._refusal_response("tickets", issued)
         self._count("tickets", results.ResultCode.OK)
@@ -128,7 +128,7 @@
         )
 
     async def complete(self, request: requests.Request) -> typing.Any:
-        """Answer a completion, streamed or whole."""
+        """Run a completion; the response is streamed if the request asks for it."""
         started = self._clock.monotonic()
         with contextlib.ExitStack() as request_scope:
             request_scope.enter_context(self._shutdown.track_request())
@@ -138,7 +138,7 @@
             body = request_parsing.parse_json(request_parsing.CompletionBody, data.body)
             if isinstance(body, results.Refusal):
                 return self._refusal_response("completion", body)
-            asked = stream.Completion(
+            completion_request = stream.Completion(
                 identity.new_id(),
                 data.caller,
                 body.model,
@@ -148,8 +148,8 @@
                 request_parsing.parse_priority(request.headers),
             )
             return http_responses.CompletionResponse(
-                asked,
-                self._completions.run(asked),
+                completion_request,
+                self._completions.run(completion_request),
                 streamed=body.stream,
                 release=request_scope.pop_all(),
                 time=self._clock,
@@ -158,7 +158,7 @@
             )
 
     async def call(self, request: requests.Request) -> responses.Response:
-        """Answer a call of a plain service."""
+        """Run a call of a plain service."""
         request_id = _request_id(request)
         with self._shutdown.track_request():
             outcome = await self._call_outcome(request, request_id)
@@ -223,7 +223,8 @@
             return known.name
         return results.Refusal(
             results.ResultCode.UNKNOWN_CALLER,
-            "send the key of a known caller as a bearer token",
+            "caller key missing or unknown; send the key of a configured caller as a "
+            "bearer token",
             results.Execution.NOT_RUN,
         )
 
@@ -250,11 +251,11 @@
         self._metrics.requests.labels(kind, code.name.lower()).inc()
 
     def _close_connections_on_stop(self, application: typing.Any) -> typing.Any:
-        """Ask callers to leave their kept connections once a stop is announced.
+        """Add `connection: close` to every response once a stop is announced.
 
-        A caller that keeps a connection open would send its next request into an
-        instance that is gone, and see it cut. Told with an answer that it has anyhow,
-        it opens its next connection through the balancer, which knows better.
+        A caller with a keep-alive connection would otherwise send its next request to
+        an instance that has stopped, and see it cut. It now reconnects through the
+        load balancer, which picks an instance that is ready.
         """
 
         async def wrapped(
@@ -278,7 +279,7 @@
 
 
 def _request_id(request: requests.Request) -> str:
-    """Return the id of a passed-on request as it is, so that logs fit together."""
+    """Return the request id: that of a forwarded request is kept, to correlate logs."""
     given = request.headers.get(instance.REQUEST_ID_HEADER, "")
     if instance.FORWARDED_HEADER in request.headers and given.isalnum():
         return given[:_REQUEST_ID_LENGTH_LIMIT]
@@ -299,7 +300,7 @@
     _log.error("request failed", path=request.url.path, error=repr(error))
     refusal = results.Refusal(
         results.ResultCode.INTERNAL_ERROR,
-        "the instance failed on this request",
+        "internal error; whether the request ran is unknown",
         results.Execution.UNKNOWN,
     )
     return http_responses.refusal_response(refusal)
--- a/src/pimentolatch/entry/clients.py
+++ b/src/pimentolatch/entry/clients.py
@@ -1,4 +1,4 @@
-"""The clients through which one instance reaches everybody it sends work to."""
+"""Clients of the backend servers and the other instances."""
 
 import asyncio
 
@@ -8,10 +8,10 @@
 
 
 class BackendClients:
-    """One client of each kind.
+    """One client for engines, KV transfer, plain services and other instances.
 
     Args:
-        sender: Name of this instance, which those who are called log.
+        sender: Name of this instance, sent with each call for the callee's log.
     """
 
     def __init__(self, sender: str) -> None:
--- a/src/pimentolatch/entry/control_plane.py
+++ b/src/pimentolatch/entry/control_plane.py
@@ -1,4 +1,4 @@
-"""Puts together what an instance needs to agree with its peers and the platform."""
+"""Control plane of an instance: platform store, peers, documents and domain views."""
 
 import asyncio
 import datetime
@@ -23,13 +23,13 @@
 
 __all__ = ["ControlPlane", "NullReportTable"]
 
-# Two, so that the loss of one leaves no gap; both ask the platform for changes.
+# Two instances poll the platform for changes, so that the loss of one leaves no gap.
 _WATCHERS = 2
 _LEAVING_HOLD = datetime.timedelta(seconds=120)
 
 
 class NullReportTable:
-    """Stands for a share table where nobody looks at peers' work."""
+    """Report table that ignores peers' work reports."""
 
     def update(self, peer: str, work: work_reports.WorkReport) -> None:
         """See `share_spread.ShareTable.update`."""
@@ -39,12 +39,19 @@
 
 
 class ControlPlane:
-    """The platform, the peers, and the documents and views they bring.
+    """Connects an instance to the platform and its peers.
+
+    It receives the fleet's documents and domain views from both, and exchanges work
+    reports and crash notices with peers.
 
     Args:
-        report_source: Returns the work of this instance, for peers.
-        report_table: Takes the peers' work.
-        crashes: Completions that have ended engines, for peers.
+        chosen: Settings of this instance.
+        own_fleet: Receives documents, domain views and leaving backend servers.
+        time: Clock of all parts.
+        measured: Metrics of this instance.
+        crashes: Completions suspected of crashing engines, shared with peers.
+        report_source: Returns the work report of this instance, sent to peers.
+        report_table: Receives the peers' work reports; None ignores them.
     """
 
     def __init__(
@@ -130,17 +137,17 @@
 
     @property
     def incarnation(self) -> str:
-        """This process."""
+        """The incarnation of this process."""
         return self._identity.incarnation
 
     @property
     def store(self) -> store.Store:
-        """The platform, within this instance's budget of calls."""
+        """The platform's store, limited to this instance's call budget."""
         return self._store
 
     @property
     def acknowledgements(self) -> views.Acknowledgements:
-        """Who routes by which domain view."""
+        """Which domain view each instance routes by."""
         return self._peering
 
     @property
@@ -151,30 +158,30 @@
 
     @property
     def leaving_servers(self) -> frozenset[str] | None:
-        """Backend servers that leave; None before this instance read the list."""
+        """Backend servers that are leaving; None until the platform's list is read."""
         return self._leaving.known
 
     @property
     def domain_instances(self) -> frozenset[str]:
-        """Instances of the own failure domain that can be heard, this one included."""
+        """Reachable instances of the own failure domain, including this one."""
         near = self._peering.node.members.steady(self._identity.failure_domain)
         names = {incarnations.instance_of(name) for name in near}
         return frozenset(names | {self._identity.instance})
 
     @property
     def instance_count(self) -> int:
-        """Instances of the whole fleet, by the platform's list as last read."""
+        """Number of instances in the fleet, by the platform's list as last read."""
         return max(len(self._peering.instances), len(self.domain_instances))
 
     @property
     def waits_for(self) -> str:
-        """What an instance that is not ready still lacks."""
+        """What this instance still needs before it is ready."""
         if not self._table.complete:
-            return "the domain views, from the platform or a peer that has them"
-        return "a configuration, from the platform or a peer that has it"
+            return "the domain views, from the platform or a peer"
+        return "a configuration, from the platform or a peer"
 
     def status(self) -> dict[str, typing.Any]:
-        """Return what operators see of the peers and the configuration's spread."""
+        """Return the state of the peers and of the configuration's dissemination."""
         spread_time = self._spread.spread_time
         delay = self._keeper.delay
         return {
@@ -221,7 +228,7 @@
     async def submit(
         self, submission: configuration.Submission
     ) -> configuration.Outcome:
-        """Put a document in force; see `ConfigurationObjects.submit`."""
+        """Submit a document; see `ConfigurationObjects.submit`."""
         submission = await asyncio.to_thread(configuration.with_pieces, submission)
         outcome = await self._documents.submit(submission)
         if isinstance(outcome, configuration.Accepted) and not outcome.replaced_by:
@@ -236,14 +243,18 @@
         task.add_done_callback(self._tasks.remove)
 
     async def start(self) -> None:
-        """Start; raises `OSError` if the peers' address can't be had."""
+        """Connect to peers and start to follow the platform's store.
+
+        Raises:
+            OSError: The address for peers can't be bound.
+        """
         await self._peering.start()
         for follower in self._followers:
             supervised = tasks.keep_running("follower", follower.run, self._clock)
             self._tasks.append(asyncio.create_task(supervised))
 
     async def stop(self) -> None:
-        """Stop; called when this instance sends nothing to anybody any more."""
+        """Stop; call it after all requests to peers and servers have ended."""
         running = tuple(self._tasks)
         for task in running:
             task.cancel()
--- a/src/pimentolatch/entry/graceful_shutdown.py
+++ b/src/pimentolatch/entry/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Counts requests in flight, so that a planned stop can wait for the last one."""
+"""Graceful shutdown: tracks requests in flight and drains them before a stop."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,11 @@
 
 
 class GracefulShutdown:
-    """Admits requests until the instance stops."""
+    """Admits requests until the instance stops, and waits for those in flight.
+
+    A stop has two steps: `announce_stop` ends readiness while requests are still
+    served, and `stop` refuses new ones.
+    """
 
     def __init__(self) -> None:
         self._in_flight = 0
@@ -24,7 +28,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests now being served."""
+        """Number of requests being served."""
         return self._in_flight
 
     @property
@@ -34,11 +38,11 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should go on sending requests here."""
+        """Whether the load balancer should send requests to this instance."""
         return not self._announced
 
     def announce_stop(self) -> None:
-        """Tell the balancer of the stop while requests are still served."""
+        """End readiness; requests are still served."""
         self._announced = True
 
     def stop(self) -> None:
@@ -46,23 +50,24 @@
         self._stopping = True
 
     def refusal(self, *, forwarded: bool = False) -> results.Refusal | None:
-        """Return the refusal of a new request, or None if it may enter.
+        """Return the refusal of a new request, or None if it is admitted.
 
-        Calls that other instances pass on enter to the last: only this instance knows
-        what became of their keys, and refusing them would leave it unknown.
+        Calls forwarded by other instances are admitted until the end: only this
+        instance knows the outcomes under their idempotency keys, and a refusal would
+        leave them unknown.
         """
         if not self._stopping or forwarded:
             return None
         return results.Refusal(
             results.ResultCode.STOPPING,
-            "this instance is stopping; another one will answer",
+            "this instance is shutting down; retry to reach another one",
             results.Execution.NOT_RUN,
             _STOPPING_RETRY_AFTER,
         )
 
     @contextlib.contextmanager
     def track_request(self) -> abc.Iterator[None]:
-        """Hold the instance up for the length of one request."""
+        """Count a request as in flight while the context is open."""
         self._in_flight += 1
         self._empty.clear()
         try:
--- a/src/pimentolatch/entry/http_responses.py
+++ b/src/pimentolatch/entry/http_responses.py
@@ -1,4 +1,4 @@
-"""Writes answers to callers: refusals, whole completions and event streams."""
+"""HTTP responses to callers: refusals, full completions and event streams."""
 
 import asyncio
 import contextlib
@@ -18,13 +18,14 @@
 __all__ = ["CompletionResponse", "refusal_response"]
 
 _log = logbook.Logger("answers")
-# After these the rest of the body may still be on its way; see `servers`.
+# After these refusals the rest of the request body may still be arriving, so the
+# connection is closed; see `bounded_http`.
 _CLOSING_CODES = (
     results.ResultCode.BODY_TOO_LARGE,
     results.ResultCode.BODY_TOO_SLOW,
 )
-# A caller that reads nothing keeps an engine's stream open while others wait for a
-# place in the batch. A caller on a poor link still reads something in this time.
+# A caller that stops reading holds an engine's stream open while other requests wait
+# for a place in the batch. A caller on a slow link still reads some bytes in this time.
 _SEND_TIMEOUT_SECONDS = 10.0
 _STREAM_HEADERS = [
     (b"content-type", b"text/event-stream; charset=utf-8"),
@@ -39,7 +40,13 @@
 def refusal_response(
     refusal: results.Refusal, request_id: str | None = None, status: int | None = None
 ) -> responses.Response:
-    """Return a refusal as an HTTP answer."""
+    """Return a refusal as an HTTP response.
+
+    Args:
+        refusal: The refusal.
+        request_id: Sent in the request id header, if given.
+        status: HTTP status to send in place of the refusal's own.
+    """
     headers = {results.RESULT_HEADER: str(int(refusal.code))}
     if refusal.retry_after is not None:
         seconds = max(1, round(refusal.retry_after.total_seconds()))
@@ -54,18 +61,19 @@
 
 
 class CompletionResponse:
-    """Answers one completion, streamed or whole, for as long as its caller stays.
+    """ASGI response to one completion, streamed or in one body.
 
-    A caller that disconnects ends the work at once: closing the events closes the
-    engine's stream, so that no engine goes on writing for nobody.
+    When the caller disconnects, the completion is cancelled at once: closing its
+    events closes the engine's stream, so that no engine decodes for a caller that has
+    gone.
 
     Args:
-        request: The completion.
-        events: Its events.
-        streamed: Whether to send them as they come.
-        release: Closed when the answer is over.
-        time: Clock of the metrics.
-        started: When the request arrived.
+        request: The completion request.
+        events: Events of the completion.
+        streamed: Whether to send events as they arrive, as server-sent events.
+        release: Closed when the response ends.
+        time: Clock for the latency metrics.
+        started: Time at which the request arrived, on the monotonic clock.
         measured: Metrics of this instance.
     """
 
@@ -89,7 +97,7 @@
         self._metrics = measured
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Run the answer as an ASGI application."""
+        """Send the response, as an ASGI application."""
         with self._release:
             work = asyncio.ensure_future(self._respond(scope, receive, send))
             disconnected = asyncio.ensure_future(_wait_for_disconnect(receive))
@@ -152,9 +160,10 @@
             ending = _send_body(send, self._final_events(event), last=True)
             await timeouts.within(_SEND_TIMEOUT_SECONDS, ending)
         except TimeoutError:
-            _log.warn("caller reads nothing; answer given up", request=request_id)
+            _log.warn("caller stopped reading; response aborted", request=request_id)
             scope["extensions"][bounded_http.ABORT_EXTENSION]["call"]()
-            # Lets the server see the connection's end before this answer's.
+            # Two turns of the event loop let the server see the lost connection before
+            # this response ends.
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         finally:
--- a/src/pimentolatch/entry/http_server.py
+++ b/src/pimentolatch/entry/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP servers that leave signals to the process that holds them."""
+"""HTTP servers that leave signal handling to the process."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,8 @@
 __all__ = ["HttpServer"]
 
 _IDLE_SECONDS = 75
-# Where requests have ended before a server stops, this bounds callers that don't read.
+# Requests are drained before a server stops, so this bounds only responses to callers
+# that don't read.
 _CLOSE_TIMEOUT = datetime.timedelta(seconds=5)
 _DATE_REFRESH_SECONDS = 1.0
 _START_POLL_SECONDS = 0.005
@@ -27,15 +28,15 @@
         self._exit_requested = asyncio.Event()
 
     def request_exit(self) -> None:
-        """Let the server end."""
+        """Ask the server to exit."""
         self.should_exit = True
         self._exit_requested.set()
 
     async def main_loop(self) -> None:
-        """Keep the date header up to date until the server is to end.
+        """Refresh the date header once a second until asked to exit.
 
-        The library looks ten times a second whether it should end. Twenty wake-ups a
-        second for two servers are a tenth of what control may use of a core.
+        The library polls ten times a second for the exit. For two servers these are 20
+        wake-ups a second, a tenth of the CPU time that the control plane may use.
         """
         while not await self.on_tick(0):
             with contextlib.suppress(TimeoutError):
@@ -44,18 +45,18 @@
 
     @contextlib.contextmanager
     def capture_signals(self) -> abc.Iterator[None]:
-        """Leave the signals alone: the process stops its parts in order."""
+        """Install no signal handlers: the process stops its parts in order."""
         yield
 
 
 class HttpServer:
-    """One ASGI application on one address.
+    """Serves one ASGI application on one address.
 
     Args:
         application: The application.
-        address: Where to listen.
-        protocol: Makes the protocol of each connection.
-        close_timeout: How long answers under way may take once the server stops.
+        address: Address to listen on.
+        protocol: Returns the protocol of a new connection.
+        close_timeout: Time that open responses have to end once the server stops.
     """
 
     def __init__(
@@ -86,22 +87,26 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen; raises `OSError` if the address can't be had."""
+        """Start to listen.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
         self._task = asyncio.create_task(self._serve())
         while not self._server.started:
             if self._task.done():
                 self._task.result()
-                raise OSError("the HTTP server ended at once")
+                raise OSError("HTTP server exited during start-up")
             await asyncio.sleep(_START_POLL_SECONDS)
 
     async def stop(self) -> None:
-        """Close the address and the idle connections, after answers under way."""
+        """Stop listening, let open responses end and close all connections."""
         self._server.request_exit()
         if self._task is not None:
             await self._task
 
     def abort(self) -> None:
-        """Close the address and every connection at once."""
+        """Stop listening and abort all connections at once."""
         self._server.force_exit = True
         self._server.request_exit()
         for connection in list(self._server.server_state.connections):
@@ -115,4 +120,4 @@
         try:
             await self._server.serve()
         except SystemExit as error:
-            raise OSError("the address can't be listened on") from error
+            raise OSError("can't listen on the address of the HTTP server") from error
--- a/src/pimentolatch/entry/operator_front_end.py
+++ b/src/pimentolatch/entry/operator_front_end.py
@@ -1,4 +1,4 @@
-"""The HTTP face towards operators: submit, status, health and metrics."""
+"""HTTP front end for operators: documents, status, audit, health and metrics."""
 
 import asyncio
 import datetime
@@ -25,7 +25,17 @@
 
 
 class OperatorFrontEnd:
-    """Handlers of operators' requests."""
+    """Handlers of operators' requests.
+
+    Args:
+        chosen: Settings of this instance.
+        own_fleet: Holds the configuration in force.
+        control: Submits documents and reports on peers.
+        duty: Reports on the role changes of the failure domain.
+        shutdown: Tracks readiness and requests in flight.
+        time: Clock of submissions and audit records.
+        measured: Metrics of this instance.
+    """
 
     def __init__(
         self,
@@ -64,11 +74,11 @@
         )
 
     async def live(self, request: requests.Request) -> responses.Response:
-        """Tell that the process runs."""
+        """Answer the liveness probe."""
         return responses.PlainTextResponse("ok\n")
 
     async def ready(self, request: requests.Request) -> responses.Response:
-        """Tell whether the balancer should send requests here."""
+        """Answer the readiness probe of the load balancer."""
         if not self._shutdown.ready:
             return responses.PlainTextResponse("stopping\n", 503)
         if self._fleet.view.configuration is None:
@@ -77,7 +87,7 @@
         return responses.PlainTextResponse("ready\n")
 
     async def metrics(self, request: requests.Request) -> responses.Response:
-        """Return the metrics."""
+        """Return the metrics in the Prometheus text format."""
         self._metrics.in_flight.set(self._shutdown.in_flight)
         current = self._fleet.view.configuration
         self._metrics.configuration.set(0 if current is None else current.number)
@@ -86,7 +96,7 @@
         )
 
     async def status(self, request: requests.Request) -> responses.Response:
-        """Return what this instance knows."""
+        """Return the status of this instance."""
         view = self._fleet.view
         current = view.configuration
         return responses.JSONResponse(
@@ -114,13 +124,13 @@
         return responses.JSONResponse({"number": current.number, "document": document})
 
     async def submit(self, request: requests.Request) -> responses.Response:
-        """Put a document in force."""
+        """Submit a document and record the outcome in the audit trail."""
         limits = request_parsing.BodyLimits(_DOCUMENT_LIMIT_BYTES, _DOCUMENT_READ_TIME)
         raw = await request_parsing.read_body(request, limits)
         if isinstance(raw, results.Refusal):
             return _refusal_response(raw)
-        # A document of a megabyte takes a third of a second to check. In the event
-        # loop every stream of this instance would stand still for it.
+        # Validating a document of 1 MB takes a third of a second; in the event loop it
+        # would stall every stream of this instance.
         submission = await asyncio.to_thread(self._parse_submission, request, raw)
         if isinstance(submission, results.Refusal):
             return _refusal_response(submission)
@@ -131,18 +141,20 @@
         if isinstance(outcome, configuration.Lost):
             refusal = results.Refusal(
                 results.ResultCode.DOCUMENT_CONFLICT,
-                f"document {outcome.winner.number} by {outcome.winner.operator} won",
+                f"document {outcome.winner.number} by {outcome.winner.operator} won; "
+                "check your change against it and submit again",
                 results.Execution.NOT_RUN,
             )
             body = refusal.to_json() | {"winner": _head_json(outcome.winner)}
             return responses.JSONResponse(body, refusal.http_status)
         generated_id = "submission" not in request.query_params
         if isinstance(outcome, configuration.NotSubmitted) and generated_id:
-            # An id that the operator brought may have been tried elsewhere before.
+            # A submission id given by the operator may have been submitted before
+            # through another instance, so that its outcome is unknown.
             return _refusal_response(
                 results.Refusal(
                     results.ResultCode.STORE_UNAVAILABLE,
-                    f"the document was not submitted: {outcome.reason}",
+                    f"document not submitted: {outcome.reason}",
                     results.Execution.NOT_RUN,
                     _RETRY_AFTER,
                 )
@@ -150,7 +162,7 @@
         return _refusal_response(
             results.Refusal(
                 results.ResultCode.SUBMISSION_UNKNOWN,
-                f"the platform did not tell what became of it: {outcome.reason}",
+                f"outcome of the submission is unknown: {outcome.reason}",
                 results.Execution.UNKNOWN,
                 _RETRY_AFTER,
             )
@@ -167,8 +179,8 @@
         self._trail.note(
             number, "submit document", fleet_name, type(outcome).__name__, detail
         )
-        # The submission's answer must not hang on the trail; what could not be written
-        # now goes out with the next one.
+        # The response to the submission must not depend on the audit trail; records
+        # that could not be written are written with the next ones.
         await self._trail.flush()
 
     async def audit(self, request: requests.Request) -> responses.Response:
@@ -185,7 +197,7 @@
             return _refusal_response(
                 results.Refusal(
                     results.ResultCode.STORE_UNAVAILABLE,
-                    f"the audit trail can't be read now: {records.reason}",
+                    f"audit trail can't be read: {records.reason}",
                     results.Execution.NOT_RUN,
                     _RETRY_AFTER,
                 )
--- a/src/pimentolatch/entry/peer_metrics.py
+++ b/src/pimentolatch/entry/peer_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the links to peers and of the configuration's spread."""
+"""Gauges of the links to peers and of the configuration's dissemination."""
 
 import typing
 
@@ -15,11 +15,11 @@
     measured: metrics.Metrics,
     gauges: dict[str, tuple[str, typing.Callable[[], float]]],
 ) -> None:
-    """Add gauges that are read when they are asked for.
+    """Register gauges that are read at each scrape.
 
     Args:
-        measured: Where to add them.
-        gauges: By name, what a gauge shows and where it is read.
+        measured: Holds the registry.
+        gauges: Help text and reading function of each gauge, by its name.
     """
     for name, (text, read) in gauges.items():
         gauge = prometheus_client.Gauge(
--- a/src/pimentolatch/entry/peer_reports.py
+++ b/src/pimentolatch/entry/peer_reports.py
@@ -1,4 +1,4 @@
-"""Brings the peers' work and number to the decisions about completions."""
+"""Passes peers' work reports and the number of instances to the dispatcher."""
 
 import dataclasses
 import datetime
@@ -13,7 +13,7 @@
 
 
 class PeerReportTable:
-    """Puts peers' shares, with the time they came, into the decisions' table."""
+    """Records peers' work reports, with their time of arrival, in the dispatcher."""
 
     def __init__(self, decisions: dispatcher.Dispatcher, time: clock.Clock) -> None:
         self._decisions = decisions
@@ -24,8 +24,8 @@
         """See `share_spread.ShareTable.update`."""
         self._decisions.peers.update(peer, work, self._clock.monotonic())
         for totals in work.totals:
-            # The process is named by the link: totals that began anew after a restart
-            # must not look like a sudden lull.
+            # The peer's incarnation comes from the link: a restarted peer counts its
+            # totals from zero, which must not look like a drop in demand.
             self._demand[peer] = dataclasses.replace(totals, incarnation=peer)
 
     def forget(self, peer: str) -> None:
@@ -34,16 +34,16 @@
         self._demand.pop(peer, None)
 
     def demand(self) -> tuple[demand.Totals, ...]:
-        """Return the newest totals of this instance and of the peers that are heard."""
+        """Return the newest totals of this instance and of its reachable peers."""
         return (*self.own_report().totals, *self._demand.values())
 
     def own_report(self) -> work_reports.WorkReport:
-        """Return the work of this instance, for the peers."""
+        """Return the work report of this instance, to be sent to peers."""
         return self._decisions.shares(self._clock.monotonic())
 
 
 class PeerCountUpdater:
-    """A task that tells the decisions who shares the engines and the limits."""
+    """Task that tells the dispatcher which instances share engines and rate limits."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         self._clock = time
 
     async def run(self) -> None:
-        """Keep the numbers up to date until cancelled."""
+        """Update the instances every second until cancelled."""
         while True:
             self._decisions.set_instances(
                 self._control.domain_instances, self._control.instance_count
--- a/src/pimentolatch/entry/planner.py
+++ b/src/pimentolatch/entry/planner.py
@@ -1,4 +1,4 @@
-"""Brings demand and engine states to the planner of roles."""
+"""Supplies the role planner with demand and engine states."""
 
 import datetime
 import typing
@@ -10,19 +10,20 @@
 
 __all__ = ["DemandPlanner"]
 
-# Totals come every five seconds; the planner's figures are tuned for such samples.
+# Peers report totals every 5 s, and the role planner's parameters assume samples of
+# this length.
 _SAMPLE_INTERVAL = datetime.timedelta(seconds=5)
 
 
 class DemandPlanner:
-    """`standings.RolePlanner` over the demand that instances tell each other.
+    """A `standings.RolePlanner` that plans by the demand reported between instances.
 
-    It plans once for each sample, so a change comes at most every five seconds; in
-    between it repeats its last word, which the order slots make harmless.
+    It plans once per sample, so new changes come at most every 5 s. In between it
+    returns its last plan again; order slots make the repetition harmless.
 
     Args:
         own_fleet: Holds the document with the role policy.
-        totals: Returns the newest totals of the failure domain's instances.
+        totals: Returns the newest demand totals of the failure domain's instances.
     """
 
     def __init__(
--- a/src/pimentolatch/entry/process.py
+++ b/src/pimentolatch/entry/process.py
@@ -1,4 +1,4 @@
-"""One entry instance: its parts, put together, started and stopped in order."""
+"""An entry instance: assembles its parts, starts and stops them in order."""
 
 import asyncio
 import datetime
@@ -34,14 +34,14 @@
 __all__ = ["EntryInstance", "run_until_signal"]
 
 _log = logbook.Logger("entry")
-# The balancer goes on sending for a moment after readiness ends. Until it has
-# noticed, new requests are served; refusing them at once would fail callers in a
-# planned stop.
+# Time between the end of readiness and the refusal of new requests. The load balancer
+# sends requests until it notices that readiness ended; refusing these would fail
+# callers in a planned stop.
 BALANCER_NOTICE = datetime.timedelta(seconds=1)
 
 
 class EntryInstance:
-    """All parts of an entry instance."""
+    """An entry instance with all its parts."""
 
     def __init__(self, chosen: settings.EntrySettings, time: clock.Clock) -> None:
         self._settings = chosen
@@ -152,7 +152,11 @@
         )
 
     async def start(self) -> None:
-        """Start the parts; raises `OSError` if an address can't be had."""
+        """Start the parts.
+
+        Raises:
+            OSError: An address can't be bound.
+        """
         await self._operator_server.start()
         await self._control.start()
         await self._caller_server.start()
@@ -166,7 +170,11 @@
         _log.info("started", failure_domain=self._settings.failure_domain)
 
     async def stop(self, notice: datetime.timedelta = BALANCER_NOTICE) -> None:
-        """Stop without cutting a request."""
+        """Shut down gracefully: drain requests in flight, then stop the parts.
+
+        Args:
+            notice: Time from the end of readiness to the refusal of new requests.
+        """
         _log.info("stopping", in_flight=self._shutdown.in_flight)
         self._shutdown.announce_stop()
         await self._clock.sleep(notice)
@@ -175,7 +183,8 @@
         grace = datetime.timedelta(seconds=self._settings.stop_grace_s)
         if not await self._shutdown.wait_drained(grace):
             _log.warn(
-                "requests cut at the end of the grace", n=self._shutdown.in_flight
+                "shutdown grace period expired; requests in flight are cut",
+                n=self._shutdown.in_flight,
             )
         await self._keyed_calls.retire()
         await self._caller_server.stop()
@@ -184,8 +193,8 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self._clients.aclose()
-        # Last: the farewell says that nothing is sent any more, and a successor that
-        # finds the peers' address free is taken for the proof of it.
+        # Last, since it tells peers that this incarnation sends nothing any more. A
+        # successor that can bind the address for peers counts as proof of that, too.
         await self._control.stop()
         _log.info("stopped")
 
--- a/src/pimentolatch/entry/request_parsing.py
+++ b/src/pimentolatch/entry/request_parsing.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests, bounded in size and time, and checks them."""
+"""Reads and validates callers' requests, with bounds on size and time."""
 
 import asyncio
 import dataclasses
@@ -36,8 +36,8 @@
 class CompletionBody(checks.CheckedModel):
     """The body of `POST /v1/completions`.
 
-    Fields that other servers of this path know and that have no effect here are
-    ignored, since callers' clients send them unasked.
+    Unknown fields are ignored: client libraries send parameters of other servers of
+    this API by default.
     """
 
     model_config = pydantic.ConfigDict(frozen=True, extra="ignore")
@@ -56,7 +56,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BodyLimits:
-    """Bounds on reading a body."""
+    """Bounds on reading a request body.
+
+    Attributes:
+        size: Largest body, in bytes.
+        duration: Longest time the body may take to arrive.
+    """
 
     size: int
     duration: datetime.timedelta
@@ -65,10 +70,10 @@
 async def read_body(
     request: requests.Request, limits: BodyLimits
 ) -> bytes | results.Refusal:
-    """Read a body.
+    """Read a request body.
 
-    A caller that sends slowly or without end would hold memory and a connection for
-    as long as it likes; past either bound the request is refused.
+    A body over either bound is refused: a slow or endless body would otherwise hold
+    memory and a connection indefinitely.
     """
     declared_length = request.headers.get("content-length", "0")
     if declared_length.isdigit() and int(declared_length) > limits.size:
@@ -84,18 +89,18 @@
         seconds = limits.duration.total_seconds()
         return results.Refusal(
             results.ResultCode.BODY_TOO_SLOW,
-            f"the body took more than {seconds:g} s to arrive",
+            f"request body did not arrive within {seconds:g} s",
             results.Execution.NOT_RUN,
         )
     except requests.ClientDisconnect:
-        return results.invalid("the caller closed the connection")
+        return results.invalid("connection closed before the end of the request body")
     return bytes(body)
 
 
 def _too_large(limits: BodyLimits) -> results.Refusal:
     return results.Refusal(
         results.ResultCode.BODY_TOO_LARGE,
-        f"the body is over {limits.size} bytes",
+        f"request body is larger than the limit of {limits.size} bytes",
         results.Execution.NOT_RUN,
     )
 
@@ -105,7 +110,13 @@
     now: datetime.timedelta,
     default: datetime.timedelta,
 ) -> datetime.timedelta | results.Refusal:
-    """Return the deadline on the monotonic clock that a request's headers ask for."""
+    """Return a request's deadline on the monotonic clock.
+
+    Args:
+        headers: Headers of the request; the timeout header is optional.
+        now: Time on the monotonic clock.
+        default: Timeout of a request without the header.
+    """
     text = headers.get(_TIMEOUT_HEADER)
     if text is None:
         return now + default
@@ -118,11 +129,13 @@
 
 
 def parse_json(model: type[ModelT], raw: bytes) -> ModelT | results.Refusal:
-    """Parse a body and check it against a model."""
+    """Parse a JSON body and validate it against a model."""
     try:
         value = json.loads(raw)
     except (ValueError, RecursionError):
-        return results.invalid("the body must be a JSON object")
+        return results.invalid(
+            "request body is not valid JSON or is nested too deeply; send a JSON object"
+        )
     checked = checks.check_value(model, value)
     if isinstance(checked, checks.Problems):
         return results.invalid(str(checked))
@@ -132,7 +145,10 @@
 def parse_idempotency_key(
     headers: typing.Mapping[str, str],
 ) -> str | None | results.Refusal:
-    """Return the idempotency key, with or without the quotes of a structured field."""
+    """Return the idempotency key, or None if the request has none.
+
+    The key may be quoted as a structured field string; the quotes are removed.
+    """
     text = headers.get(_KEY_HEADER)
     if text is None:
         return None
@@ -142,16 +158,17 @@
         return results.invalid(f"{_KEY_HEADER}: must be printable ASCII and not empty")
     if len(text) > _KEY_LENGTH_LIMIT:
         return results.invalid(
-            f"{_KEY_HEADER}: is over {_KEY_LENGTH_LIMIT} characters long"
+            f"{_KEY_HEADER}: longer than the limit of {_KEY_LENGTH_LIMIT} characters"
         )
     return text
 
 
 def parse_priority(headers: typing.Mapping[str, str]) -> int:
-    """Return the priority that the `Priority` header's urgency asks for.
+    """Return a request's priority, from 0 (lowest) to 7, by its `Priority` header.
 
-    The header is that of RFC 9218: `u=0` is most urgent, `u=7` least, 3 the default.
-    A receiver ignores what it can't read, so this never fails.
+    The header is that of RFC 9218: urgency `u=0` is the most urgent, `u=7` the least
+    and `u=3` the default. The RFC has receivers ignore malformed parameters, so this
+    never fails.
     """
     for parameter in headers.get("priority", "").split(","):
         name, _, value = parameter.strip().partition("=")
--- a/src/pimentolatch/routes/__init__.py
+++ b/src/pimentolatch/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes of callers' requests, the services behind them and their servers."""
+"""Routes, customers, services and backend servers of the gateway."""
--- a/src/pimentolatch/routes/customers.py
+++ b/src/pimentolatch/routes/customers.py
@@ -1,4 +1,4 @@
-"""The operator's customers and the keys by which their requests are known."""
+"""Customers and the API keys that identify their requests."""
 
 import dataclasses
 import hashlib
@@ -11,10 +11,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Customer:
-    """Whoever requests belong to; it may hold several keys.
+    """The owner of requests; it may have several keys.
 
     Attributes:
-        rank: Goes before the rank of a route; None leaves it to the route.
+        name: Name of the customer.
+        rank: Priority of its requests, 0 the most urgent; it overrides that of the
+            route. None leaves the priority to the route.
     """
 
     name: str
@@ -23,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyedCustomer:
-    """A customer and its keys, as the operator lists them."""
+    """A customer and its keys, as listed in the configuration."""
 
     customer: Customer
     keys: tuple[bytes, ...] = dataclasses.field(repr=False)
@@ -32,14 +34,14 @@
 class Customers:
     """All customers of a configuration.
 
-    Keys are kept and looked up as digests, so that neither a memory dump nor the time
-    of a look-up tells how much of a guessed key is right.
+    Keys are stored and looked up as digests, so that a memory dump discloses no key
+    and the time of a look-up does not show how much of a guessed key is right.
 
     Args:
         listed: Customers with their keys.
 
     Raises:
-        ValueError: Two customers have the same key, or one of them an empty key.
+        ValueError: Two customers have the same key, or a key is empty.
     """
 
     def __init__(self, listed: abc.Iterable[KeyedCustomer]) -> None:
@@ -49,16 +51,19 @@
                 self._add(key, entry.customer)
 
     def find_by_key(self, key: bytes) -> Customer | None:
-        """Return who holds a key; None if nobody does."""
+        """Return the customer with a key, or None if the key is unknown."""
         return self._by_key.get(_digest(key))
 
     def _add(self, key: bytes, customer: Customer) -> None:
         if not key:
-            raise ValueError(f"customer {customer.name!r} has an empty key")
+            raise ValueError(
+                f"customer {customer.name!r} has an empty key; remove it or set it"
+            )
         other = self._by_key.setdefault(_digest(key), customer)
         if other.name != customer.name:
             raise ValueError(
-                f"customers {other.name!r} and {customer.name!r} have the same key"
+                f"customers {other.name!r} and {customer.name!r} have the same key; "
+                "give each its own"
             )
 
 
--- a/src/pimentolatch/routes/engine_reports.py
+++ b/src/pimentolatch/routes/engine_reports.py
@@ -1,4 +1,4 @@
-"""What model engines report of themselves."""
+"""State reports of model engines."""
 
 import dataclasses
 
@@ -9,16 +9,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineReport:
-    """An engine's state as of some hundred milliseconds ago.
+    """An engine's state; it may be some hundred milliseconds old.
 
     Attributes:
-        stage: What it does.
-        changing: It is carrying out an order.
-        accepted_orders: Orders that it has accepted in this life.
-        queued: Requests that wait.
-        running: Requests that it works on.
-        decoding_ids: Ids of those of them that write an answer.
-        started_ms: Unix time of its start in milliseconds; None if it does not say.
+        stage: Stage that the engine runs.
+        changing: Whether it is carrying out an order to change its stage.
+        accepted_orders: Number of orders accepted in this incarnation.
+        queued: Number of queued requests.
+        running: Number of running requests.
+        decoding_ids: Ids of the running requests that are in the decode stage.
+        started_ms: Unix time of the engine's start, in milliseconds; None if it does
+            not report one.
     """
 
     stage: servers.Stage
--- a/src/pimentolatch/routes/route_table.py
+++ b/src/pimentolatch/routes/route_table.py
@@ -1,4 +1,4 @@
-"""The operator's routing configuration, and the choice of a route and a service."""
+"""Routing configuration, and the selection of a route and a service."""
 
 import dataclasses
 import datetime
@@ -21,11 +21,11 @@
 
 
 class Kind(enum.Enum):
-    """What a route's requests allow.
+    """Whether a route's requests may run more than once.
 
-    `SAFE` requests may run several times, `UNSAFE` ones at most once for each request
-    id. A `STREAM` is answered with events; it is treated as `UNSAFE` unless its route
-    is resumable.
+    `SAFE` requests may run several times, `UNSAFE` ones at most once per request id. A
+    `STREAM` is answered with server-sent events and treated as `UNSAFE` unless its
+    route is resumable.
     """
 
     SAFE = "safe"
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A service that takes `weight` parts of a route's requests."""
+    """A service and its weight in the traffic split of a route."""
 
     service: str
     weight: float
@@ -43,19 +43,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go, and what they allow.
+    """How requests of one host and path prefix are routed and handled.
 
     Attributes:
-        path_prefix: Begins and ends with a slash.
-        shares: The services behind the route; more than one splits its requests.
-        timeout: Longest time a request may be kept, from its arrival to its last byte.
-        latency_target: Time in which an answer (a stream: its first event) is on time.
-        event_gap_target: Longest time between events of a stream that is on time.
-        rank: 0 is the most urgent.
-        max_attempts: Servers that one request may be sent to.
-        carries_prompt: Whether requests name the parts of a prompt.
-        resumable: Whether a broken stream may be continued on another server.
-        public: Whether requests need no key.
+        name: Name of the route.
+        host: Host of the requests, in lower case.
+        path_prefix: Prefix of the path; begins and ends with a slash.
+        kind: Whether requests may run more than once.
+        shares: Services of the route; several split its requests by their weights.
+        timeout: Longest time from a request's arrival to the last byte of its response.
+        latency_target: Target for the time to the response, or to the first event of a
+            stream.
+        event_gap_target: Target for the time between two events of a stream.
+        rank: Priority; 0 is the most urgent.
+        max_attempts: Number of servers that one request may be dispatched to.
+        carries_prompt: Whether requests list the parts of a prompt.
+        resumable: Whether a broken stream may be resumed on another server.
+        public: Whether requests need no API key.
     """
 
     name: str
@@ -74,7 +78,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run can be sent again."""
+        """Whether a request that may have run can be retried."""
         if self.kind is Kind.STREAM:
             return self.resumable
         return self.kind is Kind.SAFE
@@ -82,8 +86,8 @@
     def service_of(self, request_id: str) -> str:
         """Return the service of a request.
 
-        The id decides, so that two instances that know the same configuration agree
-        and a request sent again stays with its service.
+        The service follows from the request id, so that instances with the same
+        configuration agree on it and a retry stays with its service.
         """
         if len(self.shares) == 1:
             return self.shares[0].service
@@ -99,12 +103,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineTraits:
-    """What the operator says of the engines of a model service.
+    """Configured properties of the engines of a model service.
 
     Attributes:
-        slots: Requests that an engine runs at once.
-        kv_tokens: Tokens that fit an engine's memory.
-        stage_change_time: How long an engine is away when its stage changes.
+        slots: Number of requests that an engine runs at once.
+        kv_tokens: Capacity of an engine's KV cache, in tokens.
+        stage_change_time: Time for which an engine is out of service during a change
+            of its stage.
     """
 
     slots: int
@@ -114,14 +119,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scaling:
-    """What the operator says of a service whose servers are ordered.
+    """Configured scaling of a service with an automatic number of servers.
 
     Attributes:
-        min_servers: Servers of both kinds together in each failure domain, at least.
-        max_servers: The same, at most.
-        boot_time: Time until an ordered server serves.
-        spot_price: Price of a server that may be taken back, as a share of the other
-            kind's.
+        min_servers: Smallest number of on-demand and spot servers together in each
+            failure domain.
+        max_servers: Largest number of both together in each failure domain.
+        boot_time: Time from the order of a server until it serves.
+        spot_price: Price of a spot server as a fraction of the on-demand price.
         prices: Price of a server by failure domain.
     """
 
@@ -134,11 +139,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A group of equal backend servers.
+    """A group of interchangeable backend servers.
 
     Attributes:
-        engine: Set for model engines.
-        scaling: Set where the number of servers is ordered.
+        name: Name of the service.
+        engine: Properties of its engines; None if its servers are not model engines.
+        scaling: Scaling of the service; None if its number of servers is fixed.
     """
 
     name: str
@@ -148,7 +154,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """Bounds on what a client may send and on how long it may take."""
+    """Bounds on the size and duration of client requests.
+
+    Attributes:
+        head_bytes: Largest request head, in bytes.
+        body_bytes: Largest request body, in bytes.
+        head_timeout: Longest time a request head may take to arrive.
+        idle_timeout: Longest time a connection may be idle.
+    """
 
     head_bytes: int
     body_bytes: int
@@ -157,14 +170,14 @@
 
 
 class Configuration:
-    """One version of the routes, services and limits; it never changes.
+    """An immutable version of the routes, services, limits and customers.
 
     Args:
-        version: Higher is newer.
-        routes: All routes; host and path prefix together are unique.
+        version: Version number; higher is newer.
+        routes: All routes; the pair of host and path prefix is unique.
         services: All services by name.
-        limits: Bounds on clients.
-        customers: Who may send requests; None if requests bear no keys.
+        limits: Bounds on client requests.
+        customers: Customers that may send requests; None if requests carry no API keys.
     """
 
     def __init__(
@@ -187,7 +200,7 @@
         return self._by_prefix.values()
 
     def select(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins a path, or None."""
+        """Return the route with the longest matching path prefix, or None."""
         host = host.lower()
         end = path.rfind("/") + 1
         while end > 0:
--- a/src/pimentolatch/routes/servers.py
+++ b/src/pimentolatch/routes/servers.py
@@ -1,4 +1,4 @@
-"""The backend servers as the platform's store lists them."""
+"""Backend servers, as listed in the platform's store."""
 
 import dataclasses
 import datetime
@@ -14,7 +14,7 @@
 
 
 class Stage(enum.Enum):
-    """What an engine does: read prompts for others, or write answers."""
+    """Stage that an engine runs: prefill for other engines, or decode."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -22,16 +22,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Incarnation:
-    """One life of a backend server.
+    """One incarnation of a backend server: one run of its process.
 
-    A server may start again under its id. It then knows nothing of what it was sent
-    before, so whatever is remembered of a server is remembered of an incarnation: kept
-    prompts, counts of work, failures, connections. Remembered by the id alone, parts
-    of prompts would be expected where they are gone, and an order could rest on the
-    count of a life that has ended.
+    A server may restart under the same id and loses its state then. So everything that
+    is recorded about a server is recorded by incarnation: cached prefixes, work counts,
+    failures, connections. By the id alone, prefixes would be expected in a cache that
+    has lost them, and an order could use the order count of a terminated process.
 
     Attributes:
-        started_ms: Unix time of its start in milliseconds; None if it does not say.
+        server_id: Id of the server.
+        started_ms: Unix time of the start, in milliseconds; None if unknown.
     """
 
     server_id: str
@@ -40,26 +40,30 @@
 
 @functools.lru_cache(maxsize=_MAX_CACHED)
 def shared_incarnation(server_id: str, started_ms: int | None) -> Incarnation:
-    """Return the one object that stands for a life of a server.
+    """Return the shared object of an incarnation.
 
-    Every beacon names the same lives; to look up an object that is the key itself is
-    several times faster than to compare two alike.
+    Every beacon names the same incarnations. A dictionary look-up is several times
+    faster with the very object that is the key than with an equal one.
     """
     return Incarnation(server_id, started_ms)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Server:
-    """A backend server as its entry describes it.
+    """A backend server, as described by its entry in the store.
 
     Attributes:
-        draining: It takes no new requests and ends what runs.
-        stage: None for servers that are no engines.
-        slots: Requests that it works on at once.
-        remaining_warm_up: How much longer it is slow after its start.
-        started_ms: Unix time of its start in milliseconds; None if it does not say.
-        spot: It costs less and may be taken back.
-        incarnation: Which life of the server this is.
+        server_id: Id of the server.
+        service: Name of the service it belongs to.
+        address: Address for requests.
+        failure_domain: Failure domain it is in.
+        draining: Whether it completes running requests and accepts no new ones.
+        stage: Stage that an engine runs; None for other servers.
+        slots: Number of requests that it runs at once.
+        remaining_warm_up: Time for which it is still slow after its start.
+        started_ms: Unix time of its start, in milliseconds; None if unknown.
+        spot: Whether it is a spot server: cheaper, and may be reclaimed any time.
+        incarnation: The incarnation, by server id and start time.
     """
 
     server_id: str
@@ -80,19 +84,19 @@
 
 
 class ServerTable:
-    """The servers of one revision of the store; entries never go back."""
+    """The servers of one revision of the store; it never returns to an older one."""
 
     def __init__(self) -> None:
         self._servers: dict[str, Server] = {}
         self._by_service: dict[str, list[Server]] = {}
 
     def replace(self, servers: abc.Iterable[Server]) -> None:
-        """Take a whole listing."""
+        """Replace all servers by a full listing."""
         self._servers = {server.server_id: server for server in servers}
         self._index()
 
     def update(self, changed: abc.Iterable[Server], removed: abc.Iterable[str]) -> None:
-        """Take the changes after the last revision."""
+        """Apply the changes since the last revision."""
         for server in changed:
             self._servers[server.server_id] = server
         for name in removed:
@@ -100,15 +104,15 @@
         self._index()
 
     def get(self, server_id: str) -> Server | None:
-        """Return a server that is still listed."""
+        """Return a listed server, or None."""
         return self._servers.get(server_id)
 
     def all(self) -> abc.Collection[Server]:
-        """Return every listed server."""
+        """Return all listed servers, including draining ones."""
         return self._servers.values()
 
     def of_service(self, service: str) -> list[Server]:
-        """Return the servers of a service that take new requests."""
+        """Return the servers of a service that accept new requests."""
         return self._by_service.get(service, [])
 
     def _index(self) -> None:
