--- a/src/pimentolatch/document/changes.py
+++ b/src/pimentolatch/document/document_diff.py
@@ -1,21 +1,25 @@
-"""Says what one fleet document would change of another, for operators to read."""
+"""Human-readable differences between two fleet documents."""
 
 import dataclasses
 import typing
 
 from pimentolatch.document import schema
 
-__all__ = ["Added", "Change", "Changed", "Removed", "changes"]
+__all__ = ["Added", "Change", "Changed", "Removed", "compare"]
 
 Json = typing.Any
-# Keys of callers are secrets' hashes; that one differs is all an operator needs.
-_HIDDEN_FIELDS = frozenset({"key_sha256"})
-_SHOWN_LENGTH = 60
+# Hashes of callers' secret keys: shown as changed, without their values.
+_SECRET_FIELDS = frozenset({"key_sha256"})
+_MAX_SHOWN_LENGTH = 60
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Added:
-    """An entry that only the later document has; `path` is like `models.badge`."""
+    """An entry that only the later document has.
+
+    Attributes:
+        path: Names of the entry and those around it, for example `models.badge`.
+    """
 
     path: str
 
@@ -35,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changed:
-    """A field that differs."""
+    """A field with different values."""
 
     path: str
     before: str
@@ -48,33 +52,34 @@
 Change = Added | Removed | Changed
 
 
-def changes(
+def compare(
     before: schema.FleetDocument, after: schema.FleetDocument
 ) -> tuple[Change, ...]:
-    """Return what replacing `before` by `after` changes, in the document's order.
+    """Return the changes from `before` to `after`, in the document's order.
 
-    Entries of lists are told apart by their names, so a different order of equal
-    entries is no change.
+    Entries of lists are matched by name, so reordering them is no change.
     """
     return tuple(
-        _of_mappings("", before.model_dump(mode="json"), after.model_dump(mode="json"))
+        _compare_mappings(
+            "", before.model_dump(mode="json"), after.model_dump(mode="json")
+        )
     )
 
 
-def _of_values(path: str, before: Json, after: Json) -> list[Change]:
+def _compare_values(path: str, before: Json, after: Json) -> list[Change]:
     if before == after:
         return []
     if isinstance(before, dict) and isinstance(after, dict):
-        return _of_mappings(path, before, after)
+        return _compare_mappings(path, before, after)
     if _is_named(before) and _is_named(after):
-        return _of_mappings(path, _by_name(before), _by_name(after))
+        return _compare_mappings(path, _by_name(before), _by_name(after))
     field = path.rpartition(".")[2]
-    if field in _HIDDEN_FIELDS:
+    if field in _SECRET_FIELDS:
         return [Changed(path, "(hidden)", "(another)")]
-    return [Changed(path, _shown(before), _shown(after))]
+    return [Changed(path, _shorten(before), _shorten(after))]
 
 
-def _of_mappings(
+def _compare_mappings(
     path: str, before: dict[str, Json], after: dict[str, Json]
 ) -> list[Change]:
     found: list[Change] = []
@@ -85,7 +90,7 @@
         elif name not in before:
             found.append(Added(inner))
         else:
-            found += _of_values(inner, before[name], after[name])
+            found += _compare_values(inner, before[name], after[name])
     return found
 
 
@@ -99,6 +104,6 @@
     return {item["name"]: item for item in value}
 
 
-def _shown(value: Json) -> str:
+def _shorten(value: Json) -> str:
     text = repr(value)
-    return text if len(text) <= _SHOWN_LENGTH else text[:_SHOWN_LENGTH] + "..."
+    return text if len(text) <= _MAX_SHOWN_LENGTH else text[:_MAX_SHOWN_LENGTH] + "..."
--- /dev/null
+++ b/src/pimentolatch/entry/bounded_http.py
@@ -0,0 +1,222 @@
+"""HTTP/1.1 protocol of callers' connections, with bounds on size and time.
+
+It mends four faults of the server library:
+
+- The size of a request's head is unbounded, so one caller can hold any memory.
+- So is the time a head takes to arrive, so one caller can hold a connection forever.
+- The response to a caller that half-closes its connection is dropped.
+- The error for a malformed pipelined request is written into the middle of a response
+  that is still streaming on the connection.
+"""
+
+import asyncio
+import json
+import typing
+
+from uvicorn.protocols.http import httptools_impl
+
+from pimentolatch import results
+
+__all__ = [
+    "ABORT_EXTENSION",
+    "CLOSE_EXTENSION",
+    "TARGET_EXTENSION",
+    "BoundedHttpProtocol",
+]
+
+# ASGI extension: aborts the connection at once, for callers that stop reading.
+ABORT_EXTENSION = "pimentolatch.abort"
+# ASGI extension: closes the connection once written data is sent, for responses that
+# end early.
+CLOSE_EXTENSION = "pimentolatch.close"
+# ASGI extension: the request target as received, in bytes.
+TARGET_EXTENSION = "pimentolatch.target"
+
+HEAD_LIMIT_BYTES = 32_768
+HEAD_SECONDS = 10.0
+# Upper bound for a whole request. The handlers bound the time of a body themselves;
+# this is above the longest they allow.
+MESSAGE_SECONDS = 330.0
+FIRST_BYTE_SECONDS = 75.0
+# Time for which the rest of a refused body is read and discarded, so that a caller that
+# is still sending receives the refusal and not a connection reset.
+LINGER_SECONDS = 5.0
+_SERVICE_PATHS = "/v1/services/"
+
+
+class _HeadTooLargeError(Exception):
+    """The head of a request is over the limit."""
+
+
+class BoundedHttpProtocol(httptools_impl.HttpToolsProtocol):
+    """A caller's connection; subclasses override the bounds."""
+
+    @property
+    def head_limit_bytes(self) -> int:
+        """Largest head of a request, in bytes."""
+        return HEAD_LIMIT_BYTES
+
+    @property
+    def head_seconds(self) -> float:
+        """Longest time a head may take to arrive, in seconds."""
+        return HEAD_SECONDS
+
+    @property
+    def first_byte_seconds(self) -> float:
+        """Longest time until the first byte on a new connection, in seconds."""
+        return FIRST_BYTE_SECONDS
+
+    _head_bytes = 0
+    _head_too_large = False
+    _in_head = False
+    _in_message = False
+    _discarding_input = False
+    _timer: asyncio.TimerHandle | None = None
+
+    def connection_made(self, transport: typing.Any) -> None:
+        """Start the timeout of the first byte."""
+        super().connection_made(transport)
+        self._start_timer(self.first_byte_seconds)
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Cancel the timer."""
+        self._cancel_timer()
+        super().connection_lost(exc)
+
+    def data_received(self, data: bytes) -> None:
+        """Parse the data, and start the timeout of a request that is incomplete.
+
+        Most requests arrive in one read and need no timer.
+        """
+        if self._discarding_input:
+            return
+        was_in_head, was_in_message = self._in_head, self._in_message
+        super().data_received(data)
+        if self._in_head:
+            self._head_bytes += len(data)
+            if self._head_bytes > self.head_limit_bytes:
+                self._refuse(431, self._head_too_large_message())
+            elif not was_in_head:
+                self._start_timer(self.head_seconds)
+        elif self._in_message:
+            if was_in_head or not was_in_message:
+                self._start_timer(MESSAGE_SECONDS)
+        else:
+            self._cancel_timer()
+
+    def eof_received(self) -> bool | None:  # type: ignore[override]
+        """Handle a caller that closed its sending side.
+
+        It has usually disconnected, so a completion is cancelled at once. A service
+        call that has started is never cancelled, so its response is still written, for
+        a caller that only half-closed the connection.
+
+        Returns:
+            True to keep the transport open for the response.
+        """
+        if self._discarding_input:
+            return None
+        if self._in_message:
+            self._refuse(400, "connection closed before the end of the request")
+            return None
+        if not self._response_pending():
+            return None
+        if not self.continues_after_eof(self.cycle.scope["path"]):
+            return None
+        self.cycle.keep_alive = False
+        return True
+
+    def continues_after_eof(self, path: str) -> bool:
+        """Whether a request continues after its caller closed its sending side."""
+        return path.startswith(_SERVICE_PATHS)
+
+    def send_400_response(self, msg: str) -> None:
+        """Refuse a malformed request without corrupting an earlier response."""
+        if self._head_too_large:
+            self._refuse(431, self._head_too_large_message())
+        else:
+            self._refuse(400, "request is not valid HTTP/1.1")
+
+    def on_message_begin(self) -> None:
+        """Start to count the head of a new request."""
+        super().on_message_begin()
+        self._in_head = self._in_message = True
+        self._head_bytes = 0
+        self.scope["extensions"] = {
+            ABORT_EXTENSION: {"call": self.transport.abort},
+            CLOSE_EXTENSION: {"call": self.transport.close},
+        }
+
+    def on_headers_complete(self) -> None:
+        """Check the size of a head that arrived in one read."""
+        size = len(self.url) + sum(len(n) + len(v) for n, v in self.headers)
+        if size > self.head_limit_bytes:
+            self._head_too_large = True
+            raise _HeadTooLargeError
+        self._in_head = False
+        self.scope["extensions"][TARGET_EXTENSION] = {"bytes": self.url}
+        super().on_headers_complete()
+
+    def on_message_complete(self) -> None:
+        """Record that the request is complete."""
+        self._in_message = False
+        super().on_message_complete()
+
+    def on_response_complete(self) -> None:
+        """Shorten the timeout of a body whose request has been answered."""
+        super().on_response_complete()
+        if self._in_message and not self.transport.is_closing():
+            self._start_timer(LINGER_SECONDS)
+
+    def _head_too_large_message(self) -> str:
+        return f"request head is larger than the limit of {self.head_limit_bytes} bytes"
+
+    def _response_pending(self) -> bool:
+        return self.cycle is not None and not self.cycle.response_complete
+
+    def _refuse(self, status: int, message: str) -> None:
+        """Refuse the request that is arriving, and parse nothing more.
+
+        The sending side is closed at once, and incoming data is discarded for
+        `LINGER_SECONDS`: closing a socket with unread bytes resets the connection, and
+        the caller would lose the refusal.
+        """
+        self._discarding_input = True
+        self._cancel_timer()
+        if self.pipeline or (self._in_head and self._response_pending()):
+            # The response to an earlier request of the connection is still being sent.
+            self.cycle.keep_alive = False
+            return
+        if self._response_pending():
+            self.cycle.disconnected = True
+            self.cycle.message_event.set()
+            if self.cycle.response_started:
+                self.transport.close()
+                return
+        body = json.dumps(results.invalid(message).to_json())
+        self.transport.write(
+            f"HTTP/1.1 {status} Refused\r\ncontent-type: application/json\r\n"
+            f"content-length: {len(body)}\r\nconnection: close\r\n"
+            f"{results.RESULT_HEADER}: {int(results.ResultCode.INVALID_REQUEST)}\r\n"
+            f"\r\n{body}".encode()
+        )
+        self.transport.write_eof()
+        self._timer = self.loop.call_later(LINGER_SECONDS, self.transport.abort)
+
+    def _start_timer(self, seconds: float) -> None:
+        self._cancel_timer()
+        self._timer = self.loop.call_later(seconds, self._on_timeout)
+
+    def _cancel_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
+    def _on_timeout(self) -> None:
+        if self._in_head:
+            self._refuse(
+                408, f"request head did not arrive within {self.head_seconds:g} s"
+            )
+        elif not self._response_pending():
+            # Either nothing arrived, or the rest of a refused body did not.
+            self.transport.abort()
--- a/src/pimentolatch/entry/control_plane.py
+++ b/src/pimentolatch/entry/control_plane.py
@@ -1,11 +1,19 @@
-"""Puts together what an instance needs to agree with its peers and the platform."""
+"""Control plane of an instance: platform store, peers, documents and domain views."""
 
 import asyncio
 import datetime
 import random
 import typing
 
-from pimentolatch import call_budget, clock, fleet, metrics, settings, store, tasks
+from pimentolatch import (
+    call_budget,
+    clock,
+    fleet,
+    metrics,
+    settings,
+    store,
+    tasks,
+)
 from pimentolatch.control import (
     configuration,
     document_exchange,
@@ -27,15 +35,15 @@
 from pimentolatch.platform import objects
 from pimentolatch.requests import suspect_completions
 
-__all__ = ["ControlPlane", "NoShares"]
+__all__ = ["ControlPlane", "NullReportTable"]
 
-# Two, so that the loss of one leaves no gap; both ask the platform for changes.
+# Two instances poll the platform for changes, so that the loss of one leaves no gap.
 _WATCHERS = 2
 _LEAVING_HOLD = datetime.timedelta(seconds=120)
 
 
-class NoShares:
-    """Stands for a share table where nobody looks at peers' work."""
+class NullReportTable:
+    """Report table that ignores peers' work reports."""
 
     def update(self, peer: str, work: work_reports.WorkReport) -> None:
         """See `work_exchange.PeerWorkTable.update`."""
@@ -45,12 +53,19 @@
 
 
 class ControlPlane:
-    """The platform, the peers, and the documents and views they bring.
+    """Connects an instance to the platform and its peers.
+
+    It receives the fleet's documents and domain views from both, and exchanges work
+    reports and crash notices with peers.
 
     Args:
-        source: Returns the work of this instance, for peers.
-        table: Takes the peers' work.
-        crashes: Completions that have ended engines, for peers.
+        chosen: Settings of this instance.
+        own_fleet: Receives documents, domain views and leaving backend servers.
+        time: Clock of all parts.
+        measured: Metrics of this instance.
+        crashes: Completions suspected of crashing engines, shared with peers.
+        report_source: Returns the work report of this instance, sent to peers.
+        report_table: Receives the peers' work reports; None ignores them.
     """
 
     def __init__(
@@ -61,13 +76,15 @@
         time: clock.Clock,
         measured: metrics.Metrics,
         crashes: suspect_completions.SuspectCompletions | None = None,
-        source: typing.Callable[[], work_reports.WorkReport] = work_reports.WorkReport,
-        table: work_exchange.PeerWorkTable | None = None,
+        report_source: typing.Callable[
+            [], work_reports.WorkReport
+        ] = work_reports.WorkReport,
+        report_table: work_exchange.PeerWorkTable | None = None,
     ) -> None:
         self._clock = time
         chance = random.Random()
         reached_at = chosen.peers.reached_at
-        self._own = incarnations.Identity(
+        self._identity = incarnations.Identity(
             incarnations.new_incarnation(chosen.instance, time),
             chosen.failure_domain,
             reached_at.host,
@@ -89,7 +106,7 @@
             own_fleet.adopt_view, self._keeper.set_views_known
         )
         self._links = links.Links(
-            self._own, chosen.peers.address, time, chosen.peers.suspect_after_s
+            self._identity, chosen.peers.address, time, chosen.peers.suspect_after_s
         )
         self._spread = document_exchange.DocumentExchange(
             self._keeper, self._links, time, chance
@@ -100,13 +117,13 @@
         )
         crashes = crashes or suspect_completions.SuspectCompletions(time)
         self._peering = peering.Peering(
-            self._own,
+            self._identity,
             chosen.peers,
             objects=self._store,
             documents=self._spread,
             table=self._table,
             work=work_exchange.WorkExchange(
-                source, table or NoShares(), time, interval
+                report_source, report_table or NullReportTable(), time, interval
             ),
             leaving=self._leaving,
             crashes=crashes,
@@ -134,21 +151,21 @@
             ),
         )
         self._tasks: list[asyncio.Task[typing.Any]] = []
-        peer_metrics.show(measured, self._figures())
+        peer_metrics.register(measured, self._gauges())
 
     @property
     def incarnation(self) -> str:
-        """This process."""
-        return self._own.incarnation
+        """The incarnation of this process."""
+        return self._identity.incarnation
 
     @property
     def store(self) -> store.Store:
-        """The platform, within this instance's budget of calls."""
+        """The platform's store, limited to this instance's call budget."""
         return self._store
 
     @property
     def acknowledgements(self) -> views.Acknowledgements:
-        """Who routes by which domain view."""
+        """Which domain view each instance routes by."""
         return self._peering
 
     @property
@@ -159,34 +176,34 @@
 
     @property
     def leaving_servers(self) -> frozenset[str] | None:
-        """Backend servers that leave; None before this instance read the list."""
+        """Backend servers that are leaving; None until the platform's list is read."""
         return self._leaving.known
 
     @property
-    def near_instances(self) -> frozenset[str]:
-        """Instances of the own failure domain that can be heard, this one included."""
-        near = self._peering.node.detector.steady(self._own.failure_domain)
+    def domain_instances(self) -> frozenset[str]:
+        """Reachable instances of the own failure domain, including this one."""
+        near = self._peering.node.detector.steady(self._identity.failure_domain)
         names = {incarnations.instance_of(name) for name in near}
-        return frozenset(names | {self._own.instance})
+        return frozenset(names | {self._identity.instance})
 
     @property
     def instance_count(self) -> int:
-        """Instances of the whole fleet, by the platform's list as last read."""
-        return max(len(self._peering.instances), len(self.near_instances))
+        """Number of instances in the fleet, by the platform's list as last read."""
+        return max(len(self._peering.instances), len(self.domain_instances))
 
     @property
     def waits_for(self) -> str:
-        """What an instance that is not ready still lacks."""
+        """What this instance still needs before it is ready."""
         if not self._table.complete:
-            return "the domain views, from the platform or a peer that has them"
-        return "a configuration, from the platform or a peer that has it"
+            return "the domain views, from the platform or a peer"
+        return "a configuration, from the platform or a peer"
 
     def status(self) -> dict[str, typing.Any]:
-        """Return what operators see of the peers and the configuration's spread."""
+        """Return the state of the peers and of the configuration's dissemination."""
         spread_time = self._spread.dissemination_time
         delay = self._keeper.adoption_delay
         return {
-            "incarnation": self._own.incarnation,
+            "incarnation": self._identity.incarnation,
             "peers": sorted(self._links.linked),
             "suspected": list(self._peering.suspected),
             "views": self._table.numbers,
@@ -201,7 +218,7 @@
             "peer_frames": self._links.frames,
         }
 
-    def _figures(self) -> dict[str, tuple[str, typing.Callable[[], float]]]:
+    def _gauges(self) -> dict[str, tuple[str, typing.Callable[[], float]]]:
         return {
             "peers": ("Linked peers.", lambda: len(self._links.linked)),
             "peers_suspected": (
@@ -229,7 +246,7 @@
     async def submit(
         self, submission: configuration.Submission
     ) -> configuration.Outcome:
-        """Put a document in force; see `ConfigurationObjects.submit`."""
+        """Submit a document; see `ConfigurationObjects.submit`."""
         submission = await asyncio.to_thread(configuration.with_pieces, submission)
         outcome = await self._documents.submit(submission)
         if isinstance(outcome, configuration.Accepted) and not outcome.replaced_by:
@@ -244,14 +261,18 @@
         task.add_done_callback(self._tasks.remove)
 
     async def start(self) -> None:
-        """Start; raises `OSError` if the peers' address can't be had."""
+        """Connect to peers and start to follow the platform's store.
+
+        Raises:
+            OSError: The address for peers can't be bound.
+        """
         await self._peering.start()
         for follower in self._followers:
-            kept = tasks.keep_running("follower", follower.run, self._clock)
-            self._tasks.append(asyncio.create_task(kept))
+            supervised = tasks.keep_running("follower", follower.run, self._clock)
+            self._tasks.append(asyncio.create_task(supervised))
 
     async def stop(self) -> None:
-        """Stop; called when this instance sends nothing to anybody any more."""
+        """Stop; call it after all requests to peers and servers have ended."""
         running = tuple(self._tasks)
         for task in running:
             task.cancel()
--- a/src/pimentolatch/entry/servers.py
+++ b/src/pimentolatch/entry/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP servers that leave signals to the process that holds them."""
+"""HTTP servers that leave signal handling to the process."""
 
 import asyncio
 import contextlib
@@ -10,60 +10,61 @@
 import uvicorn
 
 from pimentolatch import settings
-from pimentolatch.entry import guard
+from pimentolatch.entry import bounded_http
 
 __all__ = ["HttpServer"]
 
 _IDLE_SECONDS = 75
-# Where requests have ended before a server stops, this bounds callers that don't read.
-_CLOSE_LIMIT = datetime.timedelta(seconds=5)
-_DATE_SECONDS = 1.0
+# Requests are drained before a server stops, so this bounds only responses to callers
+# that don't read.
+_CLOSE_TIMEOUT = datetime.timedelta(seconds=5)
+_DATE_REFRESH_SECONDS = 1.0
 _START_POLL_SECONDS = 0.005
 
 
 class _Server(uvicorn.Server):
     def __init__(self, config: uvicorn.Config) -> None:
         super().__init__(config)
-        self._exit_asked = asyncio.Event()
+        self._exit_requested = asyncio.Event()
 
-    def ask_exit(self) -> None:
-        """Let the server end."""
+    def request_exit(self) -> None:
+        """Ask the server to exit."""
         self.should_exit = True
-        self._exit_asked.set()
+        self._exit_requested.set()
 
     async def main_loop(self) -> None:
-        """Keep the date header up to date until the server is to end.
+        """Refresh the date header once a second until asked to exit.
 
-        The library looks ten times a second whether it should end. Twenty wake-ups a
-        second for two servers are a tenth of what control may use of a core.
+        The library polls ten times a second for the exit. For two servers these are 20
+        wake-ups a second, a tenth of the CPU time that the control plane may use.
         """
         while not await self.on_tick(0):
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(_DATE_SECONDS):
-                    await self._exit_asked.wait()
+                async with asyncio.timeout(_DATE_REFRESH_SECONDS):
+                    await self._exit_requested.wait()
 
     @contextlib.contextmanager
     def capture_signals(self) -> abc.Iterator[None]:
-        """Leave the signals alone: the process stops its parts in order."""
+        """Install no signal handlers: the process stops its parts in order."""
         yield
 
 
 class HttpServer:
-    """One ASGI application on one address.
+    """Serves one ASGI application on one address.
 
     Args:
         application: The application.
-        address: Where to listen.
-        protocol: Makes the protocol of each connection.
-        close_limit: How long answers under way may take once the server stops.
+        address: Address to listen on.
+        protocol: Returns the protocol of a new connection.
+        close_timeout: Time that open responses have to end once the server stops.
     """
 
     def __init__(
         self,
         application: typing.Any,
         address: settings.Address,
-        protocol: typing.Callable[..., typing.Any] = guard.GuardedProtocol,
-        close_limit: datetime.timedelta = _CLOSE_LIMIT,
+        protocol: typing.Callable[..., typing.Any] = bounded_http.BoundedHttpProtocol,
+        close_timeout: datetime.timedelta = _CLOSE_TIMEOUT,
     ) -> None:
         self._server = _Server(
             uvicorn.Config(
@@ -79,40 +80,44 @@
                 access_log=False,
                 server_header=False,
                 timeout_keep_alive=_IDLE_SECONDS,
-                timeout_graceful_shutdown=math.ceil(close_limit.total_seconds()),
+                timeout_graceful_shutdown=math.ceil(close_timeout.total_seconds()),
                 backlog=2048,
             )
         )
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen; raises `OSError` if the address can't be had."""
+        """Start to listen.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
         self._task = asyncio.create_task(self._serve())
         while not self._server.started:
             if self._task.done():
                 self._task.result()
-                raise OSError("the HTTP server ended at once")
+                raise OSError("HTTP server exited during start-up")
             await asyncio.sleep(_START_POLL_SECONDS)
 
     async def stop(self) -> None:
-        """Close the address and the idle connections, after answers under way."""
-        self._server.ask_exit()
+        """Stop listening, let open responses end and close all connections."""
+        self._server.request_exit()
         if self._task is not None:
             await self._task
 
     def abort(self) -> None:
-        """Close the address and every connection at once."""
+        """Stop listening and abort all connections at once."""
         self._server.force_exit = True
-        self._server.ask_exit()
+        self._server.request_exit()
         for connection in list(self._server.server_state.connections):
             connection.transport.abort()
         if self._task is not None:
             self._task.cancel()
-        for listening in getattr(self._server, "servers", []):
-            listening.close()
+        for listener in getattr(self._server, "servers", []):
+            listener.close()
 
     async def _serve(self) -> None:
         try:
             await self._server.serve()
         except SystemExit as error:
-            raise OSError("the address can't be listened on") from error
+            raise OSError("can't listen on the address of the HTTP server") from error
--- a/src/pimentolatch/entry/operators.py
+++ b/src/pimentolatch/entry/operator_front_end.py
@@ -1,31 +1,62 @@
-"""The HTTP face towards operators: submit, status, health and metrics."""
+"""HTTP front end for operators: documents, status, audit, health and metrics."""
 
 import asyncio
 import datetime
 import json
 import typing
 
-from starlette import applications, requests, responses, routing
+from starlette import (
+    applications,
+    requests,
+    responses,
+    routing,
+)
 
-from pimentolatch import checks, clock, fleet, metrics, results, settings, store
+from pimentolatch import (
+    checks,
+    clock,
+    fleet,
+    metrics,
+    results,
+    settings,
+    store,
+)
 from pimentolatch.audit import trail
-from pimentolatch.control import configuration, domain_controller, heads
+from pimentolatch.control import (
+    configuration,
+    domain_controller,
+    heads,
+)
 from pimentolatch.document import schema
-from pimentolatch.entry import bodies, control_plane, gate
+from pimentolatch.entry import (
+    control_plane,
+    graceful_shutdown,
+    request_parsing,
+)
 from pimentolatch.requests import identity
 
-__all__ = ["OperatorFace"]
+__all__ = ["OperatorFrontEnd"]
 
 _DOCUMENT_LIMIT_BYTES = 16_000_000
 _DOCUMENT_READ_TIME = datetime.timedelta(seconds=30)
 _DOCUMENT_BOOK = "documents"
-_AUDIT_RECORDS = 100
-_AUDIT_LIMIT = 5000
+_AUDIT_DEFAULT_RECORDS = 100
+_AUDIT_MAX_RECORDS = 5000
 _RETRY_AFTER = datetime.timedelta(seconds=2)
 
 
-class OperatorFace:
-    """Handlers of operators' requests."""
+class OperatorFrontEnd:
+    """Handlers of operators' requests.
+
+    Args:
+        chosen: Settings of this instance.
+        own_fleet: Holds the configuration in force.
+        control: Submits documents and reports on peers.
+        duty: Reports on the role changes of the failure domain.
+        shutdown: Tracks readiness and requests in flight.
+        time: Clock of submissions and audit records.
+        measured: Metrics of this instance.
+    """
 
     def __init__(
         self,
@@ -34,7 +65,7 @@
         own_fleet: fleet.Fleet,
         control: control_plane.ControlPlane,
         duty: domain_controller.DomainController,
-        door: gate.Gate,
+        shutdown: graceful_shutdown.GracefulShutdown,
         time: clock.Clock,
         measured: metrics.Metrics,
     ) -> None:
@@ -42,7 +73,7 @@
         self._fleet = own_fleet
         self._control = control
         self._duty = duty
-        self._gate = door
+        self._shutdown = shutdown
         self._clock = time
         self._metrics = measured
         self._trail = trail.AuditTrail(
@@ -64,12 +95,12 @@
         )
 
     async def live(self, request: requests.Request) -> responses.Response:
-        """Tell that the process runs."""
+        """Answer the liveness probe."""
         return responses.PlainTextResponse("ok\n")
 
     async def ready(self, request: requests.Request) -> responses.Response:
-        """Tell whether the balancer should send requests here."""
-        if not self._gate.ready:
+        """Answer the readiness probe of the load balancer."""
+        if not self._shutdown.ready:
             return responses.PlainTextResponse("stopping\n", 503)
         if self._fleet.view.configuration is None:
             reason = self._control.waits_for
@@ -77,8 +108,8 @@
         return responses.PlainTextResponse("ready\n")
 
     async def metrics(self, request: requests.Request) -> responses.Response:
-        """Return the metrics."""
-        self._metrics.in_flight.set(self._gate.in_flight)
+        """Return the metrics in the Prometheus text format."""
+        self._metrics.in_flight.set(self._shutdown.in_flight)
         current = self._fleet.view.configuration
         self._metrics.configuration.set(0 if current is None else current.number)
         return responses.Response(
@@ -86,7 +117,7 @@
         )
 
     async def status(self, request: requests.Request) -> responses.Response:
-        """Return what this instance knows."""
+        """Return the status of this instance."""
         view = self._fleet.view
         current = view.configuration
         return responses.JSONResponse(
@@ -96,13 +127,13 @@
                 "configuration": None
                 if current is None
                 else {"number": current.number, "hash": current.content_hash},
-                "requests_in_flight": self._gate.in_flight,
-                "stopping": not self._gate.ready,
+                "requests_in_flight": self._shutdown.in_flight,
+                "stopping": not self._shutdown.ready,
                 "withdrawn": sorted(view.withdrawn),
                 "roles": dict(view.roles),
             }
             | self._control.status()
-            | {"duty": _duty(self._duty.status())}
+            | {"duty": _duty_status(self._duty.status())}
         )
 
     async def document(self, request: requests.Request) -> responses.Response:
@@ -114,49 +145,51 @@
         return responses.JSONResponse({"number": current.number, "document": document})
 
     async def submit(self, request: requests.Request) -> responses.Response:
-        """Put a document in force."""
-        limits = bodies.ReadLimits(_DOCUMENT_LIMIT_BYTES, _DOCUMENT_READ_TIME)
-        raw = await bodies.read_body(request, limits)
+        """Submit a document and record the outcome in the audit trail."""
+        limits = request_parsing.BodyLimits(_DOCUMENT_LIMIT_BYTES, _DOCUMENT_READ_TIME)
+        raw = await request_parsing.read_body(request, limits)
         if isinstance(raw, results.Refusal):
-            return _refused(raw)
-        # A document of a megabyte takes a third of a second to check. In the event
-        # loop every stream of this instance would stand still for it.
-        submission = await asyncio.to_thread(self._submission, request, raw)
+            return _refusal_response(raw)
+        # Validating a document of 1 MB takes a third of a second; in the event loop it
+        # would stall every stream of this instance.
+        submission = await asyncio.to_thread(self._parse_submission, request, raw)
         if isinstance(submission, results.Refusal):
-            return _refused(submission)
+            return _refusal_response(submission)
         outcome = await self._control.submit(submission)
-        await self._note(submission, outcome)
+        await self._record_in_trail(submission, outcome)
         if isinstance(outcome, configuration.Accepted):
-            return responses.JSONResponse(_accepted(outcome))
+            return responses.JSONResponse(_accepted_json(outcome))
         if isinstance(outcome, configuration.Lost):
             refusal = results.Refusal(
                 results.ResultCode.DOCUMENT_CONFLICT,
-                f"document {outcome.winner.number} by {outcome.winner.operator} won",
+                f"document {outcome.winner.number} by {outcome.winner.operator} won; "
+                "check your change against it and submit again",
                 results.Execution.NOT_RUN,
             )
-            body = refusal.to_json() | {"winner": _head(outcome.winner)}
+            body = refusal.to_json() | {"winner": _head_json(outcome.winner)}
             return responses.JSONResponse(body, refusal.http_status)
-        own_id = "submission" not in request.query_params
-        if isinstance(outcome, configuration.NotSubmitted) and own_id:
-            # An id that the operator brought may have been tried elsewhere before.
-            return _refused(
+        generated_id = "submission" not in request.query_params
+        if isinstance(outcome, configuration.NotSubmitted) and generated_id:
+            # A submission id given by the operator may have been submitted before
+            # through another instance, so that its outcome is unknown.
+            return _refusal_response(
                 results.Refusal(
                     results.ResultCode.STORE_UNAVAILABLE,
-                    f"the document was not submitted: {outcome.reason}",
+                    f"document not submitted: {outcome.reason}",
                     results.Execution.NOT_RUN,
                     _RETRY_AFTER,
                 )
             )
-        return _refused(
+        return _refusal_response(
             results.Refusal(
                 results.ResultCode.SUBMISSION_UNKNOWN,
-                f"the platform did not tell what became of it: {outcome.reason}",
+                f"outcome of the submission is unknown: {outcome.reason}",
                 results.Execution.UNKNOWN,
                 _RETRY_AFTER,
             )
         )
 
-    async def _note(
+    async def _record_in_trail(
         self, submission: configuration.Submission, outcome: configuration.Outcome
     ) -> None:
         number = 0
@@ -167,23 +200,25 @@
         self._trail.note(
             number, "submit document", fleet_name, type(outcome).__name__, detail
         )
-        # The submission's answer must not hang on the trail; what could not be written
-        # now goes out with the next one.
+        # The response to the submission must not depend on the audit trail; records
+        # that could not be written are written with the next ones.
         await self._trail.flush()
 
     async def audit(self, request: requests.Request) -> responses.Response:
         """Return the newest records of the audit trail, oldest first."""
-        text = request.query_params.get("count", str(_AUDIT_RECORDS))
-        if not text.isascii() or not text.isdigit() or int(text) > _AUDIT_LIMIT:
-            message = f"count: found {text!r}; must be a number up to {_AUDIT_LIMIT}"
-            return _refused(results.invalid(message))
+        text = request.query_params.get("count", str(_AUDIT_DEFAULT_RECORDS))
+        if not text.isascii() or not text.isdigit() or int(text) > _AUDIT_MAX_RECORDS:
+            message = (
+                f"count: found {text!r}; must be a number up to {_AUDIT_MAX_RECORDS}"
+            )
+            return _refusal_response(results.invalid(message))
         reader = trail.AuditReader(self._control.store)
         records = await reader.latest_of_all(int(text))
         if isinstance(records, store.Unavailable):
-            return _refused(
+            return _refusal_response(
                 results.Refusal(
                     results.ResultCode.STORE_UNAVAILABLE,
-                    f"the audit trail can't be read now: {records.reason}",
+                    f"audit trail can't be read: {records.reason}",
                     results.Execution.NOT_RUN,
                     _RETRY_AFTER,
                 )
@@ -191,7 +226,7 @@
         rows = [record.to_json() for record in records]
         return responses.JSONResponse({"records": rows})
 
-    def _submission(
+    def _parse_submission(
         self, request: requests.Request, raw: bytes
     ) -> configuration.Submission | results.Refusal:
         document = checks.check_text(schema.FleetDocument, raw.decode(errors="replace"))
@@ -213,14 +248,14 @@
         )
 
 
-def _accepted(outcome: configuration.Accepted) -> dict[str, typing.Any]:
-    body = _head(outcome.head)
+def _accepted_json(outcome: configuration.Accepted) -> dict[str, typing.Any]:
+    body = _head_json(outcome.head)
     if outcome.replaced_by is not None:
-        body["replaced_by"] = _head(outcome.replaced_by)
+        body["replaced_by"] = _head_json(outcome.replaced_by)
     return body
 
 
-def _duty(status: domain_controller.ControllerStatus) -> dict[str, typing.Any]:
+def _duty_status(status: domain_controller.ControllerStatus) -> dict[str, typing.Any]:
     changes = [
         {
             "engine": change.engine,
@@ -233,7 +268,7 @@
     return {"held": status.held, "holder": status.holder, "changes": changes}
 
 
-def _head(head: heads.Head) -> dict[str, typing.Any]:
+def _head_json(head: heads.Head) -> dict[str, typing.Any]:
     return {
         "number": head.number,
         "hash": head.content_hash,
@@ -242,7 +277,7 @@
     }
 
 
-def _refused(refusal: results.Refusal) -> responses.Response:
+def _refusal_response(refusal: results.Refusal) -> responses.Response:
     return responses.Response(
         json.dumps(refusal.to_json()),
         refusal.http_status,
--- a/src/pimentolatch/entry/planner.py
+++ b/src/pimentolatch/entry/planner.py
@@ -1,28 +1,37 @@
-"""Brings demand and engine states to the planner of roles."""
+"""Supplies the role planner with demand and engine states."""
 
 import datetime
 import typing
 from collections import abc
 
 from pimentolatch import fleet
-from pimentolatch.control import role_planning, slots
-from pimentolatch.decisions import demand, engine_states, roles, state_tracker
+from pimentolatch.control import (
+    role_planning,
+    slots,
+)
+from pimentolatch.decisions import (
+    demand,
+    engine_states,
+    roles,
+    state_tracker,
+)
 
 __all__ = ["DemandPlanner"]
 
-# Totals come every five seconds; the planner's figures are tuned for such samples.
+# Peers report totals every 5 s, and the role planner's parameters assume samples of
+# this length.
 _SAMPLE_INTERVAL = datetime.timedelta(seconds=5)
 
 
 class DemandPlanner:
-    """`role_planning.RolePlanner` over the demand that instances tell each other.
+    """A `role_planning.RolePlanner` that plans by the demand that instances report.
 
-    It plans once for each sample, so a change comes at most every five seconds; in
-    between it repeats its last word, which the order slots make harmless.
+    It plans once per sample, so new changes come at most every 5 s. In between it
+    returns its last plan again; order slots make the repetition harmless.
 
     Args:
         own_fleet: Holds the document with the role policy.
-        totals: Returns the newest totals of the failure domain's instances.
+        totals: Returns the newest demand totals of the failure domain's instances.
     """
 
     def __init__(
@@ -35,7 +44,7 @@
         self._history = demand.History()
         self._state_tracker = state_tracker.StateTracker()
         self._next_sample = datetime.timedelta()
-        self._last: tuple[roles.RoleChange, ...] = ()
+        self._last_plan: tuple[roles.RoleChange, ...] = ()
 
     def plan(
         self, engines: abc.Sequence[role_planning.EngineStatus], now: datetime.timedelta
@@ -45,12 +54,12 @@
         if document is None:
             return ()
         if now < self._next_sample:
-            return self._last
+            return self._last_plan
         self._next_sample = now + _SAMPLE_INTERVAL
         self._history.observe(now, self._totals())
         states = self._state_tracker.observe(now, map(_state, engines))
-        self._last = roles.plan(now, states, self._history.samples, document.roles)
-        return self._last
+        self._last_plan = roles.plan(now, states, self._history.samples, document.roles)
+        return self._last_plan
 
 
 def _state(standing: role_planning.EngineStatus) -> engine_states.EngineState:
--- a/src/pimentolatch/entry/bodies.py
+++ b/src/pimentolatch/entry/request_parsing.py
@@ -1,4 +1,4 @@
-"""Reads callers' requests, bounded in size and time, and checks them."""
+"""Reads and validates callers' requests, with bounds on size and time."""
 
 import asyncio
 import dataclasses
@@ -13,12 +13,12 @@
 
 __all__ = [
     "CompletionBody",
-    "ReadLimits",
+    "BodyLimits",
     "TicketsBody",
-    "check_json",
-    "deadline_of",
-    "idempotency_key_of",
-    "priority_of",
+    "parse_json",
+    "parse_deadline",
+    "parse_idempotency_key",
+    "parse_priority",
     "read_body",
 ]
 
@@ -36,8 +36,8 @@
 class CompletionBody(checks.CheckedModel):
     """The body of `POST /v1/completions`.
 
-    Fields that other servers of this path know and that have no effect here are
-    ignored, since callers' clients send them unasked.
+    Unknown fields are ignored: client libraries send parameters of other servers of
+    this API by default.
     """
 
     model_config = pydantic.ConfigDict(frozen=True, extra="ignore")
@@ -55,23 +55,28 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadLimits:
-    """Bounds on reading a body."""
+class BodyLimits:
+    """Bounds on reading a request body.
+
+    Attributes:
+        size: Largest body, in bytes.
+        duration: Longest time the body may take to arrive.
+    """
 
     size: int
     duration: datetime.timedelta
 
 
 async def read_body(
-    request: requests.Request, limits: ReadLimits
+    request: requests.Request, limits: BodyLimits
 ) -> bytes | results.Refusal:
-    """Read a body.
+    """Read a request body.
 
-    A caller that sends slowly or without end would hold memory and a connection for
-    as long as it likes; past either bound the request is refused.
+    A body over either bound is refused: a slow or endless body would otherwise hold
+    memory and a connection indefinitely.
     """
-    announced = request.headers.get("content-length", "0")
-    if announced.isdigit() and int(announced) > limits.size:
+    declared_length = request.headers.get("content-length", "0")
+    if declared_length.isdigit() and int(declared_length) > limits.size:
         return _too_large(limits)
     body = bytearray()
     try:
@@ -84,28 +89,34 @@
         seconds = limits.duration.total_seconds()
         return results.Refusal(
             results.ResultCode.BODY_TOO_SLOW,
-            f"the body took more than {seconds:g} s to arrive",
+            f"request body did not arrive within {seconds:g} s",
             results.Execution.NOT_RUN,
         )
     except requests.ClientDisconnect:
-        return results.invalid("the caller closed the connection")
+        return results.invalid("connection closed before the end of the request body")
     return bytes(body)
 
 
-def _too_large(limits: ReadLimits) -> results.Refusal:
+def _too_large(limits: BodyLimits) -> results.Refusal:
     return results.Refusal(
         results.ResultCode.BODY_TOO_LARGE,
-        f"the body is over {limits.size} bytes",
+        f"request body is larger than the limit of {limits.size} bytes",
         results.Execution.NOT_RUN,
     )
 
 
-def deadline_of(
+def parse_deadline(
     headers: typing.Mapping[str, str],
     now: datetime.timedelta,
     default: datetime.timedelta,
 ) -> datetime.timedelta | results.Refusal:
-    """Return the deadline on the monotonic clock that a request's headers ask for."""
+    """Return a request's deadline on the monotonic clock.
+
+    Args:
+        headers: Headers of the request; the timeout header is optional.
+        now: Time on the monotonic clock.
+        default: Timeout of a request without the header.
+    """
     text = headers.get(_TIMEOUT_HEADER)
     if text is None:
         return now + default
@@ -117,22 +128,27 @@
     return now + min(datetime.timedelta(milliseconds=int(text)), MAX_REQUEST_TIMEOUT)
 
 
-def check_json(model: type[ModelT], raw: bytes) -> ModelT | results.Refusal:
-    """Parse a body and check it against a model."""
+def parse_json(model: type[ModelT], raw: bytes) -> ModelT | results.Refusal:
+    """Parse a JSON body and validate it against a model."""
     try:
         value = json.loads(raw)
     except (ValueError, RecursionError):
-        return results.invalid("the body must be a JSON object")
+        return results.invalid(
+            "request body is not valid JSON or is nested too deeply; send a JSON object"
+        )
     checked = checks.check_value(model, value)
     if isinstance(checked, checks.Problems):
         return results.invalid(str(checked))
     return checked
 
 
-def idempotency_key_of(
+def parse_idempotency_key(
     headers: typing.Mapping[str, str],
 ) -> str | None | results.Refusal:
-    """Return the idempotency key, with or without the quotes of a structured field."""
+    """Return the idempotency key, or None if the request has none.
+
+    The key may be quoted as a structured field string; the quotes are removed.
+    """
     text = headers.get(_KEY_HEADER)
     if text is None:
         return None
@@ -142,16 +158,17 @@
         return results.invalid(f"{_KEY_HEADER}: must be printable ASCII and not empty")
     if len(text) > _KEY_LENGTH_LIMIT:
         return results.invalid(
-            f"{_KEY_HEADER}: is over {_KEY_LENGTH_LIMIT} characters long"
+            f"{_KEY_HEADER}: longer than the limit of {_KEY_LENGTH_LIMIT} characters"
         )
     return text
 
 
-def priority_of(headers: typing.Mapping[str, str]) -> int:
-    """Return the priority that the `Priority` header's urgency asks for.
+def parse_priority(headers: typing.Mapping[str, str]) -> int:
+    """Return a request's priority, from 0 (lowest) to 7, by its `Priority` header.
 
-    The header is that of RFC 9218: `u=0` is most urgent, `u=7` least, 3 the default.
-    A receiver ignores what it can't read, so this never fails.
+    The header is that of RFC 9218: urgency `u=0` is the most urgent, `u=7` the least
+    and `u=3` the default. The RFC has receivers ignore malformed parameters, so this
+    never fails.
     """
     for parameter in headers.get("priority", "").split(","):
         name, _, value = parameter.strip().partition("=")
--- a/src/pimentolatch/gateway/stall_checker.py
+++ b/src/pimentolatch/gateway/stall_checker.py
@@ -16,7 +16,7 @@
 )
 from pimentolatch.platform import engines
 from pimentolatch.routes import (
-    reports,
+    engine_reports,
     servers,
 )
 
@@ -27,7 +27,7 @@
 # event.
 _REPORT_TIMEOUT = datetime.timedelta(milliseconds=300)
 _Outcome = typing.TypeVar("_Outcome")
-_ReportTask = asyncio.Task["reports.EngineReport | None"]
+_ReportTask = asyncio.Task["engine_reports.EngineReport | None"]
 
 
 class StallChecker:
@@ -51,7 +51,9 @@
     ) -> stall_check.Verdict:
         """Ask an engine whether it still has a request."""
         report = await self._report(engine.server)
-        verdict = stall_check.request_status(report, request_id, engine.server.born)
+        verdict = stall_check.request_status(
+            report, request_id, engine.server.started_ms
+        )
         self._request_log.write(
             request_log.DOUBTED,
             request_id,
@@ -60,7 +62,7 @@
             verdict=verdict.value,
             queued=None if report is None else report.queued,
             running=None if report is None else report.running,
-            listed=report is not None and request_id in report.runs,
+            listed=report is not None and request_id in report.decoding_ids,
         )
         return verdict
 
@@ -97,7 +99,9 @@
         finally:
             task.cancel()
 
-    async def _report(self, server: servers.Server) -> reports.EngineReport | None:
+    async def _report(
+        self, server: servers.Server
+    ) -> engine_reports.EngineReport | None:
         now = self._clock.monotonic()
         at, report_task = self._pending_reports.get(server.incarnation, (now, None))
         if report_task is None or (
@@ -113,7 +117,7 @@
 
     async def _fetch_report(
         self, server: servers.Server
-    ) -> reports.EngineReport | None:
+    ) -> engine_reports.EngineReport | None:
         response = await self._client.call(
             server, "GET", engines.REPORT_TARGET, limit=_REPORT_TIMEOUT
         )
@@ -121,5 +125,5 @@
             return engines.decode_report(response.body)
         if isinstance(response, dispatch.NotSent) and not response.unresponsive:
             # It refuses further connections, so it is running and at capacity.
-            return reports.EngineReport(servers.Stage.DECODE, False, 0, queued=1)
+            return engine_reports.EngineReport(servers.Stage.DECODE, False, 0, queued=1)
         return None
--- a/tests/features/steps/config_logic_steps.py
+++ b/tests/features/steps/config_logic_steps.py
@@ -7,7 +7,11 @@
 import behave
 import logbook
 
-from pimentolatch import clock, fleet, store
+from pimentolatch import (
+    clock,
+    fleet,
+    store,
+)
 from pimentolatch.control import (
     configuration,
     document_exchange,
@@ -16,10 +20,20 @@
     local_document,
     parts,
 )
-from pimentolatch.document import changes, schema
+from pimentolatch.document import (
+    document_diff,
+    schema,
+)
 from pimentolatch.protocol import messages
-from standins import memory_store, objects
-from tests.support import config_history, config_world, schedule
+from standins import (
+    memory_store,
+    objects,
+)
+from tests.support import (
+    config_history,
+    config_world,
+    schedule,
+)
 from tests.support.proofs import promise_9
 
 INF = float("inf")
@@ -336,8 +350,8 @@
 def compare(context):
     before = operators_document(["kept", "old"], 60, "a")
     after = operators_document(["new", "kept"], 90, "b")
-    assert changes.changes(before, before) == ()
-    context.changes = [str(change) for change in changes.changes(before, after)]
+    assert document_diff.compare(before, before) == ()
+    context.changes = [str(change) for change in document_diff.compare(before, after)]
 
 
 @behave.then(
