--- a/src/pimentolatch/control/change_budget.py
+++ b/src/pimentolatch/control/change_budget.py
@@ -49,9 +49,9 @@
         changing it does not reduce serving capacity.
         """
         if self._changes <= 0:
-            return "limit concurrent_changes is reached"
+            return "concurrent_changes are under way"
         if in_service and any(self._spare[model] <= 0 for model in engine.models):
-            return "fewer engines than least_serving_share would serve a model"
+            return "least_serving_share would not be kept"
         self._changes -= 1
         if in_service:
             self._spare.subtract(engine.models)
--- a/src/pimentolatch/control/drain.py
+++ b/src/pimentolatch/control/drain.py
@@ -107,7 +107,7 @@
     if isinstance(state, order_client.Unreachable):
         return InUse(f"engine unreachable: {state.reason}")
     if state.streams:
-        return InUse(f"{state.streams} streams are running at the engine")
+        return InUse(f"{state.streams} streams at the engine")
     if state.changing:
         return InUse("the engine is executing a change")
     return Drained(state)
--- a/src/pimentolatch/control/reconciler.py
+++ b/src/pimentolatch/control/reconciler.py
@@ -267,9 +267,7 @@
         return Blocked(engine.name, "drained")
     loads = targets.needs_load(state, target)
     if loads and not budget.reserve_load():
-        return Blocked(
-            engine.name, "waiting for the minimum interval between weight loads"
-        )
+        return Blocked(engine.name, "waiting for the weight store's rate")
     reason = slot.reason
     return SendOrder(
         orders.OrderRequest(slot, engine, target, reason, observed.number, state.fence),
--- a/src/pimentolatch/gateway/beacon_exchange.py
+++ b/src/pimentolatch/gateway/beacon_exchange.py
@@ -127,7 +127,7 @@
         if beacon.instance == self._name:
             return
         if self._table.receive(addr[0], beacon):
-            _log.info("first beacon from peer", peer=beacon.instance, host=addr[0])
+            _log.info("peer heard", peer=beacon.instance, host=addr[0])
             self._send([addr[0]], self.beacon(_MEMBERS_IN_REPLY))
         weight = self._weights.get(beacon.failure_domain, 1.0)
         self._load_exchange.receive(beacon, weight, self._clock.monotonic())
--- a/src/pimentolatch/gateway/expired_entries.py
+++ b/src/pimentolatch/gateway/expired_entries.py
@@ -43,7 +43,7 @@
                 del self._until[name]
             if over:
                 _log.info(
-                    "servers removed: entries still missing after grace period",
+                    "servers did not come back",
                     servers=over,
                 )
                 self._fleet.remove_servers(over)
--- a/src/pimentolatch/gateway/leadership.py
+++ b/src/pimentolatch/gateway/leadership.py
@@ -107,7 +107,7 @@
         if await self._lease.acquire(self._leader_tracker.released_fence):
             if self._last_acquired is None:
                 self.since = self._clock.now()
-                _log.info("became leader", fence=self._lease.fence)
+                _log.info("tenure begun", fence=self._lease.fence)
             self._last_acquired = self._clock.monotonic()
             return True
         if (
@@ -180,5 +180,5 @@
     def _end(self, reason: str) -> None:
         self._lease.give_up()
         if self.active:
-            _log.info("leadership ended", fence=self._lease.fence, reason=reason)
+            _log.info("tenure ended", fence=self._lease.fence, reason=reason)
         self._last_acquired = None
--- a/src/pimentolatch/gateway/lease.py
+++ b/src/pimentolatch/gateway/lease.py
@@ -135,7 +135,7 @@
             self._version = 0
             return False
         if fence != self._fence:
-            _log.info("lease acquired", fence=fence)
+            _log.info("lease taken", fence=fence)
         self._version, self._fence = outcome.version, fence
         self._previous = previous
         self._valid_until = sent + self._handover_gap - _MARGIN
--- a/src/pimentolatch/gateway/peer_snapshots.py
+++ b/src/pimentolatch/gateway/peer_snapshots.py
@@ -180,7 +180,7 @@
             )
         elif store_watch.apply_configuration(self._fleet, snapshot.spec):
             _log.info(
-                "configuration fetched from peer",
+                "configuration from peer",
                 peer=name,
                 version=self._fleet.version,
             )
@@ -195,6 +195,4 @@
             )
         elif self._fleet.replace_servers(snapshot.revision, snapshot.listed):
             self._expired.replace(snapshot.expired, snapshot.expired)
-            _log.info(
-                "servers fetched from peer", peer=name, revision=snapshot.revision
-            )
+            _log.info("servers from peer", peer=name, revision=snapshot.revision)
--- a/src/pimentolatch/gateway/process.py
+++ b/src/pimentolatch/gateway/process.py
@@ -301,7 +301,7 @@
             datetime.timedelta(seconds=bounds.repeat_window_s),
         )
         _log.info(
-            "settings applied",
+            "settings in force",
             bounds=bounds.model_dump(),
             quarantine=after.quarantine.model_dump(),
         )
@@ -384,8 +384,6 @@
     """Reload the settings; invalid ones are rejected and the current ones stay."""
     chosen = checks.read_file(settings.GatewaySettings, settings_file)
     if isinstance(chosen, checks.Problems):
-        _log.error(
-            "invalid settings rejected; keeping the current ones", reason=str(chosen)
-        )
+        _log.error("settings refused, the old ones stay", reason=str(chosen))
         return
     instance.apply(chosen)
--- a/src/pimentolatch/gateway/quarantine.py
+++ b/src/pimentolatch/gateway/quarantine.py
@@ -199,9 +199,7 @@
         self, found: abc.Mapping[digests.RequestDigest, crash_suspects.Verdict]
     ) -> None:
         for digest in self._logged - found.keys():
-            _log.warn(
-                "request released from quarantine", digest=digests.digest_text(digest)
-            )
+            _log.warn("quarantine ended", digest=digests.digest_text(digest))
         for digest in found.keys() - self._logged:
             verdict = found[digest]
             _log.warn(
--- a/src/pimentolatch/gateway/stage_controller.py
+++ b/src/pimentolatch/gateway/stage_controller.py
@@ -146,7 +146,7 @@
             change.engine.started_ms,
         ):
             _log.info(
-                "stage change not ordered: engine has restarted",
+                "started again, no order",
                 server=server.server_id,
             )
             return False
@@ -166,7 +166,7 @@
             limit=_CALL_TIMEOUT,
         )
         _log.info(
-            "stage change ordered",
+            "stage ordered",
             server=server.server_id,
             stage=change.stage.value,
             fence=self._leadership.fence,
--- a/src/pimentolatch/gateway/store_watch.py
+++ b/src/pimentolatch/gateway/store_watch.py
@@ -77,7 +77,7 @@
             if isinstance(outcome, store.Unavailable):
                 if not self.unreachable:
                     _log.warn(
-                        "store unreachable; retrying with backoff",
+                        "store lost",
                         kind=self.kind,
                         reason=outcome.reason,
                     )
@@ -86,9 +86,7 @@
                 await self._clock.sleep(self._pause.next_pause())
                 continue
             if self.unreachable:
-                _log.info(
-                    "store reachable again", kind=self.kind, revision=self._revision
-                )
+                _log.info("store regained", kind=self.kind, revision=self._revision)
             self.unreachable = False
             self._on_response()
             self._pause.reset()
@@ -107,7 +105,7 @@
         if isinstance(outcome, store.Unavailable):
             return outcome
         if isinstance(outcome, store.HistoryGone):
-            _log.info("store history truncated; listing again", kind=self.kind)
+            _log.info("history gone, listing anew", kind=self.kind)
             self._revision = None
             return None
         self._revision = outcome.revision
--- a/src/pimentolatch/gateway/usage_exchange.py
+++ b/src/pimentolatch/gateway/usage_exchange.py
@@ -76,9 +76,7 @@
     def record_start(self, customer: str | None, moment: datetime.datetime) -> None:
         """See `UsageCounter.record_start`."""
         if customer is not None and not self._book.count_started(customer, moment):
-            _log.warn(
-                "request not counted: its usage window is closed", customer=customer
-            )
+            _log.warn("began in a window that has settled", customer=customer)
 
     async def run(self) -> None:
         """Send the counts periodically; runs until cancelled."""
--- a/src/pimentolatch/gateway/usage_reports.py
+++ b/src/pimentolatch/gateway/usage_reports.py
@@ -126,7 +126,7 @@
         if not await self._commit(window, dict(total.counts)):
             return None
         _log.info(
-            "usage counts of window committed",
+            "usage of a window fixed",
             window=window,
             requests=sum(count for _, count in total.counts),
             customers=len(total.counts),
@@ -142,7 +142,7 @@
             return True
         found = await self._store.get(_KIND, _NAME)
         if isinstance(found, store.Unavailable):
-            _log.warn("failed to read usage record from store", reason=found.reason)
+            _log.warn("usage record not read", reason=found.reason)
             return False
         self._record = _record_of(found)
         self._record_fence = self._leadership.fence
@@ -164,7 +164,7 @@
         # all: the record must be read again.
         self._record = None
         _log.warn(
-            "failed to write usage record; will read it again",
+            "usage record not written",
             window=window,
             reason=repr(outcome),
         )
--- a/src/pimentolatch/gateway/watch_controller.py
+++ b/src/pimentolatch/gateway/watch_controller.py
@@ -82,7 +82,7 @@
     def _start(self) -> None:
         if self._running:
             return
-        _log.info("started watching the store")
+        _log.info("reading the store")
         for watch in self._watches:
             supervised = tasks.keep_running(watch.kind, watch.run, self._clock)
             self._running.append(asyncio.create_task(supervised))
@@ -91,7 +91,7 @@
         if not self._running:
             return
         _log.info(
-            "stopped watching the store; other instances watch it",
+            "leaving the store to others",
             readers=self._table.readers(),
         )
         for task in self._running:
