--- a/benchmarks/slopes_state.py
+++ b/benchmarks/slopes_state.py
@@ -19,7 +19,7 @@
 from pimentolatch.control import heads, keeper, parts
 from pimentolatch.decisions import dispatcher, lanes
 from pimentolatch.document import schema
-from pimentolatch.requests import claims
+from pimentolatch.requests import key_claims
 from standins import memory_store
 from standins import objects as table
 
@@ -176,26 +176,26 @@
 async def _claim_bytes(held: int) -> float:
     objects = _CountingStore(table.ObjectTable(), time=clock.SystemClock())
     address = settings.Address(host="127.0.0.1", port=8080)
-    owner = claims.Owner("entry-1/1a2387d45d0-d0a9304e", address)
-    pages = claims.ClaimPages(objects, owner, clock.SystemClock())
+    owner = key_claims.Owner("entry-1/1a2387d45d0-d0a9304e", address)
+    pages = key_claims.ClaimPages(objects, owner, clock.SystemClock())
     first = _key_hash(0)
     page = [
-        claims.Claim(
+        key_claims.Claim(
             first[:8] + _key_hash(n + 1)[8:],
             _key_hash(n),
             f"{n:032x}",
             None,
-            datetime.datetime.now(datetime.UTC) - 2 * claims.ANSWER_KEPT,
+            datetime.datetime.now(datetime.UTC) - 2 * key_claims.ANSWER_RETENTION,
             "answered",
         ).to_json()
         for n in range(held)
     ]
     if page:
-        name = claims.page_of(first)
-        await objects.put(claims.KIND, name, {"claims": page}, if_version=0)
+        name = key_claims.page_of(first)
+        await objects.put(key_claims.KIND, name, {"claims": page}, if_version=0)
     objects.moved = 0
     outcome = await pages.claim(first, "fingerprint")
-    if not isinstance(outcome, claims.Held):
+    if not isinstance(outcome, key_claims.Claimed):
         raise RuntimeError(f"the claim failed: {outcome}")
     await pages.settle(outcome.claim, "answered", None)
     return float(objects.moved)
--- a/src/pimentolatch/backend/channel.py
+++ b/src/pimentolatch/backend/channel.py
@@ -18,7 +18,7 @@
 from pimentolatch import settings
 
 __all__ = [
-    "AnswerStart",
+    "ResponseHead",
     "BrokenError",
     "Channel",
     "ChannelPool",
@@ -33,12 +33,12 @@
 _PROBE_AFTER_S = 1
 _PROBE_EVERY_S = 1
 _PROBES = 2
-_UNACKNOWLEDGED_MS = 3000
+_USER_TIMEOUT_MS = 3000
 # Kept connections close this much before the time that the server states, so that a
 # request does not cross the server's close.
-_KEEP_MARGIN = datetime.timedelta(milliseconds=700)
-_KEEP_DEFAULT = datetime.timedelta(seconds=4)
-_IDLE_PER_SERVER = 128
+_KEEP_ALIVE_MARGIN = datetime.timedelta(milliseconds=700)
+_DEFAULT_KEEP_ALIVE = datetime.timedelta(seconds=4)
+_MAX_IDLE_PER_SERVER = 128
 # SO_LINGER on with no time: closing drops what is unsent and resets the connection.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
@@ -52,9 +52,9 @@
         silent: The other side did not answer; else it turned the connection away.
     """
 
-    def __init__(self, reason: str, *, silent: bool = False) -> None:
+    def __init__(self, reason: str, *, unresponsive: bool = False) -> None:
         super().__init__(reason)
-        self.silent = silent
+        self.unresponsive = unresponsive
 
 
 class BrokenError(Exception):
@@ -62,19 +62,19 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerStart:
+class ResponseHead:
     """Status and header of an answer, with lower-case names."""
 
     status: int
     fields: tuple[tuple[bytes, bytes], ...]
 
 
-class _Wire(asyncio.Protocol):
+class _ByteStream(asyncio.Protocol):
     """The bytes of one connection, handed over when they are asked for."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.waiting = bytearray()
+        self.received = bytearray()
         self.ended = False
         self.error: Exception | None = None
         self._waiter: asyncio.Future[None] | None = None
@@ -85,8 +85,8 @@
 
     def data_received(self, data: bytes) -> None:
         """Keep what arrived; stop reading when too much waits."""
-        self.waiting += data
-        if len(self.waiting) > _READ_BUFFER_BYTES and self.transport is not None:
+        self.received += data
+        if len(self.received) > _READ_BUFFER_BYTES and self.transport is not None:
             self.transport.pause_reading()
         self._wake()
 
@@ -105,15 +105,15 @@
 
     async def read(self) -> bytes:
         """Return what arrived; empty at the end; raises `OSError` after a reset."""
-        while not self.waiting and not self.ended:
+        while not self.received and not self.ended:
             self._waiter = asyncio.get_running_loop().create_future()
             try:
                 await self._waiter
             finally:
                 self._waiter = None
-        if self.waiting:
-            data = bytes(self.waiting)
-            self.waiting.clear()
+        if self.received:
+            data = bytes(self.received)
+            self.received.clear()
             if self.transport is not None and not self.transport.is_closing():
                 self.transport.resume_reading()
             return data
@@ -129,11 +129,11 @@
 class Channel:
     """One connection; `send`, `start` and `read` are one exchange."""
 
-    def __init__(self, wire: _Wire) -> None:
-        self._wire = wire
+    def __init__(self, stream: _ByteStream) -> None:
+        self._stream = stream
         self._parser = h11.Connection(h11.CLIENT)
         self._request: h11.Request | None = None
-        self.keep_for: datetime.timedelta = _KEEP_DEFAULT
+        self.keep_alive: datetime.timedelta = _DEFAULT_KEEP_ALIVE
 
     @property
     def reusable(self) -> bool:
@@ -142,14 +142,14 @@
         Bytes that nobody asked for, or a body that the server has not taken whole,
         would be read as part of the next exchange.
         """
-        wire = self._wire
+        stream = self._stream
         return (
-            wire.transport is not None
-            and not wire.transport.is_closing()
-            and not wire.ended
-            and not wire.waiting
+            stream.transport is not None
+            and not stream.transport.is_closing()
+            and not stream.ended
+            and not stream.received
             and not self._parser.trailing_data[0]
-            and wire.transport.get_write_buffer_size() == 0
+            and stream.transport.get_write_buffer_size() == 0
             and self._parser.our_state is h11.DONE
             and self._parser.their_state is h11.DONE
         )
@@ -157,8 +157,8 @@
     @property
     def idle(self) -> bool:
         """Whether a kept connection still stands and is silent."""
-        wire = self._wire
-        return not wire.ended and not wire.waiting
+        stream = self._stream
+        return not stream.ended and not stream.received
 
     def send(self, method: str, target: bytes, fields: Fields, body: bytes) -> None:
         """Send a request; raises `ValueError` before any byte if it is malformed."""
@@ -175,17 +175,17 @@
             data += self._parser.send(h11.EndOfMessage())
         except h11.LocalProtocolError as error:
             raise ValueError(str(error)) from error
-        assert self._wire.transport is not None
-        self._wire.transport.write(data)
+        assert self._stream.transport is not None
+        self._stream.transport.write(data)
 
-    async def start(self) -> AnswerStart:
+    async def read_head(self) -> ResponseHead:
         """Wait for the header of the answer; raises `BrokenError`."""
         while True:
             event = await self._event()
             if isinstance(event, h11.Response):
                 fields = tuple(event.headers)
-                self._note_keeping(fields)
-                return AnswerStart(event.status_code, fields)
+                self._read_keep_alive(fields)
+                return ResponseHead(event.status_code, fields)
             if not isinstance(event, h11.InformationalResponse):
                 raise BrokenError("no answer")
 
@@ -198,16 +198,16 @@
             return b""
         raise BrokenError("the answer broke off")
 
-    async def read_whole(self, most_bytes: int | None = None) -> bytes:
+    async def read_body(self, max_bytes: int | None = None) -> bytes:
         """Return the rest of the body; raises `BrokenError`, also beyond the bound."""
         content = bytearray()
         while part := await self.read():
             content += part
-            if most_bytes is not None and len(content) > most_bytes:
+            if max_bytes is not None and len(content) > max_bytes:
                 raise BrokenError("the answer is too large to be held")
         return bytes(content)
 
-    def skip_answer(self) -> None:
+    def skip_response(self) -> None:
         """Take the answer just read for somebody else's and expect another one.
 
         A server may answer an earlier request once more where the next answer is due.
@@ -221,24 +221,24 @@
             self._parser.send(h11.Data(bytes(int(length))))
         self._parser.send(h11.EndOfMessage())
         if rest:
-            self._feed(rest)
+            self._parse(rest)
 
     def close(self) -> None:
         """Close the connection; a server then stops working on its request.
 
         It is reset, not ended in order; see `_reset_on_close`.
         """
-        if self._wire.transport is not None:
-            self._wire.transport.abort()
+        if self._stream.transport is not None:
+            self._stream.transport.abort()
 
-    def _note_keeping(self, fields: Fields) -> None:
+    def _read_keep_alive(self, fields: Fields) -> None:
         for name, value in fields:
             if name == b"keep-alive":
                 for item in value.split(b","):
                     key, _, seconds = item.strip().partition(b"=")
                     if key.lower() == b"timeout" and seconds.isdigit():
                         stated = datetime.timedelta(seconds=int(seconds))
-                        self.keep_for = stated - _KEEP_MARGIN
+                        self.keep_alive = stated - _KEEP_ALIVE_MARGIN
 
     async def _event(self) -> typing.Any:
         while True:
@@ -249,12 +249,12 @@
             if event is not h11.NEED_DATA:
                 return event
             try:
-                data = await self._wire.read()
+                data = await self._stream.read()
             except OSError as error:
                 raise BrokenError(repr(error)) from error
-            self._feed(data)
+            self._parse(data)
 
-    def _feed(self, data: bytes) -> None:
+    def _parse(self, data: bytes) -> None:
         try:
             self._parser.receive_data(data)
         except h11.RemoteProtocolError as error:
@@ -266,16 +266,16 @@
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(limit.total_seconds()):
-            transport, wire = await loop.create_connection(
-                _Wire, address.host, address.port
+            transport, stream = await loop.create_connection(
+                _ByteStream, address.host, address.port
             )
     except (OSError, TimeoutError) as error:
-        silent = isinstance(error, TimeoutError)
-        raise ConnectError(repr(error), silent=silent) from error
+        unresponsive = isinstance(error, TimeoutError)
+        raise ConnectError(repr(error), unresponsive=unresponsive) from error
     sock = transport.get_extra_info("socket")
-    _probe_silence(sock)
+    _enable_tcp_keepalive(sock)
     _reset_on_close(sock)
-    return Channel(wire)
+    return Channel(stream)
 
 
 def _reset_on_close(sock: socket.socket) -> None:
@@ -290,19 +290,19 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
 
 
-def _probe_silence(sock: socket.socket) -> None:
+def _enable_tcp_keepalive(sock: socket.socket) -> None:
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
         (socket.TCP_KEEPIDLE, _PROBE_AFTER_S),
         (socket.TCP_KEEPINTVL, _PROBE_EVERY_S),
         (socket.TCP_KEEPCNT, _PROBES),
-        (socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS),
+        (socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS),
     ):
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
 
 
 @dataclasses.dataclass(slots=True)
-class _Kept:
+class _IdleConnection:
     channel: Channel
     since: datetime.timedelta
 
@@ -316,15 +316,15 @@
 
     def __init__(self, connect_limit: datetime.timedelta) -> None:
         self._connect_limit = connect_limit
-        self._kept: dict[abc.Hashable, list[_Kept]] = {}
+        self._idle: dict[abc.Hashable, list[_IdleConnection]] = {}
 
-    async def take(
+    async def acquire(
         self,
         server: abc.Hashable,
         address: settings.Address,
         now: datetime.timedelta,
         *,
-        longest_idle: datetime.timedelta | None = None,
+        max_idle: datetime.timedelta | None = None,
     ) -> Channel:
         """Return a kept connection or a new one; raises `ConnectError`.
 
@@ -332,32 +332,32 @@
             server: Key of the connections.
             address: Where the server is.
             now: The time.
-            longest_idle: Do not use a connection that was idle for longer.
+            max_idle: Do not use a connection that was idle for longer.
         """
-        kept = self._kept.get(server, [])
-        while kept:
-            entry = kept.pop()
+        idle_connections = self._idle.get(server, [])
+        while idle_connections:
+            entry = idle_connections.pop()
             idle = now - entry.since
-            fresh = longest_idle is None or idle <= longest_idle
-            if entry.channel.idle and idle < entry.channel.keep_for and fresh:
+            fresh = max_idle is None or idle <= max_idle
+            if entry.channel.idle and idle < entry.channel.keep_alive and fresh:
                 return entry.channel
             entry.channel.close()
         return await connect(address, self._connect_limit)
 
-    def give_back(
+    def release(
         self, server: abc.Hashable, channel: Channel, now: datetime.timedelta
     ) -> None:
         """Keep a connection if another request may use it; else close it."""
-        kept = self._kept.setdefault(server, [])
-        if channel.reusable and len(kept) < _IDLE_PER_SERVER:
-            kept.append(_Kept(channel, now))
+        idle_connections = self._idle.setdefault(server, [])
+        if channel.reusable and len(idle_connections) < _MAX_IDLE_PER_SERVER:
+            idle_connections.append(_IdleConnection(channel, now))
         else:
             channel.close()
 
     def retain(self, servers: abc.Container[abc.Hashable]) -> None:
         """Close the kept connections of all other servers."""
-        for server in [name for name in self._kept if name not in servers]:
-            for entry in self._kept.pop(server):
+        for server in [name for name in self._idle if name not in servers]:
+            for entry in self._idle.pop(server):
                 entry.channel.close()
 
     def close(self) -> None:
--- a/src/pimentolatch/backend/connections.py
+++ b/src/pimentolatch/backend/connections.py
@@ -111,7 +111,7 @@
 
 
 def timeouts(
-    *, connect: datetime.timedelta, silence: datetime.timedelta
+    *, connect: datetime.timedelta, response_timeout: datetime.timedelta
 ) -> aiosonic.timeout.Timeouts:
     """Return time limits on connecting and on waiting for the answer's first line.
 
@@ -119,7 +119,7 @@
     """
     return aiosonic.timeout.Timeouts(
         sock_connect=connect.total_seconds(),
-        sock_read=silence.total_seconds(),
+        sock_read=response_timeout.total_seconds(),
         request_timeout=None,
     )
 
--- a/src/pimentolatch/backend/engine.py
+++ b/src/pimentolatch/backend/engine_client.py
@@ -71,11 +71,13 @@
         sender: str,
         *,
         connect: datetime.timedelta = datetime.timedelta(seconds=1),
-        silence: datetime.timedelta = datetime.timedelta(seconds=600),
+        response_timeout: datetime.timedelta = datetime.timedelta(seconds=600),
     ) -> None:
         self._headers = _HEADERS | {"x-instance": sender}
         self._client = connections.client(reuse=True)
-        self._timeouts = connections.timeouts(connect=connect, silence=silence)
+        self._timeouts = connections.timeouts(
+            connect=connect, response_timeout=response_timeout
+        )
 
     async def aclose(self) -> None:
         """Close the connections."""
@@ -101,10 +103,10 @@
             yield outcomes.NotRun(repr(error), reached=False)
             return
         except connections.ANSWER_FAILURES as error:
-            yield outcomes.Broken(repr(error), connection_lost=True)
+            yield outcomes.OutcomeUnknown(repr(error), connection_lost=True)
             return
         if response.status_code != 200:
-            yield await _refused(response)
+            yield await _parse_refusal(response)
             return
         events = checked_events(response, dispatch)
         async with contextlib.aclosing(events):
@@ -122,15 +124,15 @@
             )
 
 
-async def _refused(response: aiosonic.HttpResponse) -> outcomes.EngineEvent:
+async def _parse_refusal(response: aiosonic.HttpResponse) -> outcomes.EngineEvent:
     try:
         body = json.loads(await response.content())
     except connections.ANSWER_FAILURES as error:
-        return outcomes.Broken(repr(error))
+        return outcomes.OutcomeUnknown(repr(error))
     reason = f"status {response.status_code}: {body}"
     if isinstance(body, dict) and body.get("ran") is False:
         return outcomes.NotRun(reason, reached=True)
-    return outcomes.Broken(reason)
+    return outcomes.OutcomeUnknown(reason)
 
 
 async def checked_events(
@@ -142,25 +144,25 @@
     token is most of what a token costs an instance.
     """
     expected = dispatch.offset
-    reads = _reads(response)
+    batches = _event_batches(response)
     try:
-        async with contextlib.aclosing(reads):
-            async for events in reads:
-                text, end = _joined(events, dispatch.dispatch_id, expected)
+        async with contextlib.aclosing(batches):
+            async for events in batches:
+                text, end = _join(events, dispatch.dispatch_id, expected)
                 if text:
                     yield outcomes.Chunk(expected, "".join(text), len(text))
                     expected += len(text)
                 if end is not None:
-                    await _drain(reads)
+                    await _drain(batches)
                     yield end
                     return
     except connections.ANSWER_FAILURES as error:
-        yield outcomes.Broken(repr(error), connection_lost=True)
+        yield outcomes.OutcomeUnknown(repr(error), connection_lost=True)
         return
-    yield outcomes.Broken("no terminal marker")
+    yield outcomes.OutcomeUnknown("no terminal marker")
 
 
-async def _drain(reads: abc.AsyncGenerator[typing.Any, None]) -> None:
+async def _drain(batches: abc.AsyncGenerator[typing.Any, None]) -> None:
     """Read the end of the HTTP body, which mostly came along with the last event.
 
     A connection whose body was not read to its end can't be used again, so each
@@ -168,11 +170,11 @@
     """
     with contextlib.suppress(*connections.ANSWER_FAILURES):
         async with asyncio.timeout(_DRAIN_SECONDS):
-            async for _ in reads:
+            async for _ in batches:
                 pass
 
 
-def _joined(
+def _join(
     events: list[bytes], dispatch_id: str, expected: int
 ) -> tuple[list[str], outcomes.EngineEvent | None]:
     """Return the tokens of one read that follow on, and the stream's end if seen.
@@ -193,24 +195,24 @@
             elif event["offset"] < following:
                 _log.warn("repeated event dropped", dispatch=dispatch_id)
             elif event["offset"] > following:
-                return text, outcomes.Broken(f"gap at token {following}")
+                return text, outcomes.OutcomeUnknown(f"gap at token {following}")
             else:
                 text.append(str(event["token"]))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            return text, outcomes.Broken(f"malformed event: {error!r}")
+            return text, outcomes.OutcomeUnknown(f"malformed event: {error!r}")
     return text, None
 
 
 def _end(length: int, received: int) -> outcomes.EngineEvent:
     if length == received:
         return outcomes.Finished(length)
-    return outcomes.Broken(f"{received} tokens of {length}")
+    return outcomes.OutcomeUnknown(f"{received} tokens of {length}")
 
 
-async def _reads(
+async def _event_batches(
     response: aiosonic.HttpResponse,
 ) -> abc.AsyncGenerator[list[bytes], None]:
-    waiting = b""
+    incomplete = b""
     chunks = typing.cast(abc.AsyncGenerator[bytes, None], response.read_chunks())
     async with contextlib.aclosing(chunks):
         async for chunk in chunks:
@@ -220,6 +222,6 @@
                 if not connections.has_unread(response):
                     break
                 chunk += await anext(chunks, b"")
-            *whole, waiting = (waiting + chunk).split(_EVENT_END)
-            if whole:
-                yield whole
+            *events, incomplete = (incomplete + chunk).split(_EVENT_END)
+            if events:
+                yield events
--- a/src/pimentolatch/backend/instance.py
+++ b/src/pimentolatch/backend/instance_client.py
@@ -61,7 +61,9 @@
 
     async def forward(
         self, address: settings.Address, call: Forward
-    ) -> outcomes.Answered | results.Refusal | outcomes.NotRun | outcomes.Broken:
+    ) -> (
+        outcomes.Response | results.Refusal | outcomes.NotRun | outcomes.OutcomeUnknown
+    ):
         """Pass a call on and wait for the owner's answer.
 
         Sending it twice is harmless, since the owner runs a key once; so connections
@@ -79,7 +81,9 @@
         if call.authorization is not None:
             headers["authorization"] = call.authorization
         connect = min(self._connect, call.time_limit / 2)
-        timeouts = connections.timeouts(connect=connect, silence=call.time_limit)
+        timeouts = connections.timeouts(
+            connect=connect, response_timeout=call.time_limit
+        )
         url = f"{address.url}/v1/services/{call.service}/{call.operation}"
         try:
             async with asyncio.timeout(call.time_limit.total_seconds()):
@@ -90,18 +94,18 @@
         except connections.CONNECT_FAILURES as error:
             return outcomes.NotRun(repr(error), reached=False)
         except connections.ANSWER_FAILURES as error:
-            return outcomes.Broken(repr(error))
-        return _checked(response, body)
+            return outcomes.OutcomeUnknown(repr(error))
+        return _parse_response(response, body)
 
 
-def _checked(
+def _parse_response(
     response: aiosonic.HttpResponse, body: bytes
-) -> outcomes.Answered | results.Refusal | outcomes.Broken:
+) -> outcomes.Response | results.Refusal | outcomes.OutcomeUnknown:
     if not connections.has_framed_body(response):
-        return outcomes.Broken("the answer's headers were cut")
+        return outcomes.OutcomeUnknown("the answer's headers were cut")
     if results.RESULT_HEADER not in response.headers:
         content_type = str(response.headers.get("content-type", ""))
-        return outcomes.Answered(response.status_code, body, content_type)
+        return outcomes.Response(response.status_code, body, content_type)
     try:
         error = json.loads(body)["error"]
         seconds = error.get("retry_after_seconds")
@@ -112,4 +116,4 @@
             None if seconds is None else datetime.timedelta(seconds=seconds),
         )
     except (ValueError, KeyError, TypeError) as problem:
-        return outcomes.Broken(f"malformed refusal: {problem!r}")
+        return outcomes.OutcomeUnknown(f"malformed refusal: {problem!r}")
--- a/src/pimentolatch/backend/kv.py
+++ b/src/pimentolatch/backend/kv_client.py
@@ -13,7 +13,7 @@
 from pimentolatch import settings
 from pimentolatch.backend import connections
 
-__all__ = ["Handle", "KvClient", "NotMoved"]
+__all__ = ["Handle", "KvClient", "NotTransferred"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NotMoved:
+class NotTransferred:
     """The cache did not get there; the answering engine reads the prompt itself."""
 
     reason: str
@@ -51,35 +51,38 @@
         """Close the connections."""
         await self._client.connector.cleanup()
 
-    async def move(
+    async def transfer(
         self,
-        reader: settings.Address,
-        answering: settings.Address,
+        prefill_engine: settings.Address,
+        decode_engine: settings.Address,
         model: str,
         prompt: str,
         limit: datetime.timedelta,
-    ) -> Handle | NotMoved:
+    ) -> Handle | NotTransferred:
         """Read a prompt at `reader` and let `answering` fetch its cache.
 
         Args:
-            reader: Engine that reads the prompt.
-            answering: Engine that fetches the cache.
+            prefill_engine: Engine that prefills the prompt.
+            decode_engine: Engine that fetches the cache.
             model: Model that both hold.
             prompt: The whole prompt.
             limit: Longest wait for each of the two steps.
         """
         exported = await self._call(
-            reader, "/v1/kv/export", {"model": model, "prompt": prompt}, limit
+            prefill_engine, "/v1/kv/export", {"model": model, "prompt": prompt}, limit
         )
-        if isinstance(exported, NotMoved):
+        if isinstance(exported, NotTransferred):
             return exported
         handle = exported.get("kv")
         if not isinstance(handle, str):
-            return NotMoved("the export gave no handle")
+            return NotTransferred("the export gave no handle")
         fetched = await self._call(
-            answering, "/v1/kv/import", {"kv": handle, "source": reader.url}, limit
+            decode_engine,
+            "/v1/kv/import",
+            {"kv": handle, "source": prefill_engine.url},
+            limit,
         )
-        return fetched if isinstance(fetched, NotMoved) else Handle(handle)
+        return fetched if isinstance(fetched, NotTransferred) else Handle(handle)
 
     async def _call(
         self,
@@ -87,17 +90,19 @@
         path: str,
         body: dict[str, typing.Any],
         limit: datetime.timedelta,
-    ) -> dict[str, typing.Any] | NotMoved:
+    ) -> dict[str, typing.Any] | NotTransferred:
         try:
             response = await self._client.post(
                 address.url + path,
                 data=json.dumps(body).encode(),
                 headers=self._headers,
-                timeouts=connections.timeouts(connect=self._connect, silence=limit),
+                timeouts=connections.timeouts(
+                    connect=self._connect, response_timeout=limit
+                ),
             )
             if response.status_code != 200:
-                return NotMoved(f"status {response.status_code}")
+                return NotTransferred(f"status {response.status_code}")
             found = json.loads(await response.content())
         except connections.ANSWER_FAILURES as error:
-            return NotMoved(repr(error))
-        return found if isinstance(found, dict) else NotMoved("no object")
+            return NotTransferred(repr(error))
+        return found if isinstance(found, dict) else NotTransferred("no object")
--- a/src/pimentolatch/backend/orders.py
+++ b/src/pimentolatch/backend/order_client.py
@@ -139,7 +139,7 @@
         exchange: _Exchange | None = None
         try:
             async with asyncio.timeout(_CONNECT_LIMIT.total_seconds()):
-                exchange = await _connected(address)
+                exchange = await _connect(address)
                 await exchange.send(self._request(address, "GET", "/v1/state", ()))
                 await exchange.send(h11.EndOfMessage())
                 status, body = await exchange.answer()
@@ -166,7 +166,7 @@
         exchange: _Exchange | None = None
         try:
             async with asyncio.timeout(_CONNECT_LIMIT.total_seconds()):
-                exchange = await _connected(address)
+                exchange = await _connect(address)
                 await exchange.send(head)
                 event = await exchange.next_event()
         except _CALL_FAILURES as error:
@@ -262,6 +262,6 @@
             await self._writer.wait_closed()
 
 
-async def _connected(address: settings.Address) -> _Exchange:
+async def _connect(address: settings.Address) -> _Exchange:
     reader, writer = await asyncio.open_connection(address.host, address.port)
     return _Exchange(reader, writer)
--- a/src/pimentolatch/backend/outcomes.py
+++ b/src/pimentolatch/backend/outcomes.py
@@ -3,8 +3,8 @@
 import dataclasses
 
 __all__ = [
-    "Answered",
-    "Broken",
+    "Response",
+    "OutcomeUnknown",
     "Chunk",
     "EngineEvent",
     "Finished",
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Broken:
+class OutcomeUnknown:
     """The answer ended before its end; the request may have run.
 
     Attributes:
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answered:
+class Response:
     """A plain service's whole answer."""
 
     status: int
@@ -63,5 +63,5 @@
     content_type: str
 
 
-EngineEvent = Chunk | Finished | NotRun | Broken
-ServiceOutcome = Answered | NotRun | Broken
+EngineEvent = Chunk | Finished | NotRun | OutcomeUnknown
+ServiceOutcome = Response | NotRun | OutcomeUnknown
--- a/src/pimentolatch/backend/plain.py
+++ b/src/pimentolatch/backend/plain_client.py
@@ -75,7 +75,9 @@
         # Half of the time at most goes to connecting, so that running out of it while
         # connecting is seen as such and not mistaken for a lost answer.
         connect = min(self._connect, call.time_limit / 2)
-        timeouts = connections.timeouts(connect=connect, silence=call.time_limit)
+        timeouts = connections.timeouts(
+            connect=connect, response_timeout=call.time_limit
+        )
         try:
             async with asyncio.timeout(call.time_limit.total_seconds()):
                 response = await client.post(
@@ -85,21 +87,21 @@
         except connections.CONNECT_FAILURES as error:
             return outcomes.NotRun(repr(error), reached=False)
         except connections.ANSWER_FAILURES as error:
-            return outcomes.Broken(repr(error))
-        return _checked(call, response, body)
+            return outcomes.OutcomeUnknown(repr(error))
+        return _parse_response(call, response, body)
 
 
-def _checked(
+def _parse_response(
     call: Call, response: aiosonic.HttpResponse, body: bytes
 ) -> outcomes.ServiceOutcome:
     if not connections.has_framed_body(response):
-        return outcomes.Broken("the answer's headers were cut")
-    answered = response.headers.get(_DISPATCH_HEADER, call.dispatch_id)
-    if answered != call.dispatch_id:
-        return outcomes.Broken("crossed answer")
+        return outcomes.OutcomeUnknown("the answer's headers were cut")
+    dispatch_id = response.headers.get(_DISPATCH_HEADER, call.dispatch_id)
+    if dispatch_id != call.dispatch_id:
+        return outcomes.OutcomeUnknown("crossed answer")
     if response.status_code == 503 and _says_not_run(body):
         return outcomes.NotRun("refused by the server", reached=True)
-    return outcomes.Answered(response.status_code, body, _content_type(response))
+    return outcomes.Response(response.status_code, body, _content_type(response))
 
 
 def _says_not_run(body: bytes) -> bool:
--- a/src/pimentolatch/control/drain.py
+++ b/src/pimentolatch/control/drain.py
@@ -11,7 +11,7 @@
 from collections import abc
 
 from pimentolatch import store
-from pimentolatch.backend import orders as order_client
+from pimentolatch.backend import order_client
 from pimentolatch.control import slots, targets
 from pimentolatch.document import schema
 from pimentolatch.membership import views
--- a/src/pimentolatch/control/orders.py
+++ b/src/pimentolatch/control/orders.py
@@ -9,7 +9,7 @@
 import datetime
 import typing
 
-from pimentolatch.backend import orders as order_client
+from pimentolatch.backend import order_client
 from pimentolatch.control import slots
 from pimentolatch.document import schema
 from pimentolatch.requests import identity
--- a/src/pimentolatch/control/reconciler.py
+++ b/src/pimentolatch/control/reconciler.py
@@ -12,7 +12,7 @@
 import datetime
 from collections import abc
 
-from pimentolatch.backend import orders as order_client
+from pimentolatch.backend import order_client
 from pimentolatch.control import allowance, drain, orders, slots, targets
 from pimentolatch.decisions import roles
 from pimentolatch.document import schema
--- a/src/pimentolatch/control/targets.py
+++ b/src/pimentolatch/control/targets.py
@@ -1,6 +1,6 @@
 """What each engine is meant to be, from the document, its slot and the planner."""
 
-from pimentolatch.backend import orders as order_client
+from pimentolatch.backend import order_client
 from pimentolatch.control import slots
 from pimentolatch.document import schema
 
--- a/src/pimentolatch/control/tenure.py
+++ b/src/pimentolatch/control/tenure.py
@@ -16,7 +16,7 @@
 
 from pimentolatch import clock, fleet, store
 from pimentolatch.audit import trail
-from pimentolatch.backend import orders as order_client
+from pimentolatch.backend import order_client
 from pimentolatch.control import (
     drain,
     known_slots,
--- a/src/pimentolatch/decisions/dispatcher.py
+++ b/src/pimentolatch/decisions/dispatcher.py
@@ -7,8 +7,8 @@
 enters the queue of its model, since engines of one model are of no use to requests for
 another.
 
-It neither waits nor sends: `requests.schedule` does that in an instance, and tests
-drive it with a clock of their own.
+It neither waits nor sends: `requests.completion_scheduler` does that in an instance,
+and tests drive it with a clock of their own.
 """
 
 import dataclasses
@@ -231,13 +231,13 @@
         now: datetime.timedelta,
     ) -> None:
         """Count a dispatch as ended; the outcome is None if the caller disconnected."""
-        failed = isinstance(outcome, outcomes.Broken | outcomes.NotRun)
+        failed = isinstance(outcome, outcomes.OutcomeUnknown | outcomes.NotRun)
         over = self._dispatches.end(request_id, now, failed=failed)
         held = self._held.get(request_id)
         if over is None or held is None:
             return
         held.delivered += over.tokens
-        held.maybe_ran |= isinstance(outcome, outcomes.Broken)
+        held.maybe_ran |= isinstance(outcome, outcomes.OutcomeUnknown)
         if failed:
             self._prefixes.forget(over.engine)
         elif isinstance(outcome, outcomes.Finished):
--- a/src/pimentolatch/decisions/engine_selection.py
+++ b/src/pimentolatch/decisions/engine_selection.py
@@ -32,7 +32,8 @@
 # before their deadline.
 _SLOW_FACTOR = 1.5
 # A probe to an unresponsive engine costs the limit on the first token (5 s and three
-# times the prefill, see `requests.stream`) before the stream is resumed elsewhere.
+# times the prefill, see `requests.completion_stream`) before the stream is resumed
+# elsewhere.
 _PROBE_SPARE = datetime.timedelta(seconds=10)
 
 
--- a/src/pimentolatch/decisions/retries.py
+++ b/src/pimentolatch/decisions/retries.py
@@ -9,7 +9,7 @@
 if everything fails. Two kinds are free: a stream that already gave tokens is resumed,
 since dropping it would waste them, and a server that certainly did not run the
 request cost no engine time. Both are bounded by the attempts of one request.
-`requests.stream` draws the pauses in between.
+`requests.completion_stream` draws the pauses in between.
 
 A request that may not be repeated is never tried again once a byte of it was sent; the
 request layer decides that, before it asks here.
--- a/src/pimentolatch/entry/answers.py
+++ b/src/pimentolatch/entry/answers.py
@@ -11,9 +11,9 @@
 from starlette import responses
 
 from pimentolatch import clock, metrics, results, waits
-from pimentolatch.backend import instance
+from pimentolatch.backend import instance_client
 from pimentolatch.entry import guard
-from pimentolatch.requests import stream
+from pimentolatch.requests import completion_stream
 
 __all__ = ["CompletionAnswer", "refusal_response"]
 
@@ -45,7 +45,7 @@
         seconds = max(1, round(refusal.retry_after.total_seconds()))
         headers["retry-after"] = str(seconds)
     if request_id is not None:
-        headers[instance.REQUEST_ID_HEADER] = request_id
+        headers[instance_client.REQUEST_ID_HEADER] = request_id
     if refusal.code in _CLOSING_CODES:
         headers["connection"] = "close"
     return responses.JSONResponse(
@@ -71,8 +71,8 @@
 
     def __init__(
         self,
-        asked: stream.Completion,
-        events: abc.AsyncGenerator[stream.CompletionEvent, None],
+        asked: completion_stream.Completion,
+        events: abc.AsyncGenerator[completion_stream.CompletionEvent, None],
         *,
         streamed: bool,
         release: contextlib.ExitStack,
@@ -114,9 +114,11 @@
             response = await self._whole(first)
             await response(scope, receive, send)
 
-    async def _whole(self, event: stream.CompletionEvent) -> responses.Response:
+    async def _whole(
+        self, event: completion_stream.CompletionEvent
+    ) -> responses.Response:
         text: list[str] = []
-        while isinstance(event, stream.Delta):
+        while isinstance(event, completion_stream.Delta):
             text.append(event.text)
             event = await anext(self._events)
         request_id = self._asked.request_id
@@ -126,22 +128,22 @@
         self._ended(event)
         return responses.JSONResponse(
             self._body("".join(text), event),
-            headers={instance.REQUEST_ID_HEADER: request_id},
+            headers={instance_client.REQUEST_ID_HEADER: request_id},
         )
 
     async def _stream(
-        self, event: stream.CompletionEvent, scope: Scope, send: Send
+        self, event: completion_stream.CompletionEvent, scope: Scope, send: Send
     ) -> None:
         request_id = self._asked.request_id
         headers = [
             *_STREAM_HEADERS,
-            (instance.REQUEST_ID_HEADER.encode(), request_id.encode()),
+            (instance_client.REQUEST_ID_HEADER.encode(), request_id.encode()),
         ]
         await send({"type": "http.response.start", "status": 200, "headers": headers})
         limits = waits.Waits()
         before = f'data: {{"id": "{request_id}", "choices": [{{"index": 0, "text": '
         try:
-            while isinstance(event, stream.Delta):
+            while isinstance(event, completion_stream.Delta):
                 text = (
                     f'{before}{json.dumps(event.text)}, "finish_reason": null}}]}}\n\n'
                 )
@@ -160,7 +162,7 @@
         finally:
             limits.close()
 
-    def _last_events(self, event: stream.Ended | results.Refusal) -> str:
+    def _last_events(self, event: completion_stream.Ended | results.Refusal) -> str:
         if isinstance(event, results.Refusal):
             self._count(event.code)
             return f"data: {json.dumps(event.to_json())}\n\n"
@@ -168,7 +170,7 @@
         body = json.dumps(self._body("", event))
         return f"data: {body}\n\ndata: [DONE]\n\n"
 
-    def _body(self, text: str, ended: stream.Ended) -> dict[str, typing.Any]:
+    def _body(self, text: str, ended: completion_stream.Ended) -> dict[str, typing.Any]:
         choice = {"index": 0, "text": text, "finish_reason": "stop"}
         return {
             "id": self._asked.request_id,
@@ -178,7 +180,7 @@
             "usage": {"completion_tokens": ended.length},
         }
 
-    def _ended(self, event: stream.Ended) -> None:
+    def _ended(self, event: completion_stream.Ended) -> None:
         self._count(results.ResultCode.OK)
         self._metrics.resumed.inc(event.resumptions)
 
--- a/src/pimentolatch/entry/callers.py
+++ b/src/pimentolatch/entry/callers.py
@@ -11,9 +11,9 @@
 from starlette import applications, exceptions, requests, responses, routing
 
 from pimentolatch import clock, fleet, index, metrics, results, settings
-from pimentolatch.backend import instance, outcomes
+from pimentolatch.backend import instance_client, outcomes
 from pimentolatch.entry import answers, bodies, gate
-from pimentolatch.requests import completion, identity, service_call, stream
+from pimentolatch.requests import completion, completion_stream, identity, service_call
 
 __all__ = ["CallerFace", "TicketIssuer"]
 
@@ -136,7 +136,7 @@
             body = bodies.check_json(bodies.CompletionBody, read.body)
             if isinstance(body, results.Refusal):
                 return self._refused("completion", body)
-            asked = stream.Completion(
+            asked = completion_stream.Completion(
                 identity.new_id(),
                 read.caller,
                 body.model,
@@ -166,17 +166,17 @@
         return responses.Response(
             outcome.body,
             outcome.status,
-            {instance.REQUEST_ID_HEADER: request_id},
+            {instance_client.REQUEST_ID_HEADER: request_id},
             outcome.content_type,
         )
 
     async def _call_outcome(
         self, request: requests.Request, request_id: str
-    ) -> outcomes.Answered | results.Refusal:
+    ) -> outcomes.Response | results.Refusal:
         key = bodies.idempotency_key_of(request.headers)
         if isinstance(key, results.Refusal):
             return key
-        forwarded = instance.FORWARDED_HEADER in request.headers
+        forwarded = instance_client.FORWARDED_HEADER in request.headers
         read = await self._read(request, forwarded=forwarded)
         if isinstance(read, results.Refusal):
             return read
@@ -272,8 +272,8 @@
 
 def _request_id(request: requests.Request) -> str:
     """Return the id of a passed-on request as it is, so that logs fit together."""
-    given = request.headers.get(instance.REQUEST_ID_HEADER, "")
-    if instance.FORWARDED_HEADER in request.headers and given.isalnum():
+    given = request.headers.get(instance_client.REQUEST_ID_HEADER, "")
+    if instance_client.FORWARDED_HEADER in request.headers and given.isalnum():
         return given[:_REQUEST_ID_LENGTH_LIMIT]
     return identity.new_id()
 
--- a/src/pimentolatch/entry/clients.py
+++ b/src/pimentolatch/entry/clients.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from pimentolatch.backend import engine, instance, kv, plain
+from pimentolatch.backend import engine_client, instance_client, kv_client, plain_client
 
 __all__ = ["BackendClients"]
 
@@ -15,10 +15,10 @@
     """
 
     def __init__(self, sender: str) -> None:
-        self.engines = engine.EngineClient(sender)
-        self.caches = kv.KvClient(sender)
-        self.plain = plain.PlainClient(sender)
-        self.instances = instance.InstanceClient(sender)
+        self.engines = engine_client.EngineClient(sender)
+        self.caches = kv_client.KvClient(sender)
+        self.plain = plain_client.PlainClient(sender)
+        self.instances = instance_client.InstanceClient(sender)
 
     async def aclose(self) -> None:
         """Close all connections."""
--- a/src/pimentolatch/entry/control_plane.py
+++ b/src/pimentolatch/entry/control_plane.py
@@ -104,7 +104,7 @@
             chance=chance,
             peer_links=self._links,
         )
-        crashes.on_news(self._peering.node.tell_crashes)
+        crashes.on_update(self._peering.node.tell_crashes)
         self._keeper.on_adopted(self._peering.node.configuration_changed)
         self._collector = collector.PartCollector(self._store, self._documents)
         self._followers = (
--- a/src/pimentolatch/entry/process.py
+++ b/src/pimentolatch/entry/process.py
@@ -7,7 +7,7 @@
 import logbook
 
 from pimentolatch import clock, fleet, metrics, settings, tasks
-from pimentolatch.backend import orders
+from pimentolatch.backend import order_client
 from pimentolatch.control import holder
 from pimentolatch.decisions import outstanding_work
 from pimentolatch.entry import (
@@ -22,11 +22,11 @@
 )
 from pimentolatch.membership import sender_counts
 from pimentolatch.requests import (
-    claims,
+    at_most_once,
     completion,
-    keys,
-    once,
-    retired,
+    idempotency_keys,
+    key_claims,
+    retired_owners,
     service_call,
     tickets,
 )
@@ -58,7 +58,7 @@
             work=self._work,
             time=time,
             own_instance=chosen.instance,
-            moves=self._clients.caches,
+            kv_client=self._clients.caches,
         )
         decisions = self._completions.scheduler.decisions
         self._peer_table = peer_work.PeerTable(decisions, time)
@@ -78,7 +78,7 @@
         )
         self._peer_work = peer_work.PeerWork(decisions, self._control, time)
         self._duty = self._duty_holder()
-        self._sender = service_call.Sender(
+        self._sender = service_call.CallSender(
             own_fleet=self._fleet,
             own_domain=chosen.failure_domain,
             servers=self._clients.plain,
@@ -103,22 +103,24 @@
             incarnation=self._control.incarnation,
             acknowledgements=self._control.acknowledgements,
             senders=self._senders,
-            engines=orders.HttpOrderClient(self._settings.instance),
+            engines=order_client.HttpOrderClient(self._settings.instance),
             leaving=lambda: self._control.leaving_servers,
             planner=planner.DemandPlanner(self._fleet, self._peer_table.demand),
         )
 
-    def _keyed_calls(self) -> once.AtMostOnce:
+    def _keyed_calls(self) -> at_most_once.AtMostOnce:
         objects, time = self._control.store, self._clock
-        owner = claims.Owner(self._control.incarnation, self._settings.callers)
-        table = keys.KeyTable(time)
-        budget = claims.share_of(self._settings.platform.calls_per_second, time)
-        return once.AtMostOnce(
+        owner = key_claims.Owner(self._control.incarnation, self._settings.callers)
+        table = idempotency_keys.KeyTable(time)
+        budget = key_claims.claims_budget(
+            self._settings.platform.calls_per_second, time
+        )
+        return at_most_once.AtMostOnce(
             owner,
-            pages=claims.ClaimPages(objects, owner, time, budget),
-            office=tickets.TicketOffice(objects, owner, time, table.lifetime),
+            pages=key_claims.ClaimPages(objects, owner, time, budget),
+            ticket_issuer=tickets.TicketIssuer(objects, owner, time, table.lifetime),
             table=table,
-            retirements=retired.RetiredOwners(objects, time, table.lifetime),
+            retirements=retired_owners.RetiredOwners(objects, time, table.lifetime),
             instances=self._clients.instances,
             sender=self._sender,
             time=time,
--- a/src/pimentolatch/gateway/decode_client.py
+++ b/src/pimentolatch/gateway/decode_client.py
@@ -204,7 +204,7 @@
     async def _failure_response(
         self, generation: request_progress.Generation, opened: dispatch.OpenResponse
     ) -> bool:
-        body = await opened.link.read_whole(dispatch.MAX_BODY_BYTES)
+        body = await opened.link.read_body(dispatch.MAX_BODY_BYTES)
         progress = generation.progress
         progress.failure_response = dispatch.FullResponse(
             opened.status, opened.head, body
--- a/src/pimentolatch/gateway/dispatch.py
+++ b/src/pimentolatch/gateway/dispatch.py
@@ -160,20 +160,20 @@
         The caller owns the connection of an `OpenResponse`. In all other cases,
         cancellation included, it is closed or returned to the pool.
         """
-        longest_idle = (
+        max_idle = (
             None
             if request.route.repeatable or delivery.only_read
             else _MAX_IDLE_FOR_UNREPEATABLE
         )
         try:
-            link = await self._pool.take(
+            link = await self._pool.acquire(
                 server.incarnation,
                 server.address,
                 self._clock.monotonic(),
-                longest_idle=longest_idle,
+                max_idle=max_idle,
             )
         except channel.ConnectError as error:
-            return NotSent(str(error), error.silent)
+            return NotSent(str(error), error.unresponsive)
         try:
             labelled = dataclasses.replace(delivery, customer=request.customer_name)
             fields = heads.request_fields(request.fields, labelled)
@@ -198,7 +198,7 @@
             return opened
         with self.returned_to_pool(server, opened):
             try:
-                body = await opened.link.read_whole(MAX_BODY_BYTES)
+                body = await opened.link.read_body(MAX_BODY_BYTES)
             except channel.BrokenError as error:
                 return OutcomeUnknown(str(error), server_crashed=True)
         return FullResponse(opened.status, opened.head, body)
@@ -213,7 +213,7 @@
         except BaseException:
             opened.link.close()
             raise
-        self._pool.give_back(server.incarnation, opened.link, self._clock.monotonic())
+        self._pool.release(server.incarnation, opened.link, self._clock.monotonic())
 
     async def call(
         self,
@@ -247,14 +247,14 @@
         link: channel.Channel,
     ) -> OpenResponse | Declined | OutcomeUnknown:
         for _ in range(_MAX_STALE_RESPONSES):
-            start = await link.start()
+            start = await link.read_head()
             head = heads.read_answer(start.fields)
             if head.request_id in ("", request.request_id):
                 return await self._classified(
                     server, OpenResponse(start.status, head, link)
                 )
-            await link.read_whole(MAX_BODY_BYTES)
-            link.skip_answer()
+            await link.read_body(MAX_BODY_BYTES)
+            link.skip_response()
         link.close()
         return OutcomeUnknown("only answers to other requests came")
 
@@ -266,7 +266,7 @@
                 self.returned_to_pool(server, opened),
                 contextlib.suppress(channel.BrokenError),
             ):
-                await opened.link.read_whole(MAX_BODY_BYTES)
+                await opened.link.read_body(MAX_BODY_BYTES)
             return Declined(opened.status)
         if opened.head.encoded:
             opened.link.close()
@@ -303,14 +303,14 @@
         try:
             link = await self._connection()
         except channel.ConnectError as error:
-            return NotSent(str(error), error.silent)
+            return NotSent(str(error), error.unresponsive)
         address = self._server.address
         host = f"{address.host}:{address.port}".encode()
         try:
             async with asyncio.timeout(limit.total_seconds()):
                 link.send(method, target, [(b"host", host), *fields], body)
-                start = await link.start()
-                content = await link.read_whole(MAX_BODY_BYTES)
+                start = await link.read_head()
+                content = await link.read_body(MAX_BODY_BYTES)
         except (channel.BrokenError, TimeoutError) as error:
             link.close()
             return OutcomeUnknown(repr(error))
@@ -323,11 +323,11 @@
         """Return the connection to the pool, or close it if it can't be reused."""
         if self._link is not None:
             now = self._clock.monotonic()
-            self._pool.give_back(self._server.incarnation, self._link, now)
+            self._pool.release(self._server.incarnation, self._link, now)
 
     async def _connection(self) -> channel.Channel:
         if self._link is None:
-            self._link = await self._pool.take(
+            self._link = await self._pool.acquire(
                 self._server.incarnation, self._server.address, self._clock.monotonic()
             )
         elif not self._link.reusable:
--- a/src/pimentolatch/gateway/peer_snapshots.py
+++ b/src/pimentolatch/gateway/peer_snapshots.py
@@ -158,16 +158,16 @@
             )
 
     async def _snapshot(self, name: str, address: settings.Address, path: str) -> bytes:
-        connection = await self._pool.take(name, address, self._clock.monotonic())
+        connection = await self._pool.acquire(name, address, self._clock.monotonic())
         try:
             host = f"{address.host}:{address.port}".encode()
             connection.send("GET", path.encode(), [(b"host", host)], b"")
-            await connection.start()
-            content = await connection.read_whole()
+            await connection.read_head()
+            content = await connection.read_body()
         except BaseException:
             connection.close()
             raise
-        self._pool.give_back(name, connection, self._clock.monotonic())
+        self._pool.release(name, connection, self._clock.monotonic())
         return content
 
     def _apply_configuration(self, name: str, body: bytes) -> None:
--- a/src/pimentolatch/platform/control_api.py
+++ b/src/pimentolatch/platform/control_api.py
@@ -140,11 +140,11 @@
     ) -> Outcome:
         # A call never goes out on a connection that may have died unseen.
         try:
-            link = await self._pool.take(
+            link = await self._pool.acquire(
                 "control",
                 self._address,
                 self._clock.monotonic(),
-                longest_idle=datetime.timedelta(0),
+                max_idle=datetime.timedelta(0),
             )
         except channel.ConnectError as error:
             return Unanswered(str(error), reached=False)
@@ -153,15 +153,15 @@
                 link.send(
                     "POST", target, self._fields(holder), json.dumps(body).encode()
                 )
-                start = await link.start()
-                content = await link.read_whole()
+                start = await link.read_head()
+                content = await link.read_body()
         except (channel.BrokenError, TimeoutError) as error:
             link.close()
             return Unanswered(repr(error), reached=True)
         except BaseException:
             link.close()
             raise
-        self._pool.give_back("control", link, self._clock.monotonic())
+        self._pool.release("control", link, self._clock.monotonic())
         return _outcome(start.status, content, conflict)
 
     def _fields(self, holder: Holder) -> list[tuple[bytes, bytes]]:
--- a/src/pimentolatch/platform/heads.py
+++ b/src/pimentolatch/platform/heads.py
@@ -168,13 +168,13 @@
     counts = found.get(_TOKEN_COUNTS)
     if counts is None:
         return None
-    tokens, most_output = counts.split(b",")
+    tokens, max_output = counts.split(b",")
     hint = found.get(_LENGTH_HINT)
     return prompts.Prompt(
         model=found.get(_MODEL, b"").decode("latin-1"),
         tokens=int(tokens),
-        most_output=int(most_output),
-        expected_output=int(most_output) if hint is None else int(float(hint)),
+        max_output=int(max_output),
+        expected_output=int(max_output) if hint is None else int(float(hint)),
         parts=_parts(found.get(_PROMPT_PARTS, b"")),
     )
 
--- a/src/pimentolatch/platform/objects.py
+++ b/src/pimentolatch/platform/objects.py
@@ -143,19 +143,19 @@
         host = f"{self._address.host}:{self._address.port}".encode()
         try:
             # A write never goes out on a connection that may have died unseen.
-            link = await self._pool.take(
+            link = await self._pool.acquire(
                 "store",
                 self._address,
                 self._clock.monotonic(),
-                longest_idle=datetime.timedelta(0) if write else None,
+                max_idle=datetime.timedelta(0) if write else None,
             )
         except channel.ConnectError as error:
             return store.Unavailable(str(error), effect_unknown=False)
         try:
             async with asyncio.timeout((self._limit + extra).total_seconds()):
                 link.send(method, target.encode(), [(b"host", host), *_JSON], data)
-                start = await link.start()
-                content = await link.read_whole()
+                start = await link.read_head()
+                content = await link.read_body()
             # One object's bytes that are no UTF-8 must not hide all the others.
             text = content.decode("utf-8", "replace")
             parsed = json.loads(text) if text else None
@@ -170,7 +170,7 @@
         except BaseException:
             link.close()
             raise
-        self._pool.give_back("store", link, self._clock.monotonic())
+        self._pool.release("store", link, self._clock.monotonic())
         return _checked(start, parsed, write)
 
     def close(self) -> None:
@@ -185,7 +185,7 @@
 
 
 def _checked(
-    start: channel.AnswerStart, parsed: typing.Any, write: bool
+    start: channel.ResponseHead, parsed: typing.Any, write: bool
 ) -> _Answer | store.Unavailable:
     if start.status in (200, 201, 404, 409, 410):
         return _Answer(start.status, parsed)
--- a/src/pimentolatch/requests/once.py
+++ b/src/pimentolatch/requests/at_most_once.py
@@ -15,29 +15,39 @@
 import logbook
 
 from pimentolatch import clock, results, settings
-from pimentolatch.backend import instance, outcomes
-from pimentolatch.requests import claims, keys, refusals, retired, service_call, tickets
-
-__all__ = ["AtMostOnce", "Instances"]
+from pimentolatch.backend import instance_client, outcomes
+from pimentolatch.requests import (
+    idempotency_keys,
+    key_claims,
+    refusals,
+    retired_owners,
+    service_call,
+    tickets,
+)
+
+__all__ = ["AtMostOnce", "InstanceForwarder"]
 
 _log = logbook.Logger("once")
 # A service's answer that comes after the caller's deadline still serves its retry.
-LATE_ANSWER_WAIT = datetime.timedelta(seconds=30)
+LATE_ANSWER_TIMEOUT = datetime.timedelta(seconds=30)
 _FORWARD_ATTEMPTS = 2
 # A stop does not wait long for a store that is out.
-_RETIRE_SECONDS = 3.0
+_RETIRE_TIMEOUT_S = 3.0
 
-_Work = typing.Callable[
-    [service_call.ServiceCall, keys.Entry], abc.Coroutine[typing.Any, typing.Any, None]
+_Runner = typing.Callable[
+    [service_call.ServiceCall, idempotency_keys.Entry],
+    abc.Coroutine[typing.Any, typing.Any, None],
 ]
 
 
-class Instances(typing.Protocol):
+class InstanceForwarder(typing.Protocol):
     """What is needed of a client of other instances."""
 
     async def forward(
-        self, address: settings.Address, call: instance.Forward
-    ) -> outcomes.Answered | results.Refusal | outcomes.NotRun | outcomes.Broken:
+        self, address: settings.Address, call: instance_client.Forward
+    ) -> (
+        outcomes.Response | results.Refusal | outcomes.NotRun | outcomes.OutcomeUnknown
+    ):
         """Pass a call on and wait for the owner's answer."""
 
 
@@ -57,19 +67,19 @@
 
     def __init__(
         self,
-        owner: claims.Owner,
+        owner: key_claims.Owner,
         *,
-        pages: claims.ClaimPages,
-        office: tickets.TicketOffice,
-        table: keys.KeyTable,
-        retirements: retired.RetiredOwners,
-        instances: Instances,
-        sender: service_call.Sender,
+        pages: key_claims.ClaimPages,
+        ticket_issuer: tickets.TicketIssuer,
+        table: idempotency_keys.KeyTable,
+        retirements: retired_owners.RetiredOwners,
+        instances: InstanceForwarder,
+        sender: service_call.CallSender,
         time: clock.Clock,
     ) -> None:
         self._owner = owner
         self._pages = pages
-        self._office = office
+        self._ticket_issuer = ticket_issuer
         self._table = table
         self._retirements = retirements
         self._retired = False
@@ -80,8 +90,8 @@
 
     async def issue(self, caller: str, count: int) -> list[str] | results.Refusal:
         """Return new tickets for a caller."""
-        issued = await self._office.issue(caller, count)
-        if isinstance(issued, tickets.NoSecret):
+        issued = await self._ticket_issuer.issue(caller, count)
+        if isinstance(issued, tickets.SecretUnavailable):
             return refusals.store_unavailable(issued.reason)
         return issued
 
@@ -91,13 +101,13 @@
         From here on no ticket runs anything, so that what is told stays true.
         """
         self._retired = True
-        issued = self._office.issued()
+        issued = self._ticket_issuer.issued()
         if not issued:
             return
         answered, unknown = self._table.ticket_uses()
-        record = retired.Record(issued, answered, unknown)
+        record = retired_owners.TicketRecord(issued, answered, unknown)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_RETIRE_SECONDS):
+            async with asyncio.timeout(_RETIRE_TIMEOUT_S):
                 await self._retirements.write(self._owner.incarnation, record)
 
     @property
@@ -105,21 +115,21 @@
         """How long a ticket and its result can be used."""
         return self._table.lifetime
 
-    async def run(self, call: service_call.ServiceCall) -> keys.Outcome:
+    async def run(self, call: service_call.ServiceCall) -> idempotency_keys.Outcome:
         """Return the outcome of the one run of the call's key."""
         key = call.idempotency_key or ""
         if key.startswith(tickets.PREFIX):
-            return await self._by_ticket(call, key)
-        name = keys.key_name(call.caller, key)
-        return await self._attempt(call, name, self._claim_and_send)
+            return await self._run_ticket(call, key)
+        name = idempotency_keys.key_name(call.caller, key)
+        return await self._run_once(call, name, self._claim_and_send)
 
-    async def _by_ticket(
+    async def _run_ticket(
         self, call: service_call.ServiceCall, key: str
-    ) -> keys.Outcome:
-        ticket = await self._office.read(key)
-        if isinstance(ticket, tickets.NoSecret):
+    ) -> idempotency_keys.Outcome:
+        ticket = await self._ticket_issuer.verify(key)
+        if isinstance(ticket, tickets.SecretUnavailable):
             return refusals.store_unavailable(ticket.reason)
-        if isinstance(ticket, tickets.Forged) or ticket.caller != call.caller:
+        if isinstance(ticket, tickets.InvalidTicket) or ticket.caller != call.caller:
             return results.Refusal(
                 results.ResultCode.INVALID_REQUEST,
                 "idempotency-key: this ticket was not handed out to this caller",
@@ -127,68 +137,84 @@
             )
         if ticket.owner.incarnation != self._owner.incarnation:
             outcome = await self._forward(call, ticket.owner)
-            return await self._unless_retired(call, ticket, outcome)
-        if self._office.is_over(ticket):
-            return keys.result_expired(results.Execution.UNKNOWN)
+            return await self._check_retired(call, ticket, outcome)
+        if self._ticket_issuer.is_expired(ticket):
+            return idempotency_keys.result_expired(results.Execution.UNKNOWN)
         if self._retired:
             return refusals.STOPPED
-        return await self._attempt(call, keys.ticket_name(ticket.number), self._send)
+        return await self._run_once(
+            call, idempotency_keys.ticket_name(ticket.number), self._send
+        )
 
-    async def _unless_retired(
+    async def _check_retired(
         self,
         call: service_call.ServiceCall,
         ticket: tickets.Ticket,
-        outcome: keys.Outcome,
-    ) -> keys.Outcome:
+        outcome: idempotency_keys.Outcome,
+    ) -> idempotency_keys.Outcome:
         """Replace an unknown outcome by what the owner wrote when it stopped."""
-        if call.forwarded or not refusals.is_unknown(outcome):
+        if call.forwarded or not refusals.is_outcome_unknown(outcome):
             return outcome
-        use = await self._retirements.use(ticket.owner.incarnation, ticket.number)
+        use = await self._retirements.ticket_use(
+            ticket.owner.incarnation, ticket.number
+        )
         if use == "never":
             return refusals.TICKET_VOID
         return (
-            keys.result_expired(results.Execution.RAN) if use == "answered" else outcome
+            idempotency_keys.result_expired(results.Execution.RAN)
+            if use == "answered"
+            else outcome
         )
 
-    async def _attempt(
-        self, call: service_call.ServiceCall, name: str, work: _Work
-    ) -> keys.Outcome:
-        request = keys.fingerprint(call.service, call.operation, call.body)
+    async def _run_once(
+        self, call: service_call.ServiceCall, name: str, runner: _Runner
+    ) -> idempotency_keys.Outcome:
+        request = idempotency_keys.fingerprint(call.service, call.operation, call.body)
         begun = self._table.begin(name, request)
-        if isinstance(begun, keys.Mismatch):
+        if isinstance(begun, idempotency_keys.Mismatch):
             return refusals.KEY_REUSED
-        if isinstance(begun, keys.Full):
+        if isinstance(begun, idempotency_keys.TableFull):
             return refusals.overloaded()
-        if isinstance(begun, keys.Begun):
-            self._start(work, call, begun.entry)
-        return await self._outcome(call, begun)
+        if isinstance(begun, idempotency_keys.NewKey):
+            self._start(runner, call, begun.entry)
+        return await self._await_outcome(call, begun)
 
     def _start(
-        self, work: _Work, call: service_call.ServiceCall, entry: keys.Entry
+        self,
+        runner: _Runner,
+        call: service_call.ServiceCall,
+        entry: idempotency_keys.Entry,
     ) -> None:
         """Run the call in a task of its own, which outlives the caller's connection.
 
         A caller that disconnects and retries must find the run it began, not a
         cancelled one whose effect nobody knows.
         """
-        task = asyncio.create_task(self._settled(work, call, entry))
+        task = asyncio.create_task(self._run_and_complete(runner, call, entry))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _settled(
-        self, work: _Work, call: service_call.ServiceCall, entry: keys.Entry
+    async def _run_and_complete(
+        self,
+        runner: _Runner,
+        call: service_call.ServiceCall,
+        entry: idempotency_keys.Entry,
     ) -> None:
         try:
-            await work(call, entry)
+            await runner(call, entry)
         except Exception:
             _log.exception("keyed call failed", request=call.request_id)
         finally:
             if not entry.result.done():
-                self._table.keep(entry, refusals.unknown("the run was interrupted"))
+                self._table.complete(
+                    entry, refusals.outcome_unknown("the run was interrupted")
+                )
 
-    async def _outcome(
-        self, call: service_call.ServiceCall, begun: keys.Begun | keys.Used
-    ) -> keys.Outcome:
+    async def _await_outcome(
+        self,
+        call: service_call.ServiceCall,
+        begun: idempotency_keys.NewKey | idempotency_keys.KnownKey,
+    ) -> idempotency_keys.Outcome:
         """Wait for the key's outcome until the deadline, then answer at once."""
         left = (call.deadline - self._clock.monotonic()).total_seconds()
         try:
@@ -196,102 +222,109 @@
                 return await asyncio.shield(begun.entry.result)
         except TimeoutError:
             pass
-        if isinstance(begun, keys.Used):
+        if isinstance(begun, idempotency_keys.KnownKey):
             return refusals.IN_PROGRESS
         if begun.entry.abandon():
             return refusals.DEADLINE_PASSED
-        return refusals.unknown(
+        return refusals.outcome_unknown(
             "the deadline passed first; a retry with this key may tell"
         )
 
     async def _claim_and_send(
-        self, call: service_call.ServiceCall, entry: keys.Entry
+        self, call: service_call.ServiceCall, entry: idempotency_keys.Entry
     ) -> None:
         found = await self._pages.claim(entry.name, entry.fingerprint)
-        if isinstance(found, claims.StoreOut):
+        if isinstance(found, key_claims.ClaimFailed):
             refusal = refusals.store_unavailable(found.reason, found.retry_after)
-            self._table.forget(entry, refusal)
-        elif isinstance(found, claims.Taken):
-            self._table.forget(entry, await self._of_taken(call, entry, found.claim))
+            self._table.discard(entry, refusal)
+        elif isinstance(found, key_claims.AlreadyClaimed):
+            self._table.discard(
+                entry, await self._outcome_of_claim(call, entry, found.claim)
+            )
         else:
-            outcome = await self._sent(call, entry)
+            outcome = await self._send_and_complete(call, entry)
             if refusals.certainly_not_run(outcome):
                 await self._pages.release(found.claim)
-                self._table.forget(entry, outcome)
+                self._table.discard(entry, outcome)
             else:
-                answer = outcome if isinstance(outcome, outcomes.Answered) else None
-                state: claims.State = "unknown" if answer is None else "answered"
+                answer = outcome if isinstance(outcome, outcomes.Response) else None
+                state: key_claims.State = "unknown" if answer is None else "answered"
                 await self._pages.settle(found.claim, state, answer)
 
-    async def _send(self, call: service_call.ServiceCall, entry: keys.Entry) -> None:
-        outcome = await self._sent(call, entry)
+    async def _send(
+        self, call: service_call.ServiceCall, entry: idempotency_keys.Entry
+    ) -> None:
+        outcome = await self._send_and_complete(call, entry)
         if refusals.certainly_not_run(outcome):
-            self._table.forget(entry, outcome)
+            self._table.discard(entry, outcome)
 
-    async def _sent(
-        self, call: service_call.ServiceCall, entry: keys.Entry
-    ) -> keys.Outcome:
+    async def _send_and_complete(
+        self, call: service_call.ServiceCall, entry: idempotency_keys.Entry
+    ) -> idempotency_keys.Outcome:
         """Send an owned call and hand its outcome to those who wait.
 
         Callers get the outcome before it is recorded in the store: a slow store must
         not hold an answer back.
         """
         outcome = await self._sender.send(
-            call, repeatable=False, entry=entry, patience=LATE_ANSWER_WAIT
+            call, repeatable=False, entry=entry, extra_wait=LATE_ANSWER_TIMEOUT
         )
-        self._table.keep(entry, outcome)
+        self._table.complete(entry, outcome)
         return outcome
 
-    async def _of_taken(
-        self, call: service_call.ServiceCall, entry: keys.Entry, claim: claims.Claim
-    ) -> keys.Outcome:
+    async def _outcome_of_claim(
+        self,
+        call: service_call.ServiceCall,
+        entry: idempotency_keys.Entry,
+        claim: key_claims.Claim,
+    ) -> idempotency_keys.Outcome:
         if claim.fingerprint != entry.fingerprint:
             return refusals.KEY_REUSED
         if claim.answer is not None:
             return claim.answer
         if claim.state == "unknown":
-            return refusals.unknown("the answer of the one run was lost")
-        mine = claim.owner is not None and (
+            return refusals.outcome_unknown("the answer of the one run was lost")
+        is_own = claim.owner is not None and (
             claim.owner.incarnation == self._owner.incarnation
         )
         answered = claim.state == "answered"
-        expired = keys.result_expired(
+        expired = idempotency_keys.result_expired(
             results.Execution.RAN if answered else results.Execution.UNKNOWN
         )
-        if claim.owner is None or mine:
+        if claim.owner is None or is_own:
             return expired
-        if not entry.take():
+        if not entry.start_dispatch():
             return refusals.DEADLINE_PASSED
         outcome = await self._forward(call, claim.owner)
         # The owner has gone with a result too large for the store: that it ran is
         # known all the same.
-        return expired if answered and refusals.is_unknown(outcome) else outcome
+        return expired if answered and refusals.is_outcome_unknown(outcome) else outcome
 
     async def _forward(
-        self, call: service_call.ServiceCall, owner: claims.Owner
-    ) -> keys.Outcome:
+        self, call: service_call.ServiceCall, owner: key_claims.Owner
+    ) -> idempotency_keys.Outcome:
         if call.forwarded:
-            return refusals.unknown("the instance that owned the key has gone")
+            return refusals.outcome_unknown("the instance that owned the key has gone")
         reason = "the deadline passed"
         for _ in range(_FORWARD_ATTEMPTS):
             left = call.deadline - self._clock.monotonic()
             if left <= datetime.timedelta():
                 break
             outcome = await self._instances.forward(
-                owner.address, _forwarding(call, left)
+                owner.address, _to_forward(call, left)
             )
-            if isinstance(outcome, outcomes.Answered | results.Refusal):
+            if isinstance(outcome, outcomes.Response | results.Refusal):
                 return outcome
             reason = outcome.reason
-        return refusals.unknown(
+        return refusals.outcome_unknown(
             f"the instance that owns the key can't be reached: {reason}"
         )
 
 
-def _forwarding(
+def _to_forward(
     call: service_call.ServiceCall, left: datetime.timedelta
-) -> instance.Forward:
-    return instance.Forward(
+) -> instance_client.Forward:
+    return instance_client.Forward(
         call.request_id,
         call.service,
         call.operation,
--- a/src/pimentolatch/requests/completion.py
+++ b/src/pimentolatch/requests/completion.py
@@ -7,7 +7,12 @@
 
 from pimentolatch import clock, fleet, results
 from pimentolatch.decisions import dispatcher, outstanding_work
-from pimentolatch.requests import handover, schedule, stream, suspect_completions
+from pimentolatch.requests import (
+    completion_scheduler,
+    completion_stream,
+    kv_transfer,
+    suspect_completions,
+)
 
 __all__ = ["CompletionRunner"]
 
@@ -22,24 +27,24 @@
         *,
         own_fleet: fleet.Fleet,
         own_domain: str,
-        engines: stream.EngineStreams,
+        engines: completion_stream.EngineStreams,
         work: outstanding_work.OutstandingWork,
         time: clock.Clock,
         own_instance: str = "",
-        moves: handover.KvMoves | None = None,
+        kv_client: kv_transfer.KvTransferClient | None = None,
     ) -> None:
         self._fleet = own_fleet
         decisions = dispatcher.Dispatcher(own_instance, own_domain, work)
-        self._scheduler = schedule.Scheduler(decisions, own_fleet, time)
+        self._scheduler = completion_scheduler.Scheduler(decisions, own_fleet, time)
         self._suspects = suspect_completions.SuspectCompletions(time)
-        self._stream = stream.ResumingStream(
+        self._stream = completion_stream.ResumingStream(
             engines,
             self._scheduler,
             time,
             suspects=self._suspects,
-            moves=moves,
+            kv_client=kv_client,
             # Instances must not draw the same pauses.
-            chance=random.Random(own_instance),
+            rng=random.Random(own_instance),
         )
 
     @property
@@ -48,13 +53,13 @@
         return self._suspects
 
     @property
-    def scheduler(self) -> schedule.Scheduler:
+    def scheduler(self) -> completion_scheduler.Scheduler:
         """The queue of completions; its `run` has to run beside the requests."""
         return self._scheduler
 
     async def run(
-        self, completion: stream.Completion
-    ) -> abc.AsyncGenerator[stream.CompletionEvent, None]:
+        self, completion: completion_stream.Completion
+    ) -> abc.AsyncGenerator[completion_stream.CompletionEvent, None]:
         """Yield the answer's text; the last event is `Ended` or a refusal."""
         if refusal := self._unservable(completion):
             yield refusal
@@ -70,7 +75,9 @@
         finally:
             self._scheduler.leave(completion)
 
-    def _unservable(self, completion: stream.Completion) -> results.Refusal | None:
+    def _unservable(
+        self, completion: completion_stream.Completion
+    ) -> results.Refusal | None:
         document = self._fleet.view.document
         if document is None:
             return results.Refusal(
--- a/src/pimentolatch/requests/schedule.py
+++ b/src/pimentolatch/requests/completion_scheduler.py
@@ -13,14 +13,14 @@
 from pimentolatch.backend import outcomes
 from pimentolatch.decisions import dispatcher, lanes
 from pimentolatch.document import schema
-from pimentolatch.requests import stream
+from pimentolatch.requests import completion_stream
 
 __all__ = ["Scheduler"]
 
 # Short against a person's notice of a wait. An instance without requests does not tick.
 _TICK = datetime.timedelta(milliseconds=50)
 
-_Turn = asyncio.Future["dispatcher.Start | results.Refusal"]
+_Decision = asyncio.Future["dispatcher.Start | results.Refusal"]
 
 
 class Scheduler:
@@ -39,10 +39,10 @@
         self._decisions = decisions
         self._fleet = own_fleet
         self._clock = time
-        self._turns: dict[str, _Turn] = {}
-        self._first: dict[str, dispatcher.Start] = {}
-        self._readers: dict[str, schema.Engine] = {}
-        self._arrived = asyncio.Event()
+        self._waiting: dict[str, _Decision] = {}
+        self._first_starts: dict[str, dispatcher.Start] = {}
+        self._prefill_engines: dict[str, schema.Engine] = {}
+        self._request_arrived = asyncio.Event()
 
     @property
     def decisions(self) -> dispatcher.Dispatcher:
@@ -53,12 +53,14 @@
         """Start and expire waiting requests as time passes; runs until cancelled."""
         while True:
             if not self._decisions.busy:
-                self._arrived.clear()
-                await self._arrived.wait()
+                self._request_arrived.clear()
+                await self._request_arrived.wait()
             await self._clock.sleep(_TICK)
-            self._move()
+            self._advance()
 
-    async def admit(self, completion: stream.Completion) -> results.Refusal | None:
+    async def admit(
+        self, completion: completion_stream.Completion
+    ) -> results.Refusal | None:
         """Wait for an engine; a refusal comes at once, or when none is free in time.
 
         If the caller goes away while it waits, the wait is cancelled and the request
@@ -77,34 +79,34 @@
         answer = self._decisions.arrive(self._fleet.view, request, now)
         if isinstance(answer, results.Refusal):
             return answer
-        turn: _Turn = asyncio.get_running_loop().create_future()
-        self._turns[completion.request_id] = turn
-        self._arrived.set()
-        self._move()
+        decision: _Decision = asyncio.get_running_loop().create_future()
+        self._waiting[completion.request_id] = decision
+        self._request_arrived.set()
+        self._advance()
         try:
-            decided = await turn
+            decided = await decision
         except asyncio.CancelledError:
             self.leave(completion)
             raise
         finally:
-            self._turns.pop(completion.request_id, None)
+            self._waiting.pop(completion.request_id, None)
         if isinstance(decided, results.Refusal):
             return decided
-        self._first[completion.request_id] = decided
+        self._first_starts[completion.request_id] = decided
         return None
 
-    def leave(self, completion: stream.Completion) -> None:
+    def leave(self, completion: completion_stream.Completion) -> None:
         """Forget a completion, whatever became of it."""
-        self._first.pop(completion.request_id, None)
-        self._readers.pop(completion.request_id, None)
+        self._first_starts.pop(completion.request_id, None)
+        self._prefill_engines.pop(completion.request_id, None)
         self._decisions.leave(completion.request_id, self._clock.monotonic())
-        self._move()
+        self._advance()
 
     def choose(
-        self, completion: stream.Completion, failed: abc.Set[str]
+        self, completion: completion_stream.Completion, failed: abc.Set[str]
     ) -> schema.Engine | None:
         """See `stream.EngineChoice.choose`."""
-        start = self._first.pop(completion.request_id, None)
+        start = self._first_starts.pop(completion.request_id, None)
         if start is None:
             start = self._decisions.resume(
                 self._fleet.view,
@@ -115,47 +117,53 @@
         if start is None:
             return None
         if start.prefill_engine is not None:
-            self._readers[completion.request_id] = start.prefill_engine
+            self._prefill_engines[completion.request_id] = start.prefill_engine
         return start.engine
 
-    def reader(self, completion: stream.Completion) -> schema.Engine | None:
+    def prefill_engine(
+        self, completion: completion_stream.Completion
+    ) -> schema.Engine | None:
         """See `stream.EngineChoice.reader`."""
-        return self._readers.pop(completion.request_id, None)
+        return self._prefill_engines.pop(completion.request_id, None)
 
-    def prompt_read(self, completion: stream.Completion) -> None:
+    def prefill_ended(self, completion: completion_stream.Completion) -> None:
         """See `stream.EngineChoice.prompt_read`."""
         self._decisions.prefill_ended(completion.request_id)
 
-    def began(self, completion: stream.Completion, engine: schema.Engine) -> None:
+    def dispatched(
+        self, completion: completion_stream.Completion, engine: schema.Engine
+    ) -> None:
         """Do nothing: a dispatch is counted when it is decided, not when it is sent.
 
         Between the two other requests are decided, and would be sent to the same
         engine if it still looked free.
         """
 
-    def progressed(self, completion: stream.Completion, engine: schema.Engine) -> None:
+    def token_received(
+        self, completion: completion_stream.Completion, engine: schema.Engine
+    ) -> None:
         """See `stream.EngineChoice.progressed`."""
         self._decisions.token(completion.request_id, self._clock.monotonic())
 
-    def ended(
+    def dispatch_ended(
         self,
-        completion: stream.Completion,
+        completion: completion_stream.Completion,
         engine: schema.Engine,
         outcome: outcomes.EngineEvent | None,
     ) -> None:
         """See `stream.EngineChoice.ended`."""
         self._decisions.ended(completion.request_id, outcome, self._clock.monotonic())
 
-    def _move(self) -> None:
+    def _advance(self) -> None:
         now = self._clock.monotonic()
         for expired in self._decisions.expire(now):
-            self._answer(expired.request_id, expired.refusal)
+            self._resolve(expired.request_id, expired.refusal)
         for started in self._decisions.start(self._fleet.view, now):
-            self._answer(started.request_id, started)
+            self._resolve(started.request_id, started)
 
-    def _answer(
+    def _resolve(
         self, request_id: str, answer: dispatcher.Start | results.Refusal
     ) -> None:
-        turn = self._turns.get(request_id)
-        if turn is not None and not turn.done():
-            turn.set_result(answer)
+        decision = self._waiting.get(request_id)
+        if decision is not None and not decision.done():
+            decision.set_result(answer)
--- a/src/pimentolatch/requests/stream.py
+++ b/src/pimentolatch/requests/completion_stream.py
@@ -10,32 +10,31 @@
 import logbook
 
 from pimentolatch import backoff, clock, results, settings, waits
-from pimentolatch.backend import engine as engine_client
-from pimentolatch.backend import outcomes
+from pimentolatch.backend import engine_client, outcomes
 from pimentolatch.document import schema
-from pimentolatch.requests import digests, handover, identity, suspect_completions
+from pimentolatch.requests import digests, identity, kv_transfer, suspect_completions
 
 __all__ = [
     "Completion",
     "CompletionEvent",
     "Delta",
     "Ended",
-    "EngineChoice",
+    "EngineSelector",
     "EngineStreams",
     "ResumingStream",
-    "SilenceLimits",
+    "ResponseTimeouts",
 ]
 
 _log = logbook.Logger("stream")
-_ATTEMPTS = 4
+_MAX_ATTEMPTS = 4
 _RETRY_AFTER = datetime.timedelta(seconds=1)
-_FIRST_PAUSE = datetime.timedelta(milliseconds=100)
-_LONGEST_PAUSE = datetime.timedelta(seconds=2)
+_MIN_PAUSE = datetime.timedelta(milliseconds=100)
+_MAX_PAUSE = datetime.timedelta(seconds=2)
 _CHARACTERS_PER_TOKEN = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SilenceLimits:
+class ResponseTimeouts:
     """How long an engine may say nothing before its stream counts as broken.
 
     A frozen engine keeps its connections open and never errs: without these bounds
@@ -52,7 +51,7 @@
     """
 
     first_token: datetime.timedelta = datetime.timedelta(seconds=5)
-    reading_factor: float = 3.0
+    prefill_factor: float = 3.0
     next_token: datetime.timedelta = datetime.timedelta(seconds=2)
 
 
@@ -119,7 +118,7 @@
         """Stream an answer; the last event is never a chunk."""
 
 
-class EngineChoice(typing.Protocol):
+class EngineSelector(typing.Protocol):
     """Chooses engines for one completion and counts what is sent to them."""
 
     def choose(
@@ -127,19 +126,19 @@
     ) -> schema.Engine | None:
         """Return an engine that has not failed this completion, or None."""
 
-    def reader(self, completion: Completion) -> schema.Engine | None:
+    def prefill_engine(self, completion: Completion) -> schema.Engine | None:
         """Return the engine that is to read the prompt first, if it is another one."""
 
-    def prompt_read(self, completion: Completion) -> None:
+    def prefill_ended(self, completion: Completion) -> None:
         """Count the prompt as read there, or as given up."""
 
-    def began(self, completion: Completion, engine: schema.Engine) -> None:
+    def dispatched(self, completion: Completion, engine: schema.Engine) -> None:
         """Count a dispatch as sent."""
 
-    def progressed(self, completion: Completion, engine: schema.Engine) -> None:
+    def token_received(self, completion: Completion, engine: schema.Engine) -> None:
         """Count one token as received."""
 
-    def ended(
+    def dispatch_ended(
         self,
         completion: Completion,
         engine: schema.Engine,
@@ -154,20 +153,22 @@
     def __init__(
         self,
         engines: EngineStreams,
-        choice: EngineChoice,
+        choice: EngineSelector,
         time: clock.Clock,
-        limits: SilenceLimits | None = None,
-        moves: handover.KvMoves | None = None,
-        chance: random.Random | None = None,
+        limits: ResponseTimeouts | None = None,
+        kv_client: kv_transfer.KvTransferClient | None = None,
+        rng: random.Random | None = None,
         suspects: suspect_completions.SuspectCompletions | None = None,
     ) -> None:
         self._engines = engines
         self._choice = choice
         self._clock = time
-        self._limits = limits or SilenceLimits()
-        self._chance = chance or random.Random(0)
+        self._limits = limits or ResponseTimeouts()
+        self._rng = rng or random.Random(0)
         self._suspects = suspects or suspect_completions.SuspectCompletions(time)
-        self._handover = handover.Handover(moves or handover.NoHandover())
+        self._kv_transfer = kv_transfer.KvTransfer(
+            kv_client or kv_transfer.NoKvTransfer()
+        )
 
     async def run(
         self, completion: Completion
@@ -182,9 +183,9 @@
         maybe_ran = False
         failed: set[str] = set()
         reason = "no engine is free"
-        pauses = backoff.Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, self._chance)
+        pauses = backoff.Backoff(_MIN_PAUSE, _MAX_PAUSE, self._rng)
         digest = completion.digest
-        for attempt_number in range(_ATTEMPTS):
+        for attempt_number in range(_MAX_ATTEMPTS):
             if self._time_left(completion) <= 0:
                 break
             if (verdict := self._suspects.verdict(digest)) is not None:
@@ -197,7 +198,7 @@
             if engine is None:
                 break
             before = delivered
-            begun = self._clock.monotonic()
+            started_at = self._clock.monotonic()
             attempt = self._attempt(completion, engine, delivered)
             async with contextlib.aclosing(attempt):
                 async for event in attempt:
@@ -205,14 +206,17 @@
                         delivered += event.tokens
                         yield Delta(event.text)
                     elif isinstance(event, outcomes.Finished):
-                        self._suspects.completed(digest)
+                        self._suspects.record_completion(digest)
                         yield Ended(event.length, attempt_number)
                         return
                     else:
                         reason = event.reason
-                        maybe_ran |= isinstance(event, outcomes.Broken)
-                        if isinstance(event, outcomes.Broken) and event.connection_lost:
-                            self._suspects.engine_ended(digest, engine.name, begun)
+                        maybe_ran |= isinstance(event, outcomes.OutcomeUnknown)
+                        if (
+                            isinstance(event, outcomes.OutcomeUnknown)
+                            and event.connection_lost
+                        ):
+                            self._suspects.record_crash(digest, engine.name, started_at)
             failed.add(engine.name)
             _log.warn(
                 "dispatch failed",
@@ -237,7 +241,7 @@
     ) -> abc.AsyncGenerator[outcomes.EngineEvent, None]:
         final: outcomes.EngineEvent | None = None
         limits = waits.Waits()
-        self._choice.began(completion, engine)
+        self._choice.dispatched(completion, engine)
         try:
             dispatch = engine_client.Dispatch(
                 identity.new_id(),
@@ -250,9 +254,9 @@
             )
             events = self._engines.generate(engine.address, dispatch)
             async with contextlib.aclosing(events):
-                silence = self._first_silence(completion, engine)
+                timeout = self._first_token_timeout(completion, engine)
                 while True:
-                    event = await self._next(limits, events, completion, silence)
+                    event = await self._next_event(limits, events, completion, timeout)
                     if not isinstance(event, outcomes.Chunk):
                         # An engine is not to blame for a deadline that passed.
                         expired = self._time_left(completion) <= 0
@@ -260,39 +264,40 @@
                         yield event
                         return
                     for _ in range(event.tokens):
-                        self._choice.progressed(completion, engine)
+                        self._choice.token_received(completion, engine)
                     yield event
-                    silence = self._limits.next_token.total_seconds()
+                    timeout = self._limits.next_token.total_seconds()
         finally:
             limits.close()
-            self._choice.ended(completion, engine, final)
+            self._choice.dispatch_ended(completion, engine, final)
 
     async def _kv_handle(
         self, completion: Completion, engine: schema.Engine
     ) -> str | None:
-        reader = self._choice.reader(completion)
-        if reader is None:
+        prefill_engine = self._choice.prefill_engine(completion)
+        if prefill_engine is None:
             return None
         limit = min(
-            self._first_silence(completion, reader), self._time_left(completion)
+            self._first_token_timeout(completion, prefill_engine),
+            self._time_left(completion),
         )
         try:
-            return await self._handover.handle(
-                reader,
+            return await self._kv_transfer.transfer(
+                prefill_engine,
                 engine,
                 completion.model,
                 completion.prompt,
                 datetime.timedelta(seconds=max(0.0, limit)),
             )
         finally:
-            self._choice.prompt_read(completion)
+            self._choice.prefill_ended(completion)
 
-    async def _next(
+    async def _next_event(
         self,
         limits: waits.Waits,
         events: abc.AsyncGenerator[outcomes.EngineEvent, None],
         completion: Completion,
-        silence: float,
+        timeout: float,
     ) -> outcomes.EngineEvent:
         """Return the next event, or `Broken` once the engine was silent too long.
 
@@ -300,19 +305,21 @@
         deadline bounds it too, so that a final answer comes at once when it passes.
         Ending the wait closes the connection, by which the engine knows to stop.
         """
-        limit = min(silence, self._time_left(completion))
+        limit = min(timeout, self._time_left(completion))
         try:
             return await limits.within(limit, anext(events))
         except TimeoutError:
-            return outcomes.Broken(f"silent for {limit:.3g} s")
+            return outcomes.OutcomeUnknown(f"silent for {limit:.3g} s")
         except StopAsyncIteration:
-            return outcomes.Broken("no terminal event")
+            return outcomes.OutcomeUnknown("no terminal event")
 
-    def _first_silence(self, completion: Completion, engine: schema.Engine) -> float:
+    def _first_token_timeout(
+        self, completion: Completion, engine: schema.Engine
+    ) -> float:
         tokens = len(completion.prompt) / _CHARACTERS_PER_TOKEN
-        reading = tokens / engine.prefill_tokens_per_s
-        first = self._limits.first_token.total_seconds()
-        return first + self._limits.reading_factor * reading
+        prefill_time = tokens / engine.prefill_tokens_per_s
+        first_token = self._limits.first_token.total_seconds()
+        return first_token + self._limits.prefill_factor * prefill_time
 
     def _time_left(self, completion: Completion) -> float:
         return (completion.deadline - self._clock.monotonic()).total_seconds()
--- a/src/pimentolatch/requests/keys.py
+++ b/src/pimentolatch/requests/idempotency_keys.py
@@ -16,14 +16,14 @@
 from pimentolatch.backend import outcomes
 
 __all__ = [
-    "Begun",
+    "NewKey",
     "Entry",
-    "Full",
+    "TableFull",
     "KeyLimits",
     "KeyTable",
     "Mismatch",
     "Outcome",
-    "Used",
+    "KnownKey",
     "fingerprint",
     "key_name",
     "result_expired",
@@ -31,7 +31,7 @@
 ]
 
 _TICKET = "ticket/"
-Outcome = outcomes.Answered | results.Refusal
+Outcome = outcomes.Response | results.Refusal
 
 
 def result_expired(execution: results.Execution) -> results.Refusal:
@@ -54,8 +54,8 @@
     """
 
     lifetime: datetime.timedelta = datetime.timedelta(minutes=15)
-    entries: int = 50_000
-    result_bytes: int = 16_000_000
+    max_entries: int = 50_000
+    max_result_bytes: int = 16_000_000
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -71,13 +71,13 @@
 
     name: str
     fingerprint: str
-    begun_at: datetime.timedelta
+    started_at: datetime.timedelta
     result: asyncio.Future[Outcome]
     dispatched: bool = False
     abandoned: bool = False
-    size: int = 0
+    result_bytes: int = 0
 
-    def take(self) -> bool:
+    def start_dispatch(self) -> bool:
         """Ask to send, with nothing awaited in between; False if it was given up.
 
         The caller is told "not run" at its deadline only if this was not asked
@@ -88,7 +88,7 @@
             self.dispatched = True
         return self.dispatched
 
-    def give_back(self) -> None:
+    def revert_dispatch(self) -> None:
         """Note that what was to be sent certainly was not."""
         self.dispatched = False
 
@@ -100,14 +100,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Begun:
+class NewKey:
     """The key is new here; whoever got this runs the call and settles the entry."""
 
     entry: Entry
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Used:
+class KnownKey:
     """The key is being run or was run; its outcome is or will be in the entry."""
 
     entry: Entry
@@ -119,7 +119,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Full:
+class TableFull:
     """No more keys can be remembered, so the call must not run."""
 
 
@@ -130,7 +130,7 @@
         self._clock = time
         self._limits = limits or KeyLimits()
         self._entries: collections.OrderedDict[str, Entry] = collections.OrderedDict()
-        self._with_result: collections.deque[Entry] = collections.deque()
+        self._with_response: collections.deque[Entry] = collections.deque()
         self._bytes = 0
 
     @property
@@ -141,19 +141,21 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def begin(self, name: str, print_of_request: str) -> Begun | Used | Mismatch | Full:
+    def begin(
+        self, name: str, request_fingerprint: str
+    ) -> NewKey | KnownKey | Mismatch | TableFull:
         """Look a key up, and remember it as used if it is new."""
-        self._drop_old()
+        self._evict_expired()
         entry = self._entries.get(name)
         if entry is not None:
-            same = entry.fingerprint == print_of_request
-            return Used(entry) if same else Mismatch()
-        if len(self._entries) >= self._limits.entries:
-            return Full()
+            same = entry.fingerprint == request_fingerprint
+            return KnownKey(entry) if same else Mismatch()
+        if len(self._entries) >= self._limits.max_entries:
+            return TableFull()
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        entry = Entry(name, print_of_request, self._clock.monotonic(), future)
+        entry = Entry(name, request_fingerprint, self._clock.monotonic(), future)
         self._entries[name] = entry
-        return Begun(entry)
+        return NewKey(entry)
 
     def ticket_uses(self) -> tuple[frozenset[int], frozenset[int]]:
         """Return the numbers of tickets that were answered, and that may have run."""
@@ -163,50 +165,50 @@
             if not name.startswith(_TICKET):
                 continue
             number = int(name.removeprefix(_TICKET))
-            (answered if _ran(entry.result) else unknown).add(number)
+            (answered if _has_run(entry.result) else unknown).add(number)
         return frozenset(answered), frozenset(unknown)
 
-    def keep(self, entry: Entry, outcome: Outcome) -> None:
+    def complete(self, entry: Entry, outcome: Outcome) -> None:
         """Settle an entry whose call ran, or may have, and keep its outcome."""
         if not entry.result.done():
             entry.result.set_result(outcome)
-        if isinstance(outcome, outcomes.Answered):
-            entry.size = len(outcome.body)
-            self._bytes += entry.size
-            self._with_result.append(entry)
-            self._drop_results()
+        if isinstance(outcome, outcomes.Response):
+            entry.result_bytes = len(outcome.body)
+            self._bytes += entry.result_bytes
+            self._with_response.append(entry)
+            self._evict_results()
 
-    def forget(self, entry: Entry, outcome: Outcome) -> None:
+    def discard(self, entry: Entry, outcome: Outcome) -> None:
         """Settle an entry whose call this instance has not run and will not run."""
         if self._entries.get(entry.name) is entry:
             del self._entries[entry.name]
         if not entry.result.done():
             entry.result.set_result(outcome)
 
-    def _drop_old(self) -> None:
+    def _evict_expired(self) -> None:
         oldest = self._clock.monotonic() - self._limits.lifetime
         while self._entries:
             entry = next(iter(self._entries.values()))
-            if entry.begun_at >= oldest or not entry.result.done():
+            if entry.started_at >= oldest or not entry.result.done():
                 return
             del self._entries[entry.name]
-            self._bytes -= entry.size
-            entry.size = 0
-
-    def _drop_results(self) -> None:
-        while self._bytes > self._limits.result_bytes:
-            entry = self._with_result.popleft()
-            self._bytes -= entry.size
-            entry.size = 0
+            self._bytes -= entry.result_bytes
+            entry.result_bytes = 0
+
+    def _evict_results(self) -> None:
+        while self._bytes > self._limits.max_result_bytes:
+            entry = self._with_response.popleft()
+            self._bytes -= entry.result_bytes
+            entry.result_bytes = 0
             entry.result = asyncio.get_running_loop().create_future()
             entry.result.set_result(result_expired(results.Execution.RAN))
 
 
-def _ran(result: asyncio.Future[Outcome]) -> bool:
+def _has_run(result: asyncio.Future[Outcome]) -> bool:
     if not result.done():
         return False
     outcome = result.result()
-    if isinstance(outcome, outcomes.Answered):
+    if isinstance(outcome, outcomes.Response):
         return True
     return outcome.execution is results.Execution.RAN
 
--- a/src/pimentolatch/requests/claims.py
+++ b/src/pimentolatch/requests/key_claims.py
@@ -26,28 +26,28 @@
 __all__ = [
     "Claim",
     "ClaimPages",
-    "Held",
+    "Claimed",
     "Owner",
     "State",
-    "StoreOut",
-    "Taken",
+    "ClaimFailed",
+    "AlreadyClaimed",
     "page_of",
 ]
 
 KIND = "claims"
-ANSWER_KEPT = datetime.timedelta(minutes=15)
-CLAIM_KEPT = datetime.timedelta(hours=24)
+ANSWER_RETENTION = datetime.timedelta(minutes=15)
+CLAIM_RETENTION = datetime.timedelta(hours=24)
 # Small enough that a page of them is far below the platform's limit of a megabyte.
-ANSWER_LIMIT_BYTES = 2_000
-PAGE_LIMIT = 3_000
+MAX_ANSWER_BYTES = 2_000
+MAX_CLAIMS_PER_PAGE = 3_000
 # A million pages: at 75 claimed calls a second, half of what the store's writes allow,
 # a page then holds some 6 claims of the last day. Each claim reads and writes its page
 # twice, so larger pages would take the bytes that an instance has for control.
 _PAGE_DIGITS = 5
-_ATTEMPTS = 4
-_SHARE = 0.5
+_MAX_ATTEMPTS = 4
+_BUDGET_SHARE = 0.5
 _CALLS_PER_CHANGE = 2
-_PAUSE = datetime.timedelta(milliseconds=100)
+_RETRY_PAUSE = datetime.timedelta(milliseconds=100)
 
 State = typing.Literal["held", "answered", "unknown"]
 
@@ -79,7 +79,7 @@
     owner: Owner | None
     claimed_at: datetime.datetime
     state: State = "held"
-    answer: outcomes.Answered | None = None
+    answer: outcomes.Response | None = None
 
     def to_json(self) -> dict[str, typing.Any]:
         """Return the value that is stored."""
@@ -108,7 +108,7 @@
             owner = Owner(value["owner"], address)
         if "answer" in value:
             status, content_type, body = value["answer"]
-            answer = outcomes.Answered(status, base64.b64decode(body), content_type)
+            answer = outcomes.Response(status, base64.b64decode(body), content_type)
         return cls(
             value["name"],
             value["fingerprint"],
@@ -121,30 +121,32 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
+class Claimed:
     """The claim is in the store; its owner may send the call."""
 
     claim: Claim
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Taken:
+class AlreadyClaimed:
     """The key was used before."""
 
     claim: Claim
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreOut:
+class ClaimFailed:
     """The key is not bound, so the call must not be sent."""
 
     reason: str
     retry_after: datetime.timedelta | None = None
 
 
-def share_of(calls_per_second: float, time: clock.Clock) -> call_budget.CallBudget:
+def claims_budget(calls_per_second: float, time: clock.Clock) -> call_budget.CallBudget:
     """Return the share of an instance's calls of the platform that claims may take."""
-    return call_budget.CallBudget(_SHARE * calls_per_second / _CALLS_PER_CHANGE, time)
+    return call_budget.CallBudget(
+        _BUDGET_SHARE * calls_per_second / _CALLS_PER_CHANGE, time
+    )
 
 
 _Claims = tuple[Claim, ...]
@@ -169,16 +171,18 @@
         objects: store.Store,
         owner: Owner,
         time: clock.Clock,
-        share: call_budget.CallBudget | None = None,
+        budget: call_budget.CallBudget | None = None,
     ) -> None:
         self._store = objects
         self._owner = owner
         self._clock = time
-        self._share = share
+        self._budget = budget
         # Claims of ours that were never sent and never will be; see `release`.
         self._void: dict[str, datetime.timedelta] = {}
 
-    async def claim(self, name: str, fingerprint: str) -> Held | Taken | StoreOut:
+    async def claim(
+        self, name: str, fingerprint: str
+    ) -> Claimed | AlreadyClaimed | ClaimFailed:
         """Bind a key to this instance, unless it was used before.
 
         A reply that is lost after the write took effect is settled by reading the
@@ -189,27 +193,27 @@
         claim = Claim(
             name, fingerprint, identity.new_id(), self._owner, self._clock.now()
         )
-        page = await self._update(name, lambda claims: self._with(claims, claim))
+        page = await self._update(name, lambda claims: self._add(claims, claim))
         if isinstance(page, store.Unavailable):
             if page.effect_unknown:
-                self._note_void(claim.claim_id)
-            return StoreOut(page.reason, page.retry_after)
-        standing = _named(page, name)
-        if standing is None:
-            return StoreOut("the page of claims is full")
-        if standing.claim_id == claim.claim_id:
-            return Held(standing)
-        return Taken(standing)
+                self._record_void(claim.claim_id)
+            return ClaimFailed(page.reason, page.retry_after)
+        current = _find(page, name)
+        if current is None:
+            return ClaimFailed("the page of claims is full")
+        if current.claim_id == claim.claim_id:
+            return Claimed(current)
+        return AlreadyClaimed(current)
 
     async def settle(
-        self, claim: Claim, state: State, answer: outcomes.Answered | None
+        self, claim: Claim, state: State, answer: outcomes.Response | None
     ) -> bool:
         """Record how a claim's call ended; best effort.
 
         Until it is recorded, retries are passed to the owner, which knows. The record
         is for retries after the owner has gone.
         """
-        if answer is not None and len(answer.body) > ANSWER_LIMIT_BYTES:
+        if answer is not None and len(answer.body) > MAX_ANSWER_BYTES:
             answer = None
         settled = dataclasses.replace(claim, state=state, answer=answer)
         page = await self._update(
@@ -227,7 +231,7 @@
         instance may claim the key anew over it. That write moves the page's version
         on, so that a late copy of the release can't remove the newer claim.
         """
-        self._note_void(claim.claim_id)
+        self._record_void(claim.claim_id)
         await self._update(
             claim.name,
             lambda claims: tuple(c for c in claims if c.claim_id != claim.claim_id),
@@ -237,12 +241,12 @@
         """Tell whether this instance made the claim and will never send its call."""
         return claim.claim_id in self._void
 
-    def _with(self, claims: _Claims, claim: Claim) -> _Claims:
-        standing = _named(claims, claim.name)
-        if standing is not None and not self.is_void(standing):
+    def _add(self, claims: _Claims, claim: Claim) -> _Claims:
+        current = _find(claims, claim.name)
+        if current is not None and not self.is_void(current):
             return claims
         others = tuple(c for c in claims if c.name != claim.name)
-        return claims if len(others) >= PAGE_LIMIT else (*others, claim)
+        return claims if len(others) >= MAX_CLAIMS_PER_PAGE else (*others, claim)
 
     async def _update(self, name: str, change: _Change) -> _Claims | store.Unavailable:
         """Change a page, and return it as it then stands.
@@ -250,17 +254,19 @@
         A write whose outcome is unknown is followed by reading the page again, which
         shows whether it took effect; only the last one may stay unknown.
         """
-        if self._share is not None and not await self._share.take():
-            return store.Unavailable("claims' share of the call budget", False, _PAUSE)
+        if self._budget is not None and not await self._budget.take():
+            return store.Unavailable(
+                "claims' share of the call budget", False, _RETRY_PAUSE
+            )
         page_name = page_of(name)
         failure = store.Unavailable("the page changed too often", False)
         unknown = False
-        for _ in range(_ATTEMPTS):
+        for _ in range(_MAX_ATTEMPTS):
             found = await self._store.get(KIND, page_name)
             if isinstance(found, store.Unavailable):
                 failure = found
                 break
-            version, before = self._parsed(found)
+            version, before = self._parse(found)
             after = change(before)
             if after == before:
                 return after
@@ -276,32 +282,32 @@
                 await self._pause()
         return dataclasses.replace(failure, effect_unknown=unknown)
 
-    def _parsed(self, found: store.Found | store.Absent) -> tuple[int, _Claims]:
+    def _parse(self, found: store.Found | store.Absent) -> tuple[int, _Claims]:
         if isinstance(found, store.Absent):
             return 0, ()
         stored = (Claim.from_json(value) for value in found.value["claims"])
-        return found.version, tuple(self._current(stored))
+        return found.version, tuple(self._unexpired(stored))
 
-    def _current(self, claims: abc.Iterable[Claim]) -> abc.Iterator[Claim]:
+    def _unexpired(self, claims: abc.Iterable[Claim]) -> abc.Iterator[Claim]:
         now = self._clock.now()
         for claim in claims:
             age = now - claim.claimed_at
-            if age < ANSWER_KEPT:
+            if age < ANSWER_RETENTION:
                 yield claim
-            elif age < CLAIM_KEPT:
+            elif age < CLAIM_RETENTION:
                 yield dataclasses.replace(claim, owner=None, answer=None)
 
-    def _note_void(self, claim_id: str) -> None:
+    def _record_void(self, claim_id: str) -> None:
         now = self._clock.monotonic()
         self._void[claim_id] = now
         while self._void:
             oldest = next(iter(self._void))
-            if now - self._void[oldest] < ANSWER_KEPT:
+            if now - self._void[oldest] < ANSWER_RETENTION:
                 return
             del self._void[oldest]
 
     async def _pause(self) -> None:
-        await self._clock.sleep(_PAUSE * random.uniform(0.5, 1.5))
+        await self._clock.sleep(_RETRY_PAUSE * random.uniform(0.5, 1.5))
 
 
 def page_of(name: str) -> str:
@@ -309,5 +315,5 @@
     return name[:_PAGE_DIGITS]
 
 
-def _named(claims: _Claims, name: str) -> Claim | None:
+def _find(claims: _Claims, name: str) -> Claim | None:
     return next((claim for claim in claims if claim.name == name), None)
--- a/src/pimentolatch/requests/handover.py
+++ b/src/pimentolatch/requests/kv_transfer.py
@@ -7,53 +7,53 @@
 import logbook
 
 from pimentolatch import settings
-from pimentolatch.backend import kv
+from pimentolatch.backend import kv_client
 from pimentolatch.document import schema
 
-__all__ = ["Handover", "KvMoves", "NoHandover"]
+__all__ = ["KvTransfer", "KvTransferClient", "NoKvTransfer"]
 
 _log = logbook.Logger("handover")
 
 
-class KvMoves(typing.Protocol):
+class KvTransferClient(typing.Protocol):
     """What is needed of a client that moves KV caches."""
 
-    async def move(
+    async def transfer(
         self,
         reader: settings.Address,
-        answering: settings.Address,
+        decode_engine: settings.Address,
         model: str,
         prompt: str,
         limit: datetime.timedelta,
-    ) -> kv.Handle | kv.NotMoved:
+    ) -> kv_client.Handle | kv_client.NotTransferred:
         """Read a prompt at one engine and let another fetch its cache."""
 
 
-class NoHandover:
+class NoKvTransfer:
     """Leaves every prompt to the engine that answers."""
 
-    async def move(
+    async def transfer(
         self,
         reader: settings.Address,
-        answering: settings.Address,
+        decode_engine: settings.Address,
         model: str,
         prompt: str,
         limit: datetime.timedelta,
-    ) -> kv.Handle | kv.NotMoved:
+    ) -> kv_client.Handle | kv_client.NotTransferred:
         """See `KvMoves.move`."""
-        return kv.NotMoved("no client for it")
+        return kv_client.NotTransferred("no client for it")
 
 
-class Handover:
+class KvTransfer:
     """Moves the cache of a prompt within a time limit, or does without."""
 
-    def __init__(self, moves: KvMoves) -> None:
-        self._moves = moves
+    def __init__(self, moves: KvTransferClient) -> None:
+        self._client = moves
 
-    async def handle(
+    async def transfer(
         self,
         reader: schema.Engine,
-        answering: schema.Engine,
+        decode_engine: schema.Engine,
         model: str,
         prompt: str,
         limit: datetime.timedelta,
@@ -65,12 +65,12 @@
         """
         try:
             async with asyncio.timeout(limit.total_seconds()):
-                moved = await self._moves.move(
-                    reader.address, answering.address, model, prompt, limit
+                transferred = await self._client.transfer(
+                    reader.address, decode_engine.address, model, prompt, limit
                 )
         except TimeoutError:
-            moved = kv.NotMoved("time limit")
-        if isinstance(moved, kv.Handle):
-            return moved.name
-        _log.warn("prompt read in place", reader=reader.name, reason=moved.reason)
+            transferred = kv_client.NotTransferred("time limit")
+        if isinstance(transferred, kv_client.Handle):
+            return transferred.name
+        _log.warn("prompt read in place", reader=reader.name, reason=transferred.reason)
         return None
--- a/src/pimentolatch/requests/prompts.py
+++ b/src/pimentolatch/requests/prompts.py
@@ -27,7 +27,7 @@
 
     model: str
     tokens: int
-    most_output: int
+    max_output: int
     expected_output: int
     parts: tuple[Part, ...]
 
--- a/src/pimentolatch/requests/refusals.py
+++ b/src/pimentolatch/requests/refusals.py
@@ -3,7 +3,7 @@
 import datetime
 
 from pimentolatch import results
-from pimentolatch.requests import keys
+from pimentolatch.requests import idempotency_keys
 
 __all__ = [
     "DEADLINE_PASSED",
@@ -12,16 +12,16 @@
     "STOPPED",
     "TICKET_VOID",
     "certainly_not_run",
-    "is_unknown",
+    "is_outcome_unknown",
     "overloaded",
     "store_unavailable",
-    "unknown",
+    "outcome_unknown",
 ]
 
 _RETRY_AFTER = datetime.timedelta(seconds=1)
 
 
-def is_unknown(outcome: keys.Outcome) -> bool:
+def is_outcome_unknown(outcome: idempotency_keys.Outcome) -> bool:
     """Tell whether it is not known if a call ran."""
     return (
         isinstance(outcome, results.Refusal)
@@ -29,7 +29,7 @@
     )
 
 
-def certainly_not_run(outcome: keys.Outcome) -> bool:
+def certainly_not_run(outcome: idempotency_keys.Outcome) -> bool:
     """Tell whether a call has had no effect and will have none."""
     return (
         isinstance(outcome, results.Refusal)
@@ -67,7 +67,7 @@
 )
 
 
-def unknown(reason: str) -> results.Refusal:
+def outcome_unknown(reason: str) -> results.Refusal:
     """Return the refusal of a call that may have run."""
     return results.Refusal(
         results.ResultCode.OUTCOME_UNKNOWN,
--- a/src/pimentolatch/requests/retired.py
+++ b/src/pimentolatch/requests/retired_owners.py
@@ -12,14 +12,14 @@
 
 from pimentolatch import clock, store
 
-__all__ = ["Record", "RetiredOwners", "Use"]
+__all__ = ["TicketRecord", "RetiredOwners", "TicketUse"]
 
 KIND = "retired-owners"
-Use = typing.Literal["never", "answered", "unknown"]
+TicketUse = typing.Literal["never", "answered", "unknown"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Record:
+class TicketRecord:
     """The tickets of one incarnation.
 
     Attributes:
@@ -33,7 +33,7 @@
     answered: frozenset[int]
     unknown: frozenset[int]
 
-    def use(self, number: int) -> Use:
+    def ticket_use(self, number: int) -> TicketUse:
         """Return what became of a ticket; the incarnation has ended."""
         if number in self.answered:
             return "answered"
@@ -58,9 +58,9 @@
         self._clock = time
         self._lifetime = lifetime
 
-    async def write(self, incarnation: str, record: Record) -> None:
+    async def write(self, incarnation: str, record: TicketRecord) -> None:
         """Write a record, and remove those that no ticket needs; best effort."""
-        await self._remove_old()
+        await self._remove_expired()
         value = {
             "at": int(self._clock.now().timestamp()),
             "first": record.issued.start,
@@ -70,20 +70,20 @@
         }
         await self._store.put(KIND, incarnation, value, if_version=0)
 
-    async def use(self, incarnation: str, number: int) -> Use:
+    async def ticket_use(self, incarnation: str, number: int) -> TicketUse:
         """Return what became of a ticket whose owner can't be reached."""
         found = await self._store.get(KIND, incarnation)
         if not isinstance(found, store.Found):
             return "unknown"
         value = found.value
-        record = Record(
+        record = TicketRecord(
             range(value["first"], value["end"]),
             frozenset(value["answered"]),
             frozenset(value["unknown"]),
         )
-        return record.use(number)
+        return record.ticket_use(number)
 
-    async def _remove_old(self) -> None:
+    async def _remove_expired(self) -> None:
         listing = await self._store.list_objects(KIND)
         if isinstance(listing, store.Unavailable):
             return
--- a/src/pimentolatch/requests/service_call.py
+++ b/src/pimentolatch/requests/service_call.py
@@ -5,16 +5,22 @@
 import typing
 
 from pimentolatch import clock, fleet, index, results, settings
-from pimentolatch.backend import outcomes, plain
+from pimentolatch.backend import outcomes, plain_client
 from pimentolatch.decisions import outstanding_work, plain_routing
 from pimentolatch.document import schema
-from pimentolatch.requests import identity, keys
+from pimentolatch.requests import idempotency_keys, identity
 
-__all__ = ["KeyedCalls", "PlainCalls", "ServiceCall", "ServiceCallRunner", "Sender"]
+__all__ = [
+    "KeyedCallRunner",
+    "PlainServerClient",
+    "ServiceCall",
+    "ServiceCallRunner",
+    "CallSender",
+]
 
-_ATTEMPTS = 3
+_MAX_ATTEMPTS = 3
 _RETRY_AFTER = datetime.timedelta(seconds=1)
-_NO_TIME = datetime.timedelta()
+_ZERO = datetime.timedelta()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -39,23 +45,23 @@
     forwarded: bool = False
 
 
-class PlainCalls(typing.Protocol):
+class PlainServerClient(typing.Protocol):
     """What is needed of a client of plain servers."""
 
     async def call(
-        self, address: settings.Address, call: plain.Call
+        self, address: settings.Address, call: plain_client.Call
     ) -> outcomes.ServiceOutcome:
         """Send a call and wait for its whole answer."""
 
 
-class KeyedCalls(typing.Protocol):
+class KeyedCallRunner(typing.Protocol):
     """Runs calls that carry an idempotency key at most once."""
 
-    async def run(self, call: ServiceCall) -> keys.Outcome:
+    async def run(self, call: ServiceCall) -> idempotency_keys.Outcome:
         """Return the outcome of the one run of the call's key."""
 
 
-class Sender:
+class CallSender:
     """Sends calls to the plain servers that the fleet's view offers."""
 
     def __init__(
@@ -63,7 +69,7 @@
         *,
         own_fleet: fleet.Fleet,
         own_domain: str,
-        servers: PlainCalls,
+        servers: PlainServerClient,
         work: outstanding_work.OutstandingWork,
         time: clock.Clock,
     ) -> None:
@@ -73,52 +79,54 @@
         self._clock = time
         self._router = plain_routing.PlainRouter(own_domain, work)
         self._indexes = index.Indexes()
-        self._known: index.Index | None = None
+        self._latest_index: index.Index | None = None
 
     async def send(
         self,
         call: ServiceCall,
         *,
         repeatable: bool,
-        entry: keys.Entry | None = None,
-        patience: datetime.timedelta = _NO_TIME,
-    ) -> keys.Outcome:
+        entry: idempotency_keys.Entry | None = None,
+        extra_wait: datetime.timedelta = _ZERO,
+    ) -> idempotency_keys.Outcome:
         """Return the service's answer or a refusal.
 
         A call that may not be repeated is sent again only while it is certain that no
-        server ran it; after that the only answers are its result or "unknown".
+        server ran it; after that the only answers are its result or "outcome_unknown".
 
         Args:
             call: The call.
             repeatable: Whether it may run twice.
             entry: Entry of the call's key; asked right before each sending.
-            patience: How long to wait for an answer past the deadline, for a retry.
+            extra_wait: How long to wait for an answer past the deadline, for a retry.
         """
         failed: set[str] = set()
         maybe_ran = False
         reason = "no server is free"
-        for attempt in range(_ATTEMPTS):
+        for attempt in range(_MAX_ATTEMPTS):
             left = call.deadline - self._clock.monotonic()
             server = self._choose(call.service, repeatable, failed)
-            if server is None or left <= _NO_TIME:
+            if server is None or left <= _ZERO:
                 break
-            if entry is not None and not entry.take():
+            if entry is not None and not entry.start_dispatch():
                 break
             # A repeatable call leaves time to try elsewhere; another one has no use
             # for it, and a longer wait makes fewer unknown outcomes.
-            last = not repeatable or attempt == _ATTEMPTS - 1
-            limit = left + patience if last else left / 2
-            outcome = await self._at(server, _sending(call, repeatable, limit))
-            if isinstance(outcome, outcomes.Answered):
+            last = not repeatable or attempt == _MAX_ATTEMPTS - 1
+            limit = left + extra_wait if last else left / 2
+            outcome = await self._dispatch_to(
+                server, _dispatch(call, repeatable, limit)
+            )
+            if isinstance(outcome, outcomes.Response):
                 return outcome
             reason = outcome.reason
             failed.add(server.name)
-            if isinstance(outcome, outcomes.Broken):
+            if isinstance(outcome, outcomes.OutcomeUnknown):
                 maybe_ran = True
                 if not repeatable:
                     break
             elif entry is not None:
-                entry.give_back()
+                entry.revert_dispatch()
         return _refusal(maybe_ran, reason, call.deadline <= self._clock.monotonic())
 
     def _choose(
@@ -127,30 +135,30 @@
         view = self._fleet.view
         if view.document is None:
             return None
-        known = self._indexes.of(view.document)
-        if known is not self._known:
-            self._known = known
+        latest = self._indexes.of(view.document)
+        if latest is not self._latest_index:
+            self._latest_index = latest
             self._router.forget({s.name for s in view.document.plain_servers})
         return self._router.choose(
             view,
-            known.plain_servers.get(service, ()),
+            latest.plain_servers.get(service, ()),
             self._clock.monotonic(),
             repeatable=repeatable,
             avoid=failed,
         )
 
-    async def _at(
-        self, server: schema.PlainServer, sending: plain.Call
+    async def _dispatch_to(
+        self, server: schema.PlainServer, dispatch: plain_client.Call
     ) -> outcomes.ServiceOutcome:
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         self._work.begin(server.name)
         try:
-            outcome = await self._servers.call(server.address, sending)
+            outcome = await self._servers.call(server.address, dispatch)
         finally:
             self._work.end(server.name)
         now = self._clock.monotonic()
-        if isinstance(outcome, outcomes.Answered):
-            self._router.answered(server.name, now - began, now)
+        if isinstance(outcome, outcomes.Response):
+            self._router.answered(server.name, now - started_at, now)
         else:
             self._router.failed(server.name, now)
         return outcome
@@ -166,14 +174,14 @@
     """
 
     def __init__(
-        self, *, own_fleet: fleet.Fleet, sender: Sender, keyed: KeyedCalls
+        self, *, own_fleet: fleet.Fleet, sender: CallSender, keyed: KeyedCallRunner
     ) -> None:
         self._fleet = own_fleet
         self._sender = sender
         self._keyed = keyed
         self._indexes = index.Indexes()
 
-    async def run(self, call: ServiceCall) -> keys.Outcome:
+    async def run(self, call: ServiceCall) -> idempotency_keys.Outcome:
         """Return the service's answer or a refusal."""
         document = self._fleet.view.document
         if document is None:
@@ -196,12 +204,12 @@
         return await self._sender.send(call, repeatable=operation.repeatable)
 
 
-def _sending(
+def _dispatch(
     call: ServiceCall, repeatable: bool, limit: datetime.timedelta
-) -> plain.Call:
+) -> plain_client.Call:
     # The request's own id leads the dispatch's, so that logs and histories of both
     # sides can be put together.
-    return plain.Call(
+    return plain_client.Call(
         f"{call.request_id}.{identity.new_id()[:8]}",
         call.service,
         call.operation,
--- a/src/pimentolatch/requests/tickets.py
+++ b/src/pimentolatch/requests/tickets.py
@@ -23,9 +23,9 @@
 import cbor2
 
 from pimentolatch import clock, settings, store
-from pimentolatch.requests import claims
+from pimentolatch.requests import key_claims
 
-__all__ = ["Forged", "NoSecret", "PREFIX", "Ticket", "TicketOffice"]
+__all__ = ["InvalidTicket", "SecretUnavailable", "PREFIX", "Ticket", "TicketIssuer"]
 
 PREFIX = "ticket."
 KIND = "ticket-secrets"
@@ -44,25 +44,25 @@
             that no two clocks have to agree.
     """
 
-    owner: claims.Owner
+    owner: key_claims.Owner
     caller: str
     number: int
     issued_at: datetime.timedelta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Forged:
+class InvalidTicket:
     """The text is no ticket of this fleet."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NoSecret:
+class SecretUnavailable:
     """The store has not yet told the secret to this instance."""
 
     reason: str
 
 
-class TicketOffice:
+class TicketIssuer:
     """Hands out tickets and reads them.
 
     Args:
@@ -75,7 +75,7 @@
     def __init__(
         self,
         objects: store.Store,
-        owner: claims.Owner,
+        owner: key_claims.Owner,
         time: clock.Clock,
         lifetime: datetime.timedelta,
     ) -> None:
@@ -89,10 +89,10 @@
         )
         self._secret: bytes | None = None
 
-    async def issue(self, caller: str, count: int) -> list[str] | NoSecret:
+    async def issue(self, caller: str, count: int) -> list[str] | SecretUnavailable:
         """Return new tickets for a caller."""
-        secret = await self._known_secret()
-        if isinstance(secret, NoSecret):
+        secret = await self._shared_secret()
+        if isinstance(secret, SecretUnavailable):
             return secret
         now = self._clock.monotonic()
         first, self._next_number = self._next_number, self._next_number + count
@@ -100,7 +100,7 @@
         while now - self._issues[0][0] >= self._lifetime:
             self._issues.popleft()
         return [
-            _text(Ticket(self._owner, caller, number, now), secret)
+            _encode(Ticket(self._owner, caller, number, now), secret)
             for number in range(first, self._next_number)
         ]
 
@@ -110,18 +110,18 @@
         usable = (number for at, number in self._issues if at > oldest)
         return range(next(usable, self._next_number), self._next_number)
 
-    def is_over(self, ticket: Ticket) -> bool:
+    def is_expired(self, ticket: Ticket) -> bool:
         """Tell whether a ticket of this instance can be used no longer."""
         return self._clock.monotonic() - ticket.issued_at >= self._lifetime
 
-    async def read(self, text: str) -> Ticket | Forged | NoSecret:
+    async def verify(self, text: str) -> Ticket | InvalidTicket | SecretUnavailable:
         """Check a ticket's signature and return its content."""
-        secret = await self._known_secret()
-        if isinstance(secret, NoSecret):
+        secret = await self._shared_secret()
+        if isinstance(secret, SecretUnavailable):
             return secret
-        return _parsed(text, secret)
+        return _decode(text, secret)
 
-    async def _known_secret(self) -> bytes | NoSecret:
+    async def _shared_secret(self) -> bytes | SecretUnavailable:
         if self._secret is None:
             found = await self._store.get(KIND, NAME)
             if isinstance(found, store.Absent):
@@ -131,7 +131,7 @@
                 found = await self._store.get(KIND, NAME)
             if not isinstance(found, store.Found):
                 reason = "absent" if isinstance(found, store.Absent) else found.reason
-                return NoSecret(reason)
+                return SecretUnavailable(reason)
             self._secret = bytes.fromhex(found.value["secret"])
         return self._secret
 
@@ -140,7 +140,7 @@
     return hmac.digest(secret, content, hashlib.sha256)[:_SIGNATURE_BYTES]
 
 
-def _text(ticket: Ticket, secret: bytes) -> str:
+def _encode(ticket: Ticket, secret: bytes) -> str:
     fields = (
         ticket.owner.incarnation,
         ticket.owner.address.host,
@@ -151,29 +151,29 @@
     )
     content: bytes = cbor2.dumps(fields)
     signed = _signature(content, secret) + content
-    return PREFIX + _encoded(signed)
+    return PREFIX + _base64(signed)
 
 
-def _encoded(signed: bytes) -> str:
+def _base64(signed: bytes) -> str:
     return base64.urlsafe_b64encode(signed).decode().rstrip("=")
 
 
-def _parsed(text: str, secret: bytes) -> Ticket | Forged:
+def _decode(text: str, secret: bytes) -> Ticket | InvalidTicket:
     encoded = text.removeprefix(PREFIX)
     try:
         signed = base64.urlsafe_b64decode(encoded + "=" * (-len(encoded) % 4))
     except (binascii.Error, ValueError):
-        return Forged()
-    if _encoded(signed) != encoded:
-        return Forged()
+        return InvalidTicket()
+    if _base64(signed) != encoded:
+        return InvalidTicket()
     given, content = signed[:_SIGNATURE_BYTES], signed[_SIGNATURE_BYTES:]
     if not hmac.compare_digest(given, _signature(content, secret)):
-        return Forged()
+        return InvalidTicket()
     # Signed by an instance of this fleet, so the content is as `_text` wrote it.
     fields: typing.Any = cbor2.loads(content)
     incarnation, host, port, caller, number, issued_ms = fields
     return Ticket(
-        claims.Owner(incarnation, settings.Address(host=host, port=port)),
+        key_claims.Owner(incarnation, settings.Address(host=host, port=port)),
         caller,
         number,
         datetime.timedelta(milliseconds=issued_ms),
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -53,7 +53,7 @@
             url,
             data=json.dumps(body | {"stream": True}).encode(),
             headers={"content-type": "application/json"} | (headers or {}),
-            timeouts=connections.timeouts(connect=_LONG, silence=_LONG),
+            timeouts=connections.timeouts(connect=_LONG, response_timeout=_LONG),
         )
         if response.status_code != 200:
             parsed = json.loads(await response.content())
--- a/standins/memory_engine.py
+++ b/standins/memory_engine.py
@@ -8,7 +8,7 @@
 import typing
 
 from pimentolatch import settings
-from pimentolatch.backend import orders
+from pimentolatch.backend import order_client
 from tests.support import history, schedule
 
 __all__ = ["EngineKind", "Links", "MemoryEngine", "MemoryOrderClient"]
@@ -63,9 +63,9 @@
         self.last_order: str | None = None
         self.streams: dict[str, asyncio.Event] = {}
 
-    def state(self) -> orders.EngineState:
+    def state(self) -> order_client.EngineState:
         """Return what the engine says of itself."""
-        return orders.EngineState(
+        return order_client.EngineState(
             self.role,
             self.models,
             self.fence,
@@ -101,20 +101,22 @@
         if self.streams.pop(request, None) is not None:
             self._recorder.add(history.StreamEnded(self._plan.now, self.name, request))
 
-    async def take(self, body: dict[str, typing.Any], opened: float) -> orders.Sent:
+    async def take(
+        self, body: dict[str, typing.Any], opened: float
+    ) -> order_client.Sent:
         """Take an order whose last byte has just arrived."""
         if self.kind.closes_late and self._plan.now > opened + self.kind.read_timeout_s:
-            return orders.Refused("too slow")
+            return order_client.Refused("too slow")
         if self.kind.checks_fencing and body["fence"] < self.fence:
-            return orders.Refused("old fence")
+            return order_client.Refused("old fence")
         self.fence = max(self.fence, body["fence"])
         if body["order"] == self.last_order:
-            return orders.Taken(self.state())
+            return order_client.Taken(self.state())
         if self.changing:
-            return orders.Refused("changing")
+            return order_client.Refused("changing")
         return await self._change(body)
 
-    async def _change(self, body: dict[str, typing.Any]) -> orders.Sent:
+    async def _change(self, body: dict[str, typing.Any]) -> order_client.Sent:
         incarnation = self.incarnation
         self.changing = True
         self.last_order = body["order"]
@@ -137,12 +139,12 @@
             self._plan.start(self._crash_soon())
         await self._plan.time.sleep(schedule.seconds(self.kind.change_s))
         if self.incarnation != incarnation or not self.up:
-            return orders.Unreachable("crashed")
+            return order_client.Unreachable("crashed")
         self.role = body["role"]
         self.models = tuple(sorted(body["models"].items()))
         self.changing = False
         self._recorder.add(history.OrderDone(self._plan.now, self.name, body["order"]))
-        return orders.Taken(self.state())
+        return order_client.Taken(self.state())
 
     async def _crash_soon(self) -> None:
         part = self._plan.random.uniform(0.1, 0.9)
@@ -187,23 +189,23 @@
 
     async def state(
         self, address: settings.Address
-    ) -> orders.EngineState | orders.Unreachable:
+    ) -> order_client.EngineState | order_client.Unreachable:
         """See `orders.OrderClient.state`."""
         engine = self._engines[address.port]
         await self._plan.point(self._actor, "state")
         answer = engine.state()
         reached = engine.up and self._reaches(engine)
         await self._plan.point(self._actor, "state seen")
-        return answer if reached else orders.Unreachable("no answer")
+        return answer if reached else order_client.Unreachable("no answer")
 
     async def open(
         self, address: settings.Address, body: dict[str, typing.Any]
-    ) -> orders.Attempt | orders.Unreachable:
+    ) -> order_client.Attempt | order_client.Unreachable:
         """See `orders.OrderClient.open`."""
         engine = self._engines[address.port]
         await self._plan.point(self._actor, "open")
         if not engine.up or not self._reaches(engine):
-            return orders.Unreachable("no connection")
+            return order_client.Unreachable("no connection")
         attempt = _Attempt(self, engine, body, self._plan.now)
         await self._plan.point(self._actor, "opened")
         return attempt
@@ -212,25 +214,25 @@
         out = self._links.carries(self._actor, engine.name)
         return out and self._links.carries(engine.name, self._actor)
 
-    async def exchange(self, attempt: "_Attempt") -> orders.Sent:
+    async def exchange(self, attempt: "_Attempt") -> order_client.Sent:
         """Write the order's bytes and wait for the answer."""
         await self._plan.point(self._actor, "send")
         # Once written, the bytes are on their way whatever becomes of the sender.
         on_the_way = self._plan.start(self._deliver(attempt))
-        sent: orders.Sent = await asyncio.shield(on_the_way)
+        sent: order_client.Sent = await asyncio.shield(on_the_way)
         await self._plan.point(self._actor, "sent")
         if not self._links.carries(attempt.engine.name, self._actor):
-            return orders.Unreachable("the answer was lost")
+            return order_client.Unreachable("the answer was lost")
         return sent
 
-    async def _deliver(self, attempt: "_Attempt") -> orders.Sent:
+    async def _deliver(self, attempt: "_Attempt") -> order_client.Sent:
         engine = attempt.engine
         late = self._plan.random.choices((0.001, 0.01, 0.2, 3.0), (50, 30, 15, 5))[0]
         await self._plan.time.sleep(schedule.seconds(late))
         reached = self._links.carries(self._actor, engine.name)
         # A connection belongs to one start of the engine.
         if engine.incarnation != attempt.incarnation or not engine.up or not reached:
-            return orders.Unreachable("connection reset")
+            return order_client.Unreachable("connection reset")
         return await engine.take(attempt.body, attempt.opened)
 
 
@@ -248,7 +250,7 @@
         self.body = body
         self.opened = opened
 
-    async def send(self) -> orders.Sent:
+    async def send(self) -> order_client.Sent:
         """See `orders.Attempt.send`."""
         return await self._client.exchange(self)
 
--- a/tests/features/steps/crashing_requests_steps.py
+++ b/tests/features/steps/crashing_requests_steps.py
@@ -88,7 +88,7 @@
 @behave.when("crashes: an engine answers it after all")
 def answered_by_one(context):
     first = context.fleet.instances[0]
-    first.suspects.completed(completion_crashes.DIGEST)
+    first.suspects.record_completion(completion_crashes.DIGEST)
     context.fleet.deliver()
     context.verdicts = [
         instance.suspects.verdict(completion_crashes.DIGEST)
@@ -104,9 +104,9 @@
     now = context.fleet.instances[0].time.monotonic()
     for number in range(count):
         for engine in LOST_ENGINES[:-1]:
-            suspects.engine_ended(2**47 + number, engine, now)
+            suspects.record_crash(2**47 + number, engine, now)
     for engine in LOST_ENGINES:
-        suspects.engine_ended(completion_crashes.DIGEST, engine, now)
+        suspects.record_crash(completion_crashes.DIGEST, engine, now)
 
 
 @behave.then(
--- a/tests/features/steps/load_steps.py
+++ b/tests/features/steps/load_steps.py
@@ -35,8 +35,8 @@
 )
 from pimentolatch.document import schema
 from pimentolatch.requests import (
-    schedule,
-    stream,
+    completion_scheduler,
+    completion_stream,
 )
 from standins import (
     callers,
@@ -444,14 +444,16 @@
     class Failing:
         async def generate(self, address, dispatch):
             times.append(time.monotonic())
-            yield outcomes.Broken("failed")
+            yield outcomes.OutcomeUnknown("failed")
 
-    class AnyEngine(schedule.Scheduler):
+    class AnyEngine(completion_scheduler.Scheduler):
         def choose(self, completion, failed):
             return load_fakes.document(1).engines[0]
 
     choice = AnyEngine(dispatcher.Dispatcher("entry-1", "x"), fleet.Fleet(), time)
-    tries = stream.ResumingStream(Failing(), choice, time, chance=random.Random(seed))
+    tries = completion_stream.ResumingStream(
+        Failing(), choice, time, chance=random.Random(seed)
+    )
     completion = dataclasses.replace(
         asked("r"), deadline=time.monotonic() + 60 * SECOND
     )
@@ -478,13 +480,15 @@
     own_fleet.adopt(fleet.Configuration(1, "", document))
     context.clock = clock.ManualClock()
     context.decisions = dispatcher.Dispatcher("entry-1", "hakodate")
-    context.scheduler = schedule.Scheduler(context.decisions, own_fleet, context.clock)
+    context.scheduler = completion_scheduler.Scheduler(
+        context.decisions, own_fleet, context.clock
+    )
     context.engine = document.engines[0]
     context.taken = [asked(f"taken-{n}") for n in range(context.engine.streams)]
 
 
 def asked(name):
-    return stream.Completion(
+    return completion_stream.Completion(
         name, "guest", load_fakes.MODEL, "badge", 60, deadline=5 * SECOND
     )
 
--- a/tests/features/steps/orders_duty_steps.py
+++ b/tests/features/steps/orders_duty_steps.py
@@ -8,7 +8,7 @@
 
 from pimentolatch import clock
 from pimentolatch.audit import trail
-from pimentolatch.backend import orders
+from pimentolatch.backend import order_client
 from pimentolatch.control import drain, duty, reconciler, slots
 from pimentolatch.decisions import roles, serving_floor
 from pimentolatch.document import schema
@@ -249,7 +249,7 @@
             1,
             DOMAIN,
             {name: slots.Slot(name, 1, slots.SlotState.DRAINING) for name in draining},
-            {name: orders.Unreachable("down") for name in unreachable},
+            {name: order_client.Unreachable("down") for name in unreachable},
             {name: drain.InUse("streams") for name in draining},
             unreachable=set(unreachable),
         )
--- a/tests/features/steps/requests_answers_steps.py
+++ b/tests/features/steps/requests_answers_steps.py
@@ -7,7 +7,7 @@
 import behave
 
 from pimentolatch import settings
-from pimentolatch.backend import engine, outcomes, plain
+from pimentolatch.backend import engine_client, outcomes, plain_client
 from tests.support import raw_server
 
 SECOND = datetime.timedelta(seconds=1)
@@ -15,13 +15,13 @@
 
 
 def call(body, *, repeatable, time_limit=SECOND):
-    return plain.Call(
+    return plain_client.Call(
         DISPATCH, "booking", "confirm", body, "text/plain", repeatable, time_limit
     )
 
 
 async def send(address, *calls, pause_s=0.0):
-    client = plain.PlainClient("test", connect=SECOND / 5)
+    client = plain_client.PlainClient("test", connect=SECOND / 5)
     try:
         found = []
         for one in calls:
@@ -66,7 +66,7 @@
 def received(context):
     first, second, third = context.outcomes
     assert first.body == b"one", first
-    assert isinstance(second, outcomes.Broken), second
+    assert isinstance(second, outcomes.OutcomeUnknown), second
     assert third.body == b"three", third
 
 
@@ -162,8 +162,8 @@
 def outcome_is(context, outcome, count):
     kinds = {
         "not run": outcomes.NotRun,
-        "may have run": outcomes.Broken,
-        "answered": outcomes.Answered,
+        "may have run": outcomes.OutcomeUnknown,
+        "answered": outcomes.Response,
     }
     assert isinstance(context.outcome, kinds[outcome]), context.outcome
     seen = 0 if context.server is None else len(context.server.requests)
@@ -206,8 +206,10 @@
 @behave.when("requests read the stream")
 def read_stream(context):
     async def run():
-        client = engine.EngineClient("test", connect=SECOND, silence=SECOND)
-        dispatch = engine.Dispatch(DISPATCH, "m", "p", 4)
+        client = engine_client.EngineClient(
+            "test", connect=SECOND, response_timeout=SECOND
+        )
+        dispatch = engine_client.Dispatch(DISPATCH, "m", "p", 4)
         async with context.server.listening() as address:
             events = [event async for event in client.generate(address, dispatch)]
         await client.aclose()
@@ -220,7 +222,7 @@
 def stream_ended(context, count, end):
     kinds = {
         "finished": outcomes.Finished,
-        "broken": outcomes.Broken,
+        "broken": outcomes.OutcomeUnknown,
         "not run": outcomes.NotRun,
     }
     assert isinstance(context.end, kinds[end]), context.end
--- a/tests/features/steps/requests_http_steps.py
+++ b/tests/features/steps/requests_http_steps.py
@@ -14,7 +14,7 @@
 
 from pimentolatch import metrics, results, settings
 from pimentolatch.entry import answers, bodies, guard, servers
-from pimentolatch.requests import stream
+from pimentolatch.requests import completion_stream
 from standins import callers, deployments, processes
 from tests.support import completions, virtual_time
 
@@ -252,7 +252,7 @@
     async def events():
         try:
             while True:
-                yield stream.Delta("text ")
+                yield completion_stream.Delta("text ")
         finally:
             context.seen.append("closed")
 
@@ -265,7 +265,9 @@
 
     async def play():
         clock = virtual_time.LoopClock()
-        asked = stream.Completion("r", "c", "m", "p", 9, datetime.timedelta(hours=1))
+        asked = completion_stream.Completion(
+            "r", "c", "m", "p", 9, datetime.timedelta(hours=1)
+        )
         answer = answers.CompletionAnswer(
             asked,
             events(),
--- a/tests/support/completion_crashes.py
+++ b/tests/support/completion_crashes.py
@@ -16,7 +16,7 @@
     view_table,
 )
 from pimentolatch.protocol import codec, messages
-from pimentolatch.requests import stream, suspect_completions
+from pimentolatch.requests import completion_stream, suspect_completions
 
 
 class Engines:
@@ -27,7 +27,7 @@
 
     async def generate(self, address, dispatch):
         self.ended += 1
-        yield outcomes.Broken("connection lost", connection_lost=True)
+        yield outcomes.OutcomeUnknown("connection lost", connection_lost=True)
 
 
 class Choice:
@@ -40,19 +40,19 @@
     def choose(self, asked, failed):
         return _Engine(f"{self._prefix}{next(self._numbers)}")
 
-    def reader(self, asked):
+    def prefill_engine(self, asked):
         return None
 
-    def prompt_read(self, asked):
+    def prefill_ended(self, asked):
         pass
 
-    def began(self, asked, engine):
+    def dispatched(self, asked, engine):
         pass
 
-    def progressed(self, asked, engine):
+    def token_received(self, asked, engine):
         pass
 
-    def ended(self, asked, engine, outcome):
+    def dispatch_ended(self, asked, engine, outcome):
         pass
 
 
@@ -71,11 +71,13 @@
 def instance(engines):
     """Return what answers completions in one instance."""
     time = _ClockWithoutPauses()
-    return stream.ResumingStream(engines, Choice(), time, chance=random.Random(1))
+    return completion_stream.ResumingStream(
+        engines, Choice(), time, rng=random.Random(1)
+    )
 
 
 def _completion(deadline):
-    return stream.Completion("r", "caller", "m", "fatal", 10, deadline)
+    return completion_stream.Completion("r", "caller", "m", "fatal", 10, deadline)
 
 
 DIGEST = _completion(datetime.timedelta()).digest
@@ -116,11 +118,11 @@
     def __init__(self, fleet, number, domain):
         self.time = _ClockWithoutPauses()
         self.suspects = suspect_completions.SuspectCompletions(self.time)
-        self.tries = stream.ResumingStream(
+        self.tries = completion_stream.ResumingStream(
             fleet.engines,
             Choice(f"i{number}"),
             self.time,
-            chance=random.Random(1),
+            rng=random.Random(1),
             suspects=self.suspects,
         )
         self.peers = {}
@@ -144,7 +146,7 @@
             suspect_after=datetime.timedelta(seconds=4),
             list_lag=datetime.timedelta(seconds=4),
         )
-        self.suspects.on_news(self.node.tell_crashes)
+        self.suspects.on_update(self.node.tell_crashes)
 
     @property
     def hello(self):
--- a/tests/support/order_driver.py
+++ b/tests/support/order_driver.py
@@ -17,7 +17,7 @@
 import typing
 
 from pimentolatch import clock, settings
-from pimentolatch.backend import orders as order_client
+from pimentolatch.backend import order_client
 from pimentolatch.control import orders, slots
 from pimentolatch.document import schema
 from pimentolatch.platform import objects
--- a/tests/support/request_parts.py
+++ b/tests/support/request_parts.py
@@ -10,10 +10,17 @@
 import typing
 
 from pimentolatch import fleet, results, settings
-from pimentolatch.backend import instance, outcomes, plain
+from pimentolatch.backend import instance_client, outcomes, plain_client
 from pimentolatch.decisions import outstanding_work
 from pimentolatch.document import schema
-from pimentolatch.requests import claims, keys, once, retired, service_call, tickets
+from pimentolatch.requests import (
+    at_most_once,
+    idempotency_keys,
+    key_claims,
+    retired_owners,
+    service_call,
+    tickets,
+)
 from standins import memory_store, objects
 from tests.support import request_history, virtual_time
 
@@ -73,10 +80,12 @@
         self.refusals = 0
         self.crashes = 0
         self._grounds = grounds
-        self._last: outcomes.Answered | None = None
+        self._last: outcomes.Response | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def receive(self, call: plain.Call) -> asyncio.Future[outcomes.ServiceOutcome]:
+    def receive(
+        self, call: plain_client.Call
+    ) -> asyncio.Future[outcomes.ServiceOutcome]:
         """Take a call; the future is its answer, and goes on if nobody waits."""
         answer: asyncio.Future[outcomes.ServiceOutcome] = asyncio.Future()
         task = asyncio.create_task(self._run(call, answer))
@@ -89,12 +98,12 @@
         self.down = False
 
     async def _run(
-        self, call: plain.Call, answer: asyncio.Future[outcomes.ServiceOutcome]
+        self, call: plain_client.Call, answer: asyncio.Future[outcomes.ServiceOutcome]
     ) -> None:
         rng = self._grounds.random
         await asyncio.sleep(rng.uniform(0.001, 0.05) + self.slow_s)
         if self.down:
-            answer.set_result(outcomes.Broken("reset"))
+            answer.set_result(outcomes.OutcomeUnknown("reset"))
             return
         if self.refusals:
             self.refusals -= 1
@@ -109,10 +118,10 @@
             self.crashes -= 1
             self.down = True
             asyncio.get_running_loop().call_later(rng.uniform(0.1, 3.0), self.restart)
-        mine = outcomes.Answered(200, text.encode(), "text/plain")
+        mine = outcomes.Response(200, text.encode(), "text/plain")
         if self.lost_answers or self.down:
             self.lost_answers = max(0, self.lost_answers - 1)
-            answer.set_result(outcomes.Broken("connection lost"))
+            answer.set_result(outcomes.OutcomeUnknown("connection lost"))
         elif not self._grounds.safeguards.own_answers and self._last is not None:
             answer.set_result(self._last)
         else:
@@ -120,13 +129,13 @@
         self._last = mine
 
 
-class _Unbound(claims.ClaimPages):
+class _Unbound(key_claims.ClaimPages):
     """Claims without their safeguard: every attempt holds its key."""
 
     async def claim(self, name: str, fingerprint: str) -> typing.Any:
         found = await super().claim(name, fingerprint)
-        if isinstance(found, claims.Taken):
-            return claims.Held(found.claim)
+        if isinstance(found, key_claims.AlreadyClaimed):
+            return key_claims.Claimed(found.claim)
         return found
 
 
@@ -153,7 +162,7 @@
         incarnation = f"{self.name}#{self._starts}"
         self.ended = asyncio.Event()
         links = _Links(grounds, self, self.ended)
-        owner = claims.Owner(incarnation, self.address)
+        owner = key_claims.Owner(incarnation, self.address)
         self.store = store = memory_store.MemoryStore(
             grounds.table,
             time=grounds.time,
@@ -161,21 +170,25 @@
             faults=grounds.store_faults,
             pause=links.point,
         )
-        pages = claims.ClaimPages if grounds.safeguards.claims else _Unbound
-        table = keys.KeyTable(grounds.time)
-        self.once = once.AtMostOnce(
+        pages = key_claims.ClaimPages if grounds.safeguards.claims else _Unbound
+        table = idempotency_keys.KeyTable(grounds.time)
+        self.once = at_most_once.AtMostOnce(
             owner,
             pages=pages(
                 store,
                 owner,
                 grounds.time,
-                claims.share_of(grounds.calls_per_second, grounds.time),
+                key_claims.claims_budget(grounds.calls_per_second, grounds.time),
+            ),
+            ticket_issuer=tickets.TicketIssuer(
+                store, owner, grounds.time, table.lifetime
             ),
-            office=tickets.TicketOffice(store, owner, grounds.time, table.lifetime),
             table=table,
-            retirements=retired.RetiredOwners(store, grounds.time, table.lifetime),
+            retirements=retired_owners.RetiredOwners(
+                store, grounds.time, table.lifetime
+            ),
             instances=links,
-            sender=service_call.Sender(
+            sender=service_call.CallSender(
                 own_fleet=grounds.fleet,
                 own_domain="north",
                 servers=links,
@@ -194,7 +207,9 @@
         until = asyncio.get_running_loop().time() + seconds
         self.frozen_until = max(self.frozen_until, until)
 
-    async def serve(self, call: service_call.ServiceCall) -> keys.Outcome | None:
+    async def serve(
+        self, call: service_call.ServiceCall
+    ) -> idempotency_keys.Outcome | None:
         """Answer a call; None if the connection broke because the instance died."""
         ended = self.ended
         if ended.is_set():
@@ -240,9 +255,9 @@
             await self._grounds.never.wait()
 
     async def call(
-        self, address: settings.Address, call: plain.Call
+        self, address: settings.Address, call: plain_client.Call
     ) -> outcomes.ServiceOutcome:
-        """See `service_call.PlainCalls`."""
+        """See `service_call.PlainServerClient`."""
         await self.point("send")
         server = next(s for s in self._grounds.servers.values() if s.address == address)
         if server.down or self._grounds.is_cut(self._of.name, server.name):
@@ -255,20 +270,22 @@
             async with asyncio.timeout(call.time_limit.total_seconds()):
                 outcome = await asyncio.shield(answer)
             if self._grounds.is_cut(self._of.name, server.name):
-                outcome = outcomes.Broken("cut")
+                outcome = outcomes.OutcomeUnknown("cut")
         except TimeoutError:
-            outcome = outcomes.Broken("no answer in time")
+            outcome = outcomes.OutcomeUnknown("no answer in time")
         await self.point("answered")
         if not self._grounds.safeguards.classes and isinstance(
-            outcome, outcomes.Broken
+            outcome, outcomes.OutcomeUnknown
         ):
             return outcomes.NotRun(outcome.reason, reached=False)
         return outcome
 
     async def forward(
-        self, address: settings.Address, call: instance.Forward
-    ) -> outcomes.Answered | results.Refusal | outcomes.NotRun | outcomes.Broken:
-        """See `once.Instances`."""
+        self, address: settings.Address, call: instance_client.Forward
+    ) -> (
+        outcomes.Response | results.Refusal | outcomes.NotRun | outcomes.OutcomeUnknown
+    ):
+        """See `at_most_once.InstanceForwarder`."""
         await self.point("forward")
         target = next(
             i for i in self._grounds.instances.values() if i.address == address
@@ -292,9 +309,11 @@
             async with asyncio.timeout(call.time_limit.total_seconds()):
                 outcome = await target.serve(passed_on)
         except TimeoutError:
-            return outcomes.Broken("no answer in time")
+            return outcomes.OutcomeUnknown("no answer in time")
         await self.point("forwarded")
-        return outcomes.Broken("connection lost") if outcome is None else outcome
+        return (
+            outcomes.OutcomeUnknown("connection lost") if outcome is None else outcome
+        )
 
 
 def document_of(servers: typing.Iterable[Server]) -> fleet.Configuration:
--- a/tests/support/request_world.py
+++ b/tests/support/request_world.py
@@ -100,7 +100,7 @@
 
 
 def _seen(
-    request: str, outcome: outcomes.Answered | results.Refusal | None
+    request: str, outcome: outcomes.Response | results.Refusal | None
 ) -> request_history.Event:
     if outcome is None:
         return request_history.Lost(request)
--- a/tests/support/stream_world.py
+++ b/tests/support/stream_world.py
@@ -14,9 +14,9 @@
 from collections import abc
 
 from pimentolatch import results, settings
-from pimentolatch.backend import engine, outcomes
+from pimentolatch.backend import engine_client, outcomes
 from pimentolatch.document import schema
-from pimentolatch.requests import stream
+from pimentolatch.requests import completion_stream
 from standins import engine as engine_standin
 from tests.support import request_history, virtual_time
 
@@ -64,7 +64,7 @@
         self._world = world
 
     def choose(
-        self, completion: stream.Completion, failed: abc.Set[str]
+        self, completion: completion_stream.Completion, failed: abc.Set[str]
     ) -> schema.Engine | None:
         able = [
             schema.Engine(
@@ -79,26 +79,32 @@
         ]
         return self._world.random.choice(able) if able else None
 
-    def began(self, completion: stream.Completion, chosen: schema.Engine) -> None:
-        """See `stream.EngineChoice`."""
+    def dispatched(
+        self, completion: completion_stream.Completion, chosen: schema.Engine
+    ) -> None:
+        """See `completion_stream.EngineSelector`."""
 
-    def reader(self, completion: stream.Completion) -> schema.Engine | None:
+    def prefill_engine(
+        self, completion: completion_stream.Completion
+    ) -> schema.Engine | None:
         """Leave the prompt to the engine that answers."""
         return None
 
-    def prompt_read(self, completion: stream.Completion) -> None:
-        """Nothing was read apart."""
+    def prefill_ended(self, completion: completion_stream.Completion) -> None:
+        """Do nothing: no prompt is prefilled on another engine."""
 
-    def progressed(self, completion: stream.Completion, chosen: schema.Engine) -> None:
-        """See `stream.EngineChoice`."""
+    def token_received(
+        self, completion: completion_stream.Completion, chosen: schema.Engine
+    ) -> None:
+        """See `completion_stream.EngineSelector`."""
 
-    def ended(
+    def dispatch_ended(
         self,
-        completion: stream.Completion,
+        completion: completion_stream.Completion,
         chosen: schema.Engine,
         outcome: outcomes.EngineEvent | None,
     ) -> None:
-        """See `stream.EngineChoice`."""
+        """See `completion_stream.EngineSelector`."""
 
 
 class _Response:
@@ -112,13 +118,13 @@
 
 
 class _Engines:
-    """See `stream.EngineStreams`; the request's id stands in its prompt."""
+    """See `completion_stream.EngineStreams`; the request's id stands in its prompt."""
 
     def __init__(self, world: _World) -> None:
         self._world = world
 
     async def generate(
-        self, address: settings.Address, dispatch: engine.Dispatch
+        self, address: settings.Address, dispatch: engine_client.Dispatch
     ) -> abc.AsyncGenerator[outcomes.EngineEvent, None]:
         found = self._world.engines[address.host]
         if found.down:
@@ -135,14 +141,14 @@
             dispatch = dataclasses.replace(dispatch, offset=0)
         body = self._body(found, dispatch)
         response = typing.cast(typing.Any, _Response(body))
-        reader = engine.checked_events if self._world.safeguards else _trusting
+        reader = engine_client.checked_events if self._world.safeguards else _trusting
         events = reader(response, dispatch)
         async with contextlib.aclosing(events):
             async for event in events:
                 yield event
 
     async def _body(
-        self, found: _Engine, dispatch: engine.Dispatch
+        self, found: _Engine, dispatch: engine_client.Dispatch
     ) -> abc.AsyncGenerator[bytes, None]:
         rng, waiting = self._world.random, ""
         crossed, found.crossed = found.crossed > 0, max(0, found.crossed - 1)
@@ -184,7 +190,7 @@
 
 
 async def _trusting(
-    response: typing.Any, dispatch: engine.Dispatch
+    response: typing.Any, dispatch: engine_client.Dispatch
 ) -> abc.AsyncGenerator[outcomes.EngineEvent, None]:
     """Read events without the checks of their dispatch, place and length.
 
@@ -201,9 +207,9 @@
                     return
                 yield outcomes.Chunk(event["offset"], event["token"])
     except OSError as error:
-        yield outcomes.Broken(repr(error))
+        yield outcomes.OutcomeUnknown(repr(error))
         return
-    yield outcomes.Broken("no terminal marker")
+    yield outcomes.OutcomeUnknown("no terminal marker")
 
 
 def _event(**fields: typing.Any) -> str:
@@ -218,12 +224,16 @@
     deadline = world.time.monotonic() + datetime.timedelta(
         seconds=rng.choice((0.05, 1.0, 8.0, 30.0))
     )
-    completion = stream.Completion(request, "caller", "m", prompt, length, deadline)
-    answering = stream.ResumingStream(_Engines(world), _Choice(world), world.time)
+    completion = completion_stream.Completion(
+        request, "caller", "m", prompt, length, deadline
+    )
+    answering = completion_stream.ResumingStream(
+        _Engines(world), _Choice(world), world.time
+    )
     text, final, after, ready_at = "", None, 0, deadline
     async for event in answering.run(completion):
         after += final is not None
-        if isinstance(event, stream.Delta):
+        if isinstance(event, completion_stream.Delta):
             text += event.text
             if rng.random() < 0.02:
                 # A caller that is slow to read holds up nothing but its own answer.
@@ -243,7 +253,7 @@
             request,
             text,
             expected,
-            isinstance(final, stream.Ended),
+            isinstance(final, completion_stream.Ended),
             isinstance(final, results.Refusal),
             late if isinstance(final, results.Refusal) else -1.0,
             after,
