--- a/src/pimentolatch/backend/__init__.py
+++ b/src/pimentolatch/backend/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the backend servers, one for each kind."""
+"""Clients of backend servers, one per kind, and of other instances."""
--- a/src/pimentolatch/backend/channel.py
+++ b/src/pimentolatch/backend/channel.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 connections that carry one request at a time, kept between requests.
+"""Pooled HTTP/1.1 connections without pipelining.
 
-h11 parses and frames, asyncio carries the bytes. The client library of the other calls
-hides what this path depends on: whether a byte was sent before an error, where an
-answer without a length ends, and bytes that arrive after an answer or before a request.
+h11 does the parsing and framing, asyncio the input and output. The HTTP library used
+elsewhere hides what this path depends on: whether a byte was sent before an error,
+where a response without a length ends, and unexpected bytes between the exchanges.
 """
 
 import asyncio
@@ -27,29 +27,30 @@
 ]
 
 _READ_BUFFER_BYTES = 262_144
-# A peer behind a network partition, or a connection that was forgotten on the way, is
-# silent for ever without a probe. Three probes a second apart notice it before the
-# shortest span in which anybody is told to have noticed (three seconds).
+# Without probes, a network partition or connection state lost in a middlebox is never
+# noticed. Keepalive probes a second apart detect it within three seconds, the shortest
+# time in which detection is required.
 _PROBE_AFTER_S = 1
 _PROBE_EVERY_S = 1
 _PROBES = 2
 _USER_TIMEOUT_MS = 3000
-# Kept connections close this much before the time that the server states, so that a
-# request does not cross the server's close.
+# Idle connections are dropped this long before the server's stated time-out, so that a
+# request is not sent while the server closes the connection.
 _KEEP_ALIVE_MARGIN = datetime.timedelta(milliseconds=700)
 _DEFAULT_KEEP_ALIVE = datetime.timedelta(seconds=4)
 _MAX_IDLE_PER_SERVER = 128
-# SO_LINGER on with no time: closing drops what is unsent and resets the connection.
+# SO_LINGER with zero time: closing discards unsent data and resets the connection.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 Fields = abc.Sequence[tuple[bytes, bytes]]
 
 
 class ConnectError(Exception):
-    """No connection stood, so no byte of the request has left.
+    """The connection could not be opened, so no byte of the request was sent.
 
     Attributes:
-        silent: The other side did not answer; else it turned the connection away.
+        unresponsive: The server did not answer in time, rather than refusing the
+            connection.
     """
 
     def __init__(self, reason: str, *, unresponsive: bool = False) -> None:
@@ -58,54 +59,54 @@
 
 
 class BrokenError(Exception):
-    """The exchange broke off after a byte of the request may have left."""
+    """The exchange failed after a byte of the request may have been sent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """Status and header of an answer, with lower-case names."""
+    """Status and header fields of a response, with lower-case names."""
 
     status: int
     fields: tuple[tuple[bytes, bytes], ...]
 
 
 class _ByteStream(asyncio.Protocol):
-    """The bytes of one connection, handed over when they are asked for."""
+    """Buffers the bytes received on a connection until they are read."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.received = bytearray()
-        self.ended = False
+        self.at_end = False
         self.error: Exception | None = None
         self._waiter: asyncio.Future[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self.transport = typing.cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Keep what arrived; stop reading when too much waits."""
+        """Buffer the data; pause reading while the buffer is full."""
         self.received += data
         if len(self.received) > _READ_BUFFER_BYTES and self.transport is not None:
             self.transport.pause_reading()
         self._wake()
 
     def eof_received(self) -> bool:
-        """Note the end; the transport closes by itself."""
-        self.ended = True
+        """Record the end of the stream; the transport closes by itself."""
+        self.at_end = True
         self._wake()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note the end and its reason."""
-        if not self.ended:
+        """Record the end of the stream and its reason."""
+        if not self.at_end:
             self.error = exc or ConnectionResetError("closed")
-        self.ended = True
+        self.at_end = True
         self._wake()
 
     async def read(self) -> bytes:
-        """Return what arrived; empty at the end; raises `OSError` after a reset."""
-        while not self.received and not self.ended:
+        """Return received bytes, empty at the end; raises `OSError` after a reset."""
+        while not self.received and not self.at_end:
             self._waiter = asyncio.get_running_loop().create_future()
             try:
                 await self._waiter
@@ -127,7 +128,7 @@
 
 
 class Channel:
-    """One connection; `send`, `start` and `read` are one exchange."""
+    """One connection; `send`, `read_head` and `read` make up one exchange."""
 
     def __init__(self, stream: _ByteStream) -> None:
         self._stream = stream
@@ -139,14 +140,14 @@
     def reusable(self) -> bool:
         """Whether another request may be sent.
 
-        Bytes that nobody asked for, or a body that the server has not taken whole,
-        would be read as part of the next exchange.
+        Unexpected bytes, or a request body that the server has not received in full,
+        would be taken as part of the next exchange.
         """
         stream = self._stream
         return (
             stream.transport is not None
             and not stream.transport.is_closing()
-            and not stream.ended
+            and not stream.at_end
             and not stream.received
             and not self._parser.trailing_data[0]
             and stream.transport.get_write_buffer_size() == 0
@@ -156,12 +157,12 @@
 
     @property
     def idle(self) -> bool:
-        """Whether a kept connection still stands and is silent."""
+        """Whether an unused connection is still open and has received nothing."""
         stream = self._stream
-        return not stream.ended and not stream.received
+        return not stream.at_end and not stream.received
 
     def send(self, method: str, target: bytes, fields: Fields, body: bytes) -> None:
-        """Send a request; raises `ValueError` before any byte if it is malformed."""
+        """Send a request; raises `ValueError`, sending nothing, if it is malformed."""
         if self._parser.our_state is h11.DONE:
             self._parser.start_next_cycle()
         headers = list(fields)
@@ -179,7 +180,7 @@
         self._stream.transport.write(data)
 
     async def read_head(self) -> ResponseHead:
-        """Wait for the header of the answer; raises `BrokenError`."""
+        """Wait for the head of the response; raises `BrokenError`."""
         while True:
             event = await self._event()
             if isinstance(event, h11.Response):
@@ -187,7 +188,7 @@
                 self._read_keep_alive(fields)
                 return ResponseHead(event.status_code, fields)
             if not isinstance(event, h11.InformationalResponse):
-                raise BrokenError("no answer")
+                raise BrokenError("connection closed before a response")
 
     async def read(self) -> bytes:
         """Return the next bytes of the body, empty at its end; raises `BrokenError`."""
@@ -196,21 +197,22 @@
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return b""
-        raise BrokenError("the answer broke off")
+        raise BrokenError("connection closed within the response body")
 
     async def read_body(self, max_bytes: int | None = None) -> bytes:
-        """Return the rest of the body; raises `BrokenError`, also beyond the bound."""
+        """Return the rest of the body; raises `BrokenError`, also past `max_bytes`."""
         content = bytearray()
         while part := await self.read():
             content += part
             if max_bytes is not None and len(content) > max_bytes:
-                raise BrokenError("the answer is too large to be held")
+                raise BrokenError(f"response body exceeds {max_bytes} bytes")
         return bytes(content)
 
     def skip_response(self) -> None:
-        """Take the answer just read for somebody else's and expect another one.
+        """Discard the response just read and expect another one.
 
-        A server may answer an earlier request once more where the next answer is due.
+        A server may send a duplicate response to an earlier request before the response
+        to the current one.
         """
         rest, _ = self._parser.trailing_data
         assert self._request is not None
@@ -224,9 +226,9 @@
             self._parse(rest)
 
     def close(self) -> None:
-        """Close the connection; a server then stops working on its request.
+        """Close the connection, which makes a server cancel its request.
 
-        It is reset, not ended in order; see `_reset_on_close`.
+        The connection is reset, not shut down in order; see `_reset_on_close`.
         """
         if self._stream.transport is not None:
             self._stream.transport.abort()
@@ -279,13 +281,13 @@
 
 
 def _reset_on_close(sock: socket.socket) -> None:
-    """Have a connection reset whenever it is closed, by whomever.
+    """Have a connection reset whenever it is closed.
 
-    What the kernel still holds of a request would otherwise go on being sent after the
-    close: behind a partition of six seconds a request that had been given up and
-    answered elsewhere reached its first server when the partition healed, and that
-    server had left meanwhile. It is set from the start, since a connection that its
-    server ends is closed by the event loop, which would end it in order.
+    Otherwise the kernel would continue to send buffered parts of a request after the
+    close. During a partition of six seconds, a request that had been given up and
+    answered elsewhere reached its first server once the partition healed, and that
+    server had been removed meanwhile. The option is set when the connection opens,
+    because a connection closed by its server is closed by the event loop, in order.
     """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
 
@@ -308,10 +310,10 @@
 
 
 class ChannelPool:
-    """Kept connections, by server.
+    """Pool of idle connections, by server.
 
     Args:
-        connect_limit: Time limit of opening a connection.
+        connect_limit: Time limit for opening a connection.
     """
 
     def __init__(self, connect_limit: datetime.timedelta) -> None:
@@ -326,20 +328,20 @@
         *,
         max_idle: datetime.timedelta | None = None,
     ) -> Channel:
-        """Return a kept connection or a new one; raises `ConnectError`.
+        """Return an idle connection or a new one; raises `ConnectError`.
 
         Args:
-            server: Key of the connections.
-            address: Where the server is.
-            now: The time.
-            max_idle: Do not use a connection that was idle for longer.
+            server: Key of the server's connections.
+            address: Address of the server.
+            now: The current time.
+            max_idle: Connections that were idle for longer are not reused.
         """
         idle_connections = self._idle.get(server, [])
         while idle_connections:
             entry = idle_connections.pop()
             idle = now - entry.since
-            fresh = max_idle is None or idle <= max_idle
-            if entry.channel.idle and idle < entry.channel.keep_alive and fresh:
+            recent = max_idle is None or idle <= max_idle
+            if entry.channel.idle and idle < entry.channel.keep_alive and recent:
                 return entry.channel
             entry.channel.close()
         return await connect(address, self._connect_limit)
@@ -347,7 +349,7 @@
     def release(
         self, server: abc.Hashable, channel: Channel, now: datetime.timedelta
     ) -> None:
-        """Keep a connection if another request may use it; else close it."""
+        """Return a connection to the pool, or close it if it is not reusable."""
         idle_connections = self._idle.setdefault(server, [])
         if channel.reusable and len(idle_connections) < _MAX_IDLE_PER_SERVER:
             idle_connections.append(_IdleConnection(channel, now))
@@ -355,11 +357,11 @@
             channel.close()
 
     def retain(self, servers: abc.Container[abc.Hashable]) -> None:
-        """Close the kept connections of all other servers."""
+        """Close the idle connections of all other servers."""
         for server in [name for name in self._idle if name not in servers]:
             for entry in self._idle.pop(server):
                 entry.channel.close()
 
     def close(self) -> None:
-        """Close every kept connection."""
+        """Close all idle connections."""
         self.retain(())
--- a/src/pimentolatch/backend/connections.py
+++ b/src/pimentolatch/backend/connections.py
@@ -1,4 +1,4 @@
-"""HTTP connections to backend servers, and the errors a call can end in."""
+"""HTTP client for backend servers, and the errors that its calls raise."""
 
 import datetime
 import typing
@@ -26,19 +26,19 @@
 
 
 class ConnectError(aiosonic.exceptions.AiosonicError):
-    """The connection never stood, so not a byte of the request has left."""
+    """The connection could not be opened, so no byte of the request was sent."""
 
 
-# Raised only before a connection stands. Any other error may come after the first
-# byte was sent, whatever its name says.
+# Raised only before a connection is open. Any other error, whatever its name, may occur
+# after the first byte was sent.
 CONNECT_FAILURES = (
     aiosonic.exceptions.ConnectTimeout,
     aiosonic.exceptions.ConnectionPoolAcquireTimeout,
     ConnectError,
 )
 
-# Everything else a call can raise. A truncated chunked body raises a plain
-# ValueError and a short Content-Length an EOFError (IncompleteReadError).
+# All errors that a call can raise. A truncated chunked body raises a plain ValueError,
+# a body shorter than its Content-Length an EOFError (IncompleteReadError).
 ANSWER_FAILURES = (
     aiosonic.exceptions.AiosonicError,
     EOFError,
@@ -49,39 +49,39 @@
 
 
 class _Connection(aiosonic.connection.Connection):
-    """A connection that never carries one request's answer to another.
+    """A connection that never returns one request's response to another request.
 
-    The library returns a connection to its pool still open after a timeout or a
-    cancellation, if an earlier answer on it allowed keep-alive. The late answer then
-    waits in the socket and is read as the answer to the next request: a caller gets
-    somebody else's result. Closing on every error, and not reusing a connection
-    that holds unread bytes or was closed by the server, leaves nothing to be read.
+    After a time-out or cancellation, the library returns a connection to its pool
+    without closing it, if an earlier response on it allowed keep-alive. The late
+    response would then be read as the response to the next request, and a caller would
+    get another caller's result. This class therefore closes the connection on every
+    error, and does not reuse one that has unread bytes or was closed by the server.
     """
 
     @property
     def has_unread(self) -> bool:
-        """Whether bytes have arrived that nobody has read yet.
+        """Whether received bytes have not been read yet.
 
-        The standard reader shows this only in a private attribute. Without it nothing
-        would be seen as unread: connections would still be closed on every error.
+        The standard reader has this only in a private attribute. If it is missing,
+        nothing counts as unread; connections are still closed on every error.
         """
         return bool(getattr(self.reader, "_buffer", b""))
 
     async def connect(self, *args: typing.Any) -> None:
-        """Connect; raises `ConnectError` in place of the system's errors."""
+        """Connect; raises `ConnectError` in place of `OSError`."""
         try:
             await super().connect(*args)
         except OSError as error:
             raise ConnectError(repr(error)) from error
 
     def reuse(self, *args: typing.Any) -> bool:
-        """Tell whether the open connection may carry another request."""
+        """Return whether the open connection may be used for another request."""
         if not super().reuse(*args):
             return False
         return not self.has_unread and not (self.reader and self.reader.at_eof())
 
     def keep_alive(self) -> None:
-        """Keep the connection after this answer, unless it is for one use only."""
+        """Keep the connection open after this response, unless it is for one use."""
         if self.pool.conf.max_conn_requests != _NO_REUSE:
             super().keep_alive()
 
@@ -94,10 +94,10 @@
 
 
 def client(*, reuse: bool) -> aiosonic.HTTPClient:
-    """Return a client whose connections are kept for reuse, or used once.
+    """Return a client that reuses its connections, or uses each one once.
 
-    A reused idle connection can die with a request on it, and then nobody knows
-    whether the request ran. Calls that may not be repeated therefore use each
+    An idle connection can be closed while a request is sent on it, and then it is
+    unknown whether the request ran. Calls that are not repeatable therefore use each
     connection once. (The library counts from zero: a limit of 1 allows two uses.)
     """
     if reuse:
@@ -113,9 +113,9 @@
 def timeouts(
     *, connect: datetime.timedelta, response_timeout: datetime.timedelta
 ) -> aiosonic.timeout.Timeouts:
-    """Return time limits on connecting and on waiting for the answer's first line.
+    """Return time limits for connecting and for the first line of the response.
 
-    The library bounds no later read; whoever reads a body sets its own limit.
+    The library does not limit later reads; readers of a body set their own limit.
     """
     return aiosonic.timeout.Timeouts(
         sock_connect=connect.total_seconds(),
@@ -125,16 +125,16 @@
 
 
 def has_unread(response: aiosonic.HttpResponse) -> bool:
-    """Tell whether more of an answer's body has arrived than was read."""
+    """Return whether received bytes of a response's body have not been read."""
     connection = getattr(response, "_connection", None)
     return isinstance(connection, _Connection) and connection.has_unread
 
 
 def has_framed_body(response: aiosonic.HttpResponse) -> bool:
-    """Tell whether an answer states where its body ends.
+    """Return whether a response states where its body ends.
 
-    An answer cut in the middle of its headers looks to the library like one with no
-    body. Taking it for whole would hand the caller an empty success.
+    To the library, a response truncated within its headers looks like one without a
+    body. Accepting it as complete would return an empty success to the caller.
     """
     if response.status_code in _BODILESS or response.chunked:
         return True
--- a/src/pimentolatch/backend/engine_client.py
+++ b/src/pimentolatch/backend/engine_client.py
@@ -1,4 +1,4 @@
-"""Client of the model engines."""
+"""Client of model engines."""
 
 import asyncio
 import contextlib
@@ -26,13 +26,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dispatch:
-    """One sending of a request to one engine.
+    """One attempt to run a request on one engine.
 
     Attributes:
-        dispatch_id: Differs for each sending, so that late answers are told apart.
-        offset: First token wanted; above zero when a broken stream is resumed.
-        priority: Higher is served first.
-        kv_handle: Handle of an imported KV cache, or None.
+        dispatch_id: Unique per dispatch, so that late responses are recognized.
+        offset: Number of the first token to send; above zero to resume a stream.
+        priority: Higher values are served first.
+        kv_handle: Handle of a transferred KV cache, or None.
     """
 
     dispatch_id: str
@@ -44,7 +44,7 @@
     kv_handle: str | None = None
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Return the body the engine receives."""
+        """Return the JSON body of the request."""
         return {
             "dispatch": self.dispatch_id,
             "model": self.model,
@@ -57,13 +57,13 @@
 
 
 class EngineClient:
-    """Sends requests to engines and reads their streams.
+    """Sends requests to engines and receives their streams.
 
     Args:
-        sender: Name of this instance, which engines log.
-        connect: Time limit of a connection.
-        silence: Longest wait for the first line of an answer; whoever reads a stream
-            bounds the silences in it.
+        sender: Name of this instance, for the engines' logs.
+        connect: Time limit for opening a connection.
+        response_timeout: Time limit for the first line of a response; the reader of a
+            stream limits the pauses in it.
     """
 
     def __init__(
@@ -86,10 +86,10 @@
     async def generate(
         self, address: settings.Address, dispatch: Dispatch
     ) -> abc.AsyncGenerator[outcomes.EngineEvent, None]:
-        """Stream an answer; the last event is never a chunk.
+        """Yield the events of a stream; the last one is never a chunk.
 
-        What a caller receives is the answer to its own request or an error, never a
-        mix: events name their dispatch and their place, and others are not used.
+        Events name their dispatch and token number, and all others are dropped. So a
+        caller gets the response to its own request or an error, never a mixture.
         """
         data = json.dumps(dispatch.to_json()).encode()
         try:
@@ -114,7 +114,7 @@
                 yield event
 
     async def cancel(self, address: settings.Address, dispatch_id: str) -> None:
-        """Ask an engine to stop a stream; best effort."""
+        """Cancel a stream at an engine; best effort."""
         with contextlib.suppress(*connections.ANSWER_FAILURES):
             await self._client.post(
                 address.url + "/v1/cancel",
@@ -138,10 +138,10 @@
 async def checked_events(
     response: aiosonic.HttpResponse, dispatch: Dispatch
 ) -> abc.AsyncGenerator[outcomes.EngineEvent, None]:
-    """Yield the tokens of each read as one chunk, then how the stream ended.
+    """Yield the tokens of each read as one chunk, and finally the end of the stream.
 
-    Tokens that arrive together are handed on together: under load a write for each
-    token is most of what a token costs an instance.
+    Tokens that arrive together are forwarded together: under load, one write per token
+    is most of an instance's cost per token.
     """
     expected = dispatch.offset
     batches = _event_batches(response)
@@ -159,14 +159,14 @@
     except connections.ANSWER_FAILURES as error:
         yield outcomes.OutcomeUnknown(repr(error), connection_lost=True)
         return
-    yield outcomes.OutcomeUnknown("no terminal marker")
+    yield outcomes.OutcomeUnknown("the stream ended without a terminal marker")
 
 
 async def _drain(batches: abc.AsyncGenerator[typing.Any, None]) -> None:
-    """Read the end of the HTTP body, which mostly came along with the last event.
+    """Read the rest of the HTTP body, which usually arrived with the last event.
 
-    A connection whose body was not read to its end can't be used again, so each
-    completion would open one of its own.
+    A connection can't be reused until the body is read to its end, so without this each
+    completion would open a new connection.
     """
     with contextlib.suppress(*connections.ANSWER_FAILURES):
         async with asyncio.timeout(_DRAIN_SECONDS):
@@ -177,11 +177,11 @@
 def _join(
     events: list[bytes], dispatch_id: str, expected: int
 ) -> tuple[list[str], outcomes.EngineEvent | None]:
-    """Return the tokens of one read that follow on, and the stream's end if seen.
+    """Return the next tokens from one read, and the end of the stream if it is there.
 
-    Events of another dispatch, and tokens that came before, are dropped: a late or
-    crossed answer can add nothing to this one. A token that is missing breaks the
-    stream, which is then resumed at that token.
+    Events of other dispatches and repeated tokens are dropped, so that late or
+    misrouted responses add nothing to this one. A missing token breaks the stream,
+    which is then resumed at that token.
     """
     text: list[str] = []
     for raw in events:
@@ -189,13 +189,15 @@
         try:
             event = json.loads(raw.removeprefix(_EVENT_PREFIX))
             if event["dispatch"] != dispatch_id:
-                _log.warn("crossed event dropped", dispatch=dispatch_id)
+                _log.warn("event of another dispatch dropped", dispatch=dispatch_id)
             elif event.get("done"):
                 return text, _end(event["length"], following)
             elif event["offset"] < following:
-                _log.warn("repeated event dropped", dispatch=dispatch_id)
+                _log.warn("repeated token dropped", dispatch=dispatch_id)
             elif event["offset"] > following:
-                return text, outcomes.OutcomeUnknown(f"gap at token {following}")
+                return text, outcomes.OutcomeUnknown(
+                    f"token {following} is missing from the stream"
+                )
             else:
                 text.append(str(event["token"]))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
@@ -206,7 +208,7 @@
 def _end(length: int, received: int) -> outcomes.EngineEvent:
     if length == received:
         return outcomes.Finished(length)
-    return outcomes.OutcomeUnknown(f"{received} tokens of {length}")
+    return outcomes.OutcomeUnknown(f"stream ended after {received} of {length} tokens")
 
 
 async def _event_batches(
@@ -216,8 +218,9 @@
     chunks = typing.cast(abc.AsyncGenerator[bytes, None], response.read_chunks())
     async with contextlib.aclosing(chunks):
         async for chunk in chunks:
-            # Engines send each token in a chunk of its own. What piled up while this
-            # process was busy is taken at once, so that load makes a token cheaper.
+            # Engines send each token in its own HTTP chunk. Chunks received while this
+            # process was busy are read together, which lowers the cost per token under
+            # load.
             for _ in range(_CHUNKS_AT_ONCE):
                 if not connections.has_unread(response):
                     break
--- a/src/pimentolatch/backend/instance_client.py
+++ b/src/pimentolatch/backend/instance_client.py
@@ -1,4 +1,4 @@
-"""Client of other entry instances: passes a call on to the one that owns its key."""
+"""Client of other entry instances: forwards a call to the owner of its key."""
 
 import asyncio
 import dataclasses
@@ -17,19 +17,19 @@
     "InstanceClient",
 ]
 
-# Marks a call as passed on, so that it is never passed on again in a circle.
+# Marks a call as forwarded, so that it is never forwarded again in a loop.
 FORWARDED_HEADER = "x-forwarded-by-instance"
 REQUEST_ID_HEADER = "x-request-id"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Forward:
-    """A call to pass on.
+    """A call to be forwarded.
 
     Attributes:
-        request_id: Id of the request here; the owner goes on with it.
-        authorization: The caller's own header, which the owner checks again.
-        time_limit: Longest wait for the whole answer.
+        request_id: Id of the request, which the owner uses as well.
+        authorization: The caller's header, which the owner checks again.
+        time_limit: Time limit for the complete response.
     """
 
     request_id: str
@@ -43,7 +43,7 @@
 
 
 class InstanceClient:
-    """Passes calls on to other entry instances."""
+    """Forwards calls to other entry instances."""
 
     def __init__(
         self,
@@ -64,10 +64,10 @@
     ) -> (
         outcomes.Response | results.Refusal | outcomes.NotRun | outcomes.OutcomeUnknown
     ):
-        """Pass a call on and wait for the owner's answer.
+        """Forward a call and wait for the owner's response.
 
-        Sending it twice is harmless, since the owner runs a key once; so connections
-        may be reused here.
+        Sending it twice is harmless, since the owner runs each key once. Connections
+        may therefore be reused.
         """
         headers = {
             "content-type": call.content_type,
@@ -102,7 +102,7 @@
     response: aiosonic.HttpResponse, body: bytes
 ) -> outcomes.Response | results.Refusal | outcomes.OutcomeUnknown:
     if not connections.has_framed_body(response):
-        return outcomes.OutcomeUnknown("the answer's headers were cut")
+        return outcomes.OutcomeUnknown("response truncated within its headers")
     if results.RESULT_HEADER not in response.headers:
         content_type = str(response.headers.get("content-type", ""))
         return outcomes.Response(response.status_code, body, content_type)
@@ -116,4 +116,6 @@
             None if seconds is None else datetime.timedelta(seconds=seconds),
         )
     except (ValueError, KeyError, TypeError) as problem:
-        return outcomes.OutcomeUnknown(f"malformed refusal: {problem!r}")
+        return outcomes.OutcomeUnknown(
+            f"malformed refusal from the owner of the key: {problem!r}"
+        )
--- a/src/pimentolatch/backend/kv_client.py
+++ b/src/pimentolatch/backend/kv_client.py
@@ -1,8 +1,8 @@
-"""Moves the KV cache of a prompt from one engine to another.
+"""Transfers the KV cache of a prompt from one engine to another.
 
-The cache goes from engine to engine; what passes through an instance is its handle.
-At the size designed for, prompts make 1,500 GB of KV cache a second, thousands of times
-what instances could carry.
+Engines transfer the cache directly; only its handle passes through an instance. At the
+design load, prompts produce 1,500 GB of KV cache a second, thousands of times the
+bandwidth of the instances.
 """
 
 import dataclasses
@@ -18,23 +18,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Handle:
-    """Names a KV cache that the answering engine holds."""
+    """Handle of a KV cache that the decode engine has."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotTransferred:
-    """The cache did not get there; the answering engine reads the prompt itself."""
+    """The transfer failed; the decode engine prefills the prompt itself."""
 
     reason: str
 
 
 class KvClient:
-    """Has a prompt read on one engine and its cache fetched by another.
+    """Has one engine prefill a prompt and another fetch its KV cache.
 
     Args:
-        sender: Name of this instance, which engines log.
+        sender: Name of this instance, for the engines' logs.
     """
 
     def __init__(
@@ -59,14 +59,14 @@
         prompt: str,
         limit: datetime.timedelta,
     ) -> Handle | NotTransferred:
-        """Read a prompt at `reader` and let `answering` fetch its cache.
+        """Prefill a prompt on one engine and have another fetch its KV cache.
 
         Args:
             prefill_engine: Engine that prefills the prompt.
             decode_engine: Engine that fetches the cache.
-            model: Model that both hold.
-            prompt: The whole prompt.
-            limit: Longest wait for each of the two steps.
+            model: Model that both engines serve.
+            prompt: The complete prompt.
+            limit: Time limit for each of the two calls.
         """
         exported = await self._call(
             prefill_engine, "/v1/kv/export", {"model": model, "prompt": prompt}, limit
@@ -75,7 +75,7 @@
             return exported
         handle = exported.get("kv")
         if not isinstance(handle, str):
-            return NotTransferred("the export gave no handle")
+            return NotTransferred("the response to the export has no handle")
         fetched = await self._call(
             decode_engine,
             "/v1/kv/import",
@@ -105,4 +105,8 @@
             found = json.loads(await response.content())
         except connections.ANSWER_FAILURES as error:
             return NotTransferred(repr(error))
-        return found if isinstance(found, dict) else NotTransferred("no object")
+        return (
+            found
+            if isinstance(found, dict)
+            else NotTransferred("response body is not a JSON object")
+        )
--- a/src/pimentolatch/backend/order_client.py
+++ b/src/pimentolatch/backend/order_client.py
@@ -1,10 +1,10 @@
-"""Sends orders to engines so that a late one can't arrive.
+"""Sends orders to engines such that a delayed order can't take effect.
 
-An order travels on a connection of its own, opened before the order becomes pending
-in the platform's store, and is never sent again on another one. With `Expect:
-100-continue` the engine itself confirms that it has begun to wait for the rest, so
-its read timeout runs from before the order was pending. Once that timeout has passed,
-whatever a sender that wakes late still writes reaches a closed connection.
+Each order uses its own connection, opened before the order becomes pending in the
+platform's store, and is never sent again on another one. With `Expect: 100-continue`
+the engine confirms that it waits for the body, so its read time-out starts before the
+order is pending. After that time-out, anything that a delayed sender still writes
+reaches a closed connection.
 """
 
 import asyncio
@@ -37,15 +37,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an engine says of itself.
+    """State reported by an engine.
 
     Attributes:
-        models: Names of the models it holds, with the versions of their weights.
-        fence: Highest fencing number it has taken, or 0 since its start.
-        changing: Whether it is in the middle of a change.
-        last_order: Id of the order it took last, or None since its start.
-        streams: Streams it now runs or queues.
-        incarnation: Differs after each start, when all of the above is lost.
+        models: Names of the loaded models, with the versions of their weights.
+        fence: Highest fencing token accepted, or 0 if none since its start.
+        changing: Whether a change is in progress.
+        last_order: Id of the last order accepted, or None if none since its start.
+        streams: Number of streams running or queued.
+        incarnation: Id that changes with each start, when all of the above is reset.
     """
 
     role: str
@@ -58,7 +58,7 @@
 
     @classmethod
     def from_json(cls, value: dict[str, typing.Any]) -> "EngineState":
-        """Return the state that an engine's answer describes."""
+        """Return the state decoded from an engine's response."""
         return cls(
             value["role"],
             tuple(sorted(value["models"].items())),
@@ -72,21 +72,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unreachable:
-    """No whole answer came; what was sent may have taken effect."""
+    """No complete response was received; the order may have taken effect."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Taken:
-    """The engine carried the order out and is in this state."""
+    """The engine carried out the order and is in this state."""
 
     state: EngineState
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The engine answered that it did not take the order."""
+    """The engine reported that it did not accept the order."""
 
     reason: str
 
@@ -95,34 +95,34 @@
 
 
 class Attempt(typing.Protocol):
-    """One connection on which one order may be sent, once."""
+    """One connection on which one order may be sent once."""
 
     async def send(self) -> Sent:
         """Send the order and wait for its outcome."""
 
     async def aclose(self) -> None:
-        """Close the connection; without `send` the order is never received."""
+        """Close the connection; without a `send` the order is never received."""
 
 
 class OrderClient(typing.Protocol):
-    """What the control package needs of engines."""
+    """Client for the state and orders of engines."""
 
     async def state(self, address: settings.Address) -> EngineState | Unreachable:
-        """Ask an engine for its state now."""
+        """Return the current state of an engine."""
 
     async def open(
         self, address: settings.Address, body: dict[str, typing.Any]
     ) -> Attempt | Unreachable:
-        """Bring an order up to the point where the engine waits for its body."""
+        """Send the head of an order and wait until the engine expects the body."""
 
 
 class HttpOrderClient:
     """`OrderClient` over HTTP.
 
     Args:
-        sender: Name of this instance, which engines log.
-        answer_limit: Longest wait for the outcome of an order; more than a change
-            takes, or the order's outcome is read back later.
+        sender: Name of this instance, for the engines' logs.
+        answer_limit: Time limit for the outcome of an order. Longer than a change
+            takes; otherwise the outcome has to be read back later.
     """
 
     def __init__(
@@ -175,7 +175,7 @@
             return Unreachable(repr(error))
         if not isinstance(event, h11.InformationalResponse):
             await exchange.aclose()
-            return Unreachable("the engine did not ask for the order")
+            return Unreachable("no 100 Continue from the engine; order not sent")
         return _HttpAttempt(exchange, data, self._answer_limit)
 
     def _request(
@@ -220,7 +220,7 @@
 
 
 class _Exchange:
-    """One HTTP exchange on a connection of its own."""
+    """One HTTP exchange on its own connection."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -237,12 +237,12 @@
         while True:
             event = self._protocol.next_event()
             if event is not h11.NEED_DATA:
-                # PAUSED can't be: the connection carries one exchange.
+                # Never PAUSED, since the connection is used for one exchange.
                 return typing.cast(h11.Event, event)
             self._protocol.receive_data(await self._reader.read(_READ_BYTES))
 
     async def answer(self) -> tuple[int, dict[str, typing.Any]]:
-        """Return the status and the body of the final answer."""
+        """Return the status and the body of the final response."""
         status = 0
         data = b""
         while True:
@@ -254,7 +254,9 @@
             elif isinstance(event, h11.EndOfMessage):
                 return status, json.loads(data)
             elif isinstance(event, h11.ConnectionClosed):
-                raise ConnectionResetError("closed before the answer's end")
+                raise ConnectionResetError(
+                    "connection closed before the end of the response"
+                )
 
     async def aclose(self) -> None:
         self._writer.close()
--- a/src/pimentolatch/backend/outcomes.py
+++ b/src/pimentolatch/backend/outcomes.py
@@ -1,4 +1,4 @@
-"""What a backend server's answer can turn out to be."""
+"""Possible outcomes of a dispatch to a backend server."""
 
 import dataclasses
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Chunk:
-    """Text of an answer: `tokens` tokens from number `offset` on."""
+    """Text of a stream: `tokens` tokens, starting with number `offset`."""
 
     offset: int
     text: str
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Finished:
-    """The engine's terminal marker, with the length it states, in tokens."""
+    """The engine's terminal marker, with the stated length in tokens."""
 
     length: int
 
@@ -34,8 +34,8 @@
     """The request certainly did not run at the backend server.
 
     Attributes:
-        reason: What was seen.
-        reached: Whether the server itself refused, rather than being out of reach.
+        reason: What was observed.
+        reached: Whether the server refused, rather than being unreachable.
     """
 
     reason: str
@@ -44,10 +44,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """The answer ended before its end; the request may have run.
+    """No complete response was received; the request may have run.
 
     Attributes:
-        connection_lost: The connection ended, as when the server's process does.
+        connection_lost: Whether the connection was lost, as when the server crashes.
     """
 
     reason: str
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """A plain service's whole answer."""
+    """The complete response of a plain service."""
 
     status: int
     body: bytes
--- a/src/pimentolatch/backend/plain_client.py
+++ b/src/pimentolatch/backend/plain_client.py
@@ -1,4 +1,4 @@
-"""Client of the plain services."""
+"""Client of the servers of plain services."""
 
 import asyncio
 import dataclasses
@@ -12,16 +12,16 @@
 
 __all__ = ["Call", "PlainClient"]
 
-# A server that repeats it in its answer lets crossed answers be told apart.
+# Servers that echo it let responses to other dispatches be recognized.
 _DISPATCH_HEADER = "x-dispatch"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One sending of a call to one plain server.
+    """One dispatch of a call to one plain server.
 
     Attributes:
-        time_limit: Longest wait for the whole answer.
+        time_limit: Time limit for the complete response.
     """
 
     dispatch_id: str
@@ -37,8 +37,8 @@
     """Sends calls to plain servers.
 
     Args:
-        sender: Name of this instance, which servers log.
-        connect: Time limit of a connection.
+        sender: Name of this instance, for the servers' logs.
+        connect: Time limit for opening a connection.
     """
 
     def __init__(
@@ -49,31 +49,31 @@
     ) -> None:
         self._sender = sender
         self._reusing = connections.client(reuse=True)
-        self._fresh = connections.client(reuse=False)
+        self._single_use = connections.client(reuse=False)
         self._connect = connect
 
     async def aclose(self) -> None:
         """Close the connections."""
         await self._reusing.connector.cleanup()
-        await self._fresh.connector.cleanup()
+        await self._single_use.connector.cleanup()
 
     async def call(
         self, address: settings.Address, call: Call
     ) -> outcomes.ServiceOutcome:
-        """Send a call and wait for its whole answer.
+        """Send a call and wait for the complete response.
 
         Returns:
-            `NotRun` only when no byte was sent or the server says so itself.
+            `NotRun` only if no byte was sent or the server reports it.
         """
-        client = self._reusing if call.repeatable else self._fresh
+        client = self._reusing if call.repeatable else self._single_use
         headers = {
             "content-type": call.content_type,
             _DISPATCH_HEADER: call.dispatch_id,
             "x-instance": self._sender,
         }
         url = f"{address.url}/v1/services/{call.service}/{call.operation}"
-        # Half of the time at most goes to connecting, so that running out of it while
-        # connecting is seen as such and not mistaken for a lost answer.
+        # Connecting gets half of the time at most, so that a time-out while connecting
+        # is reported as such and not taken for a lost response.
         connect = min(self._connect, call.time_limit / 2)
         timeouts = connections.timeouts(
             connect=connect, response_timeout=call.time_limit
@@ -95,12 +95,14 @@
     call: Call, response: aiosonic.HttpResponse, body: bytes
 ) -> outcomes.ServiceOutcome:
     if not connections.has_framed_body(response):
-        return outcomes.OutcomeUnknown("the answer's headers were cut")
+        return outcomes.OutcomeUnknown("response truncated within its headers")
     dispatch_id = response.headers.get(_DISPATCH_HEADER, call.dispatch_id)
     if dispatch_id != call.dispatch_id:
-        return outcomes.OutcomeUnknown("crossed answer")
+        return outcomes.OutcomeUnknown("response to another dispatch")
     if response.status_code == 503 and _says_not_run(body):
-        return outcomes.NotRun("refused by the server", reached=True)
+        return outcomes.NotRun(
+            "the server refused the call without running it", reached=True
+        )
     return outcomes.Response(response.status_code, body, _content_type(response))
 
 
--- a/src/pimentolatch/protocol/messages.py
+++ b/src/pimentolatch/protocol/messages.py
@@ -219,7 +219,7 @@
     """An engine's connection ended while it ran a completion.
 
     Attributes:
-        digest: `stream.Completion.digest` of the completion.
+        digest: `completion_stream.Completion.digest` of the completion.
         cleared: The completion has run to its end since.
         age_ms: How long ago it ended.
         lasted_ms: How long the engine had had the completion by then.
--- a/src/pimentolatch/requests/__init__.py
+++ b/src/pimentolatch/requests/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a request: checked, dispatched, resumed, answered or refused."""
+"""Lifecycle of a request: admission, dispatch, resumption, response or refusal."""
--- a/src/pimentolatch/requests/at_most_once.py
+++ b/src/pimentolatch/requests/at_most_once.py
@@ -1,9 +1,9 @@
-"""Runs calls with an idempotency key at most once, whoever retries them and where.
+"""Runs calls with an idempotency key at most once, across instances and retries.
 
-Each key has one owner, the incarnation of an instance that alone may send its call.
-For a caller's own key the owner is who claimed it in the platform's store; for a ticket
-it is who handed it out. Any other instance passes the call on to the owner. If the
-owner can't be reached the answer is "outcome unknown", never a second run.
+Each key has one owner, the only incarnation of an instance that may send its call. A
+client-supplied key is owned by the incarnation that claimed it in the platform's store,
+a ticket by the one that issued it. Any other instance forwards the call to the owner.
+If the owner is unreachable, the answer is "outcome unknown", never a second run.
 """
 
 import asyncio
@@ -28,10 +28,10 @@
 __all__ = ["AtMostOnce", "InstanceForwarder"]
 
 _log = logbook.Logger("once")
-# A service's answer that comes after the caller's deadline still serves its retry.
+# An answer that arrives after the caller's deadline can still serve a retry.
 LATE_ANSWER_TIMEOUT = datetime.timedelta(seconds=30)
 _FORWARD_ATTEMPTS = 2
-# A stop does not wait long for a store that is out.
+# Bounds how long an unavailable store delays a shutdown.
 _RETIRE_TIMEOUT_S = 3.0
 
 _Runner = typing.Callable[
@@ -41,27 +41,27 @@
 
 
 class InstanceForwarder(typing.Protocol):
-    """What is needed of a client of other instances."""
+    """Client that forwards calls to other instances."""
 
     async def forward(
         self, address: settings.Address, call: instance_client.Forward
     ) -> (
         outcomes.Response | results.Refusal | outcomes.NotRun | outcomes.OutcomeUnknown
     ):
-        """Pass a call on and wait for the owner's answer."""
+        """Forward a call and wait for the owner's answer."""
 
 
 class AtMostOnce:
-    """Runs calls of keys that this instance owns, and passes others on.
+    """Runs calls whose key this instance owns, and forwards the others.
 
     Args:
         owner: This incarnation of this instance.
         pages: Claims in the platform's store.
-        office: Hands out and reads tickets.
-        table: Keys this instance answers for.
-        retirements: What became of the tickets of instances that stopped.
+        office: Issues and verifies tickets.
+        table: Keys that this instance owns.
+        retirements: Records of the tickets of stopped instances.
         instances: Client of other instances.
-        sender: Sends calls to plain servers.
+        sender: Sends calls to the servers of plain services.
         time: Clock of deadlines.
     """
 
@@ -96,9 +96,9 @@
         return issued
 
     async def retire(self) -> None:
-        """Tell the other instances, at a planned stop, what became of the tickets.
+        """Record the use of this instance's tickets, at a planned shutdown.
 
-        From here on no ticket runs anything, so that what is told stays true.
+        From here on no ticket runs a call, so the record stays correct.
         """
         self._retired = True
         issued = self._ticket_issuer.issued()
@@ -112,11 +112,11 @@
 
     @property
     def ticket_lifetime(self) -> datetime.timedelta:
-        """How long a ticket and its result can be used."""
+        """How long a ticket is valid and its result is retained."""
         return self._table.lifetime
 
     async def run(self, call: service_call.ServiceCall) -> idempotency_keys.Outcome:
-        """Return the outcome of the one run of the call's key."""
+        """Return the outcome of the only run of the call's key."""
         key = call.idempotency_key or ""
         if key.startswith(tickets.PREFIX):
             return await self._run_ticket(call, key)
@@ -132,7 +132,7 @@
         if isinstance(ticket, tickets.InvalidTicket) or ticket.caller != call.caller:
             return results.Refusal(
                 results.ResultCode.INVALID_REQUEST,
-                "idempotency-key: this ticket was not handed out to this caller",
+                "idempotency-key: this ticket was not issued to this caller",
                 results.Execution.NOT_RUN,
             )
         if ticket.owner.incarnation != self._owner.incarnation:
@@ -152,7 +152,7 @@
         ticket: tickets.Ticket,
         outcome: idempotency_keys.Outcome,
     ) -> idempotency_keys.Outcome:
-        """Replace an unknown outcome by what the owner wrote when it stopped."""
+        """Replace an unknown outcome by the record of an owner that has stopped."""
         if call.forwarded or not refusals.is_outcome_unknown(outcome):
             return outcome
         use = await self._retirements.ticket_use(
@@ -170,14 +170,14 @@
         self, call: service_call.ServiceCall, name: str, runner: _Runner
     ) -> idempotency_keys.Outcome:
         request = idempotency_keys.fingerprint(call.service, call.operation, call.body)
-        begun = self._table.begin(name, request)
-        if isinstance(begun, idempotency_keys.Mismatch):
+        lookup = self._table.begin(name, request)
+        if isinstance(lookup, idempotency_keys.Mismatch):
             return refusals.KEY_REUSED
-        if isinstance(begun, idempotency_keys.TableFull):
+        if isinstance(lookup, idempotency_keys.TableFull):
             return refusals.overloaded()
-        if isinstance(begun, idempotency_keys.NewKey):
-            self._start(runner, call, begun.entry)
-        return await self._await_outcome(call, begun)
+        if isinstance(lookup, idempotency_keys.NewKey):
+            self._start(runner, call, lookup.entry)
+        return await self._await_outcome(call, lookup)
 
     def _start(
         self,
@@ -185,10 +185,10 @@
         call: service_call.ServiceCall,
         entry: idempotency_keys.Entry,
     ) -> None:
-        """Run the call in a task of its own, which outlives the caller's connection.
+        """Run the call in its own task, which outlives the caller's connection.
 
-        A caller that disconnects and retries must find the run it began, not a
-        cancelled one whose effect nobody knows.
+        A caller that disconnects and retries must find the run that it started, not a
+        cancelled run with an unknown effect.
         """
         task = asyncio.create_task(self._run_and_complete(runner, call, entry))
         self._tasks.add(task)
@@ -207,27 +207,27 @@
         finally:
             if not entry.result.done():
                 self._table.complete(
-                    entry, refusals.outcome_unknown("the run was interrupted")
+                    entry, refusals.outcome_unknown("the call was interrupted")
                 )
 
     async def _await_outcome(
         self,
         call: service_call.ServiceCall,
-        begun: idempotency_keys.NewKey | idempotency_keys.KnownKey,
+        lookup: idempotency_keys.NewKey | idempotency_keys.KnownKey,
     ) -> idempotency_keys.Outcome:
-        """Wait for the key's outcome until the deadline, then answer at once."""
+        """Wait for the key's outcome, until the deadline at most."""
         left = (call.deadline - self._clock.monotonic()).total_seconds()
         try:
             async with asyncio.timeout(left):
-                return await asyncio.shield(begun.entry.result)
+                return await asyncio.shield(lookup.entry.result)
         except TimeoutError:
             pass
-        if isinstance(begun, idempotency_keys.KnownKey):
+        if isinstance(lookup, idempotency_keys.KnownKey):
             return refusals.IN_PROGRESS
-        if begun.entry.abandon():
+        if lookup.entry.abandon():
             return refusals.DEADLINE_PASSED
         return refusals.outcome_unknown(
-            "the deadline passed first; a retry with this key may tell"
+            "no answer before the deadline; retry with this key to get the outcome"
         )
 
     async def _claim_and_send(
@@ -261,10 +261,10 @@
     async def _send_and_complete(
         self, call: service_call.ServiceCall, entry: idempotency_keys.Entry
     ) -> idempotency_keys.Outcome:
-        """Send an owned call and hand its outcome to those who wait.
+        """Send an owned call and complete its entry with the outcome.
 
-        Callers get the outcome before it is recorded in the store: a slow store must
-        not hold an answer back.
+        Waiting callers get the outcome before it is recorded in the store, so that a
+        slow store does not delay the answer.
         """
         outcome = await self._sender.send(
             call, repeatable=False, entry=entry, extra_wait=LATE_ANSWER_TIMEOUT
@@ -283,7 +283,9 @@
         if claim.answer is not None:
             return claim.answer
         if claim.state == "unknown":
-            return refusals.outcome_unknown("the answer of the one run was lost")
+            return refusals.outcome_unknown(
+                "the call was sent once, but its answer was lost"
+            )
         is_own = claim.owner is not None and (
             claim.owner.incarnation == self._owner.incarnation
         )
@@ -296,15 +298,17 @@
         if not entry.start_dispatch():
             return refusals.DEADLINE_PASSED
         outcome = await self._forward(call, claim.owner)
-        # The owner has gone with a result too large for the store: that it ran is
-        # known all the same.
+        # The owner has terminated and its result was too large for the store. The claim
+        # still shows that the call ran.
         return expired if answered and refusals.is_outcome_unknown(outcome) else outcome
 
     async def _forward(
         self, call: service_call.ServiceCall, owner: key_claims.Owner
     ) -> idempotency_keys.Outcome:
         if call.forwarded:
-            return refusals.outcome_unknown("the instance that owned the key has gone")
+            return refusals.outcome_unknown(
+                "the instance that owned this key has terminated"
+            )
         reason = "the deadline passed"
         for _ in range(_FORWARD_ATTEMPTS):
             left = call.deadline - self._clock.monotonic()
@@ -317,7 +321,7 @@
                 return outcome
             reason = outcome.reason
         return refusals.outcome_unknown(
-            f"the instance that owns the key can't be reached: {reason}"
+            f"the instance that owns this key is unreachable: {reason}"
         )
 
 
--- a/src/pimentolatch/requests/completion.py
+++ b/src/pimentolatch/requests/completion.py
@@ -1,4 +1,4 @@
-"""Admits completions, chooses their engines and runs them."""
+"""Admits completions, selects engines and runs them."""
 
 import contextlib
 import datetime
@@ -20,7 +20,7 @@
 
 
 class CompletionRunner:
-    """Runs completions on the engines that the fleet's view offers."""
+    """Runs completions on the engines in the current view of the fleet."""
 
     def __init__(
         self,
@@ -43,24 +43,24 @@
             time,
             suspects=self._suspects,
             kv_client=kv_client,
-            # Instances must not draw the same pauses.
+            # Seeded by instance, so that instances don't retry at the same moments.
             rng=random.Random(own_instance),
         )
 
     @property
     def suspects(self) -> suspect_completions.SuspectCompletions:
-        """The completions that have ended engines."""
+        """Completions suspected of crashing engines."""
         return self._suspects
 
     @property
     def scheduler(self) -> completion_scheduler.Scheduler:
-        """The queue of completions; its `run` has to run beside the requests."""
+        """Queue of completions; its `run` must run as a background task."""
         return self._scheduler
 
     async def run(
         self, completion: completion_stream.Completion
     ) -> abc.AsyncGenerator[completion_stream.CompletionEvent, None]:
-        """Yield the answer's text; the last event is `Ended` or a refusal."""
+        """Yield the text of the completion; the last event is `Ended` or a refusal."""
         if refusal := self._unservable(completion):
             yield refusal
             return
@@ -82,14 +82,14 @@
         if document is None:
             return results.Refusal(
                 results.ResultCode.NO_CONFIGURATION,
-                "no configuration is in force yet",
+                "no configuration has been published yet; retry later",
                 results.Execution.NOT_RUN,
                 _RETRY_AFTER,
             )
         if all(model.name != completion.model for model in document.models):
             return results.Refusal(
                 results.ResultCode.UNKNOWN_MODEL,
-                f"the model {completion.model!r} is not served",
+                f"no model {completion.model!r} in the configuration; see /v1/models",
                 results.Execution.NOT_RUN,
             )
         return None
--- a/src/pimentolatch/requests/completion_scheduler.py
+++ b/src/pimentolatch/requests/completion_scheduler.py
@@ -1,8 +1,8 @@
-"""Holds waiting completions and starts them when engines have room.
+"""Queues completions and starts them when engines have capacity.
 
-The decisions are `decisions.dispatcher`; here is what needs an event loop: a future
-for each request that waits, and a tick for what changes without an event of ours, such
-as a deadline that passes or room that a peer reports.
+The decisions are made by `decisions.dispatcher`. This module adds what needs an event
+loop: a future per waiting request, and a periodic tick for changes without a local
+event, such as an expired deadline or capacity reported by a peer.
 """
 
 import asyncio
@@ -17,17 +17,17 @@
 
 __all__ = ["Scheduler"]
 
-# Short against a person's notice of a wait. An instance without requests does not tick.
+# Too short for a person to notice the delay. Idle instances do not tick.
 _TICK = datetime.timedelta(milliseconds=50)
 
 _Decision = asyncio.Future["dispatcher.Start | results.Refusal"]
 
 
 class Scheduler:
-    """Admits completions and gives each its turn; an `EngineChoice` for its stream.
+    """Admits completions and starts each in turn; the `EngineSelector` of streams.
 
-    All calls come from one event loop and none of them waits while it changes state,
-    so the decisions need no lock.
+    All calls come from one event loop and none awaits while it changes state, so no
+    lock is needed.
     """
 
     def __init__(
@@ -46,11 +46,11 @@
 
     @property
     def decisions(self) -> dispatcher.Dispatcher:
-        """The decisions, for those who tell them of peers."""
+        """The decisions, to which reports of peers are passed."""
         return self._decisions
 
     async def run(self) -> None:
-        """Start and expire waiting requests as time passes; runs until cancelled."""
+        """Start and expire waiting requests periodically, until cancelled."""
         while True:
             if not self._decisions.busy:
                 self._request_arrived.clear()
@@ -61,10 +61,10 @@
     async def admit(
         self, completion: completion_stream.Completion
     ) -> results.Refusal | None:
-        """Wait for an engine; a refusal comes at once, or when none is free in time.
+        """Wait for an engine; return a refusal at once, or if none is free in time.
 
-        If the caller goes away while it waits, the wait is cancelled and the request
-        leaves the queue.
+        If the caller disconnects meanwhile, the wait is cancelled and the request is
+        removed from the queue.
         """
         request = lanes.Request(
             completion.request_id,
@@ -96,7 +96,7 @@
         return None
 
     def leave(self, completion: completion_stream.Completion) -> None:
-        """Forget a completion, whatever became of it."""
+        """Remove a completion, whatever its outcome."""
         self._first_starts.pop(completion.request_id, None)
         self._prefill_engines.pop(completion.request_id, None)
         self._decisions.leave(completion.request_id, self._clock.monotonic())
@@ -105,7 +105,7 @@
     def choose(
         self, completion: completion_stream.Completion, failed: abc.Set[str]
     ) -> schema.Engine | None:
-        """See `stream.EngineChoice.choose`."""
+        """See `completion_stream.EngineSelector.choose`."""
         start = self._first_starts.pop(completion.request_id, None)
         if start is None:
             start = self._decisions.resume(
@@ -123,11 +123,11 @@
     def prefill_engine(
         self, completion: completion_stream.Completion
     ) -> schema.Engine | None:
-        """See `stream.EngineChoice.reader`."""
+        """See `completion_stream.EngineSelector.prefill_engine`."""
         return self._prefill_engines.pop(completion.request_id, None)
 
     def prefill_ended(self, completion: completion_stream.Completion) -> None:
-        """See `stream.EngineChoice.prompt_read`."""
+        """See `completion_stream.EngineSelector.prefill_ended`."""
         self._decisions.prefill_ended(completion.request_id)
 
     def dispatched(
@@ -135,14 +135,14 @@
     ) -> None:
         """Do nothing: a dispatch is counted when it is decided, not when it is sent.
 
-        Between the two other requests are decided, and would be sent to the same
-        engine if it still looked free.
+        Other requests are decided in between, and would go to the same engine if it
+        still appeared free.
         """
 
     def token_received(
         self, completion: completion_stream.Completion, engine: schema.Engine
     ) -> None:
-        """See `stream.EngineChoice.progressed`."""
+        """See `completion_stream.EngineSelector.token_received`."""
         self._decisions.token(completion.request_id, self._clock.monotonic())
 
     def dispatch_ended(
@@ -151,7 +151,7 @@
         engine: schema.Engine,
         outcome: outcomes.EngineEvent | None,
     ) -> None:
-        """See `stream.EngineChoice.ended`."""
+        """See `completion_stream.EngineSelector.dispatch_ended`."""
         self._decisions.ended(completion.request_id, outcome, self._clock.monotonic())
 
     def _advance(self) -> None:
--- a/src/pimentolatch/requests/completion_stream.py
+++ b/src/pimentolatch/requests/completion_stream.py
@@ -1,4 +1,4 @@
-"""Keeps one answer whole over several engines."""
+"""Streams a completion and resumes it on another engine after a failure."""
 
 import contextlib
 import dataclasses
@@ -35,19 +35,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResponseTimeouts:
-    """How long an engine may say nothing before its stream counts as broken.
+    """Time without a token after which the stream of an engine counts as broken.
 
-    A frozen engine keeps its connections open and never errs: without these bounds
-    its callers wait until their deadlines and then get nothing, although any other
-    engine could have gone on. The grounds for the figures: a first token should come
-    within 1.9 s and the next ones within 71 ms for 95 in 100, so an engine silent
-    for several times that has failed, while one that reads a long prompt gets three
-    times the time its stated speed calls for.
+    A frozen engine keeps its connections open and reports no error. Without time-outs
+    its callers would wait until their deadlines and get nothing, although another
+    engine could have resumed the stream. The latency targets are 1.9 s for the first
+    token and 71 ms for each next one, at the 95th percentile. An engine that exceeds
+    several times that has failed; prefilling a long prompt is allowed three times the
+    time expected from the engine's stated speed.
 
     Attributes:
-        first_token: Bound on the first token of a dispatch, besides reading.
-        reading_factor: Times the expected time of reading the prompt, on top.
-        next_token: Bound on each later token.
+        first_token: Time-out for the first token of a dispatch, without prefill.
+        prefill_factor: Multiple of the expected prefill time that is added to it.
+        next_token: Time-out for each later token.
     """
 
     first_token: datetime.timedelta = datetime.timedelta(seconds=5)
@@ -57,12 +57,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Completion:
-    """A checked request for a completion.
+    """A validated completion request.
 
     Attributes:
-        deadline: Time on the instance's monotonic clock after which the answer has
-            no use.
-        priority: Higher is served first.
+        deadline: Time on the instance's monotonic clock after which the answer is
+            useless.
+        priority: Higher values are served first.
     """
 
     request_id: str
@@ -75,7 +75,7 @@
 
     @property
     def digest(self) -> digests.RequestDigest:
-        """Names the completion, whichever attempt this is."""
+        """Digest of the completion, equal for all its attempts."""
         return digests.request_digest(
             b"",
             caller=self.caller,
@@ -88,18 +88,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delta:
-    """The next text of the answer."""
+    """Text that extends the completion."""
 
     text: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ended:
-    """The answer is whole.
+    """The completion is finished.
 
     Attributes:
-        length: Number of its tokens.
-        resumptions: Times it was continued after an engine failed.
+        length: Number of tokens.
+        resumptions: How often it was resumed after an engine failed.
     """
 
     length: int
@@ -110,16 +110,16 @@
 
 
 class EngineStreams(typing.Protocol):
-    """What is needed of a client of engines."""
+    """Client of engines."""
 
     def generate(
         self, address: settings.Address, dispatch: engine_client.Dispatch
     ) -> abc.AsyncGenerator[outcomes.EngineEvent, None]:
-        """Stream an answer; the last event is never a chunk."""
+        """Yield the events of a stream; the last one is never a chunk."""
 
 
 class EngineSelector(typing.Protocol):
-    """Chooses engines for one completion and counts what is sent to them."""
+    """Selects the engines of completions and accounts for their work."""
 
     def choose(
         self, completion: Completion, failed: abc.Set[str]
@@ -127,16 +127,16 @@
         """Return an engine that has not failed this completion, or None."""
 
     def prefill_engine(self, completion: Completion) -> schema.Engine | None:
-        """Return the engine that is to read the prompt first, if it is another one."""
+        """Return the prefill engine if prefill is disaggregated, else None."""
 
     def prefill_ended(self, completion: Completion) -> None:
-        """Count the prompt as read there, or as given up."""
+        """Record that the disaggregated prefill was completed or given up."""
 
     def dispatched(self, completion: Completion, engine: schema.Engine) -> None:
-        """Count a dispatch as sent."""
+        """Record that a dispatch was sent."""
 
     def token_received(self, completion: Completion, engine: schema.Engine) -> None:
-        """Count one token as received."""
+        """Record that one token was received."""
 
     def dispatch_ended(
         self,
@@ -144,11 +144,18 @@
         engine: schema.Engine,
         outcome: outcomes.EngineEvent | None,
     ) -> None:
-        """Count a dispatch as over; None if the caller left or its deadline passed."""
+        """Record the end of a dispatch.
+
+        Args:
+            completion: The completion.
+            engine: Engine of the dispatch.
+            outcome: Last event, or None if the caller disconnected or its deadline
+                passed.
+        """
 
 
 class ResumingStream:
-    """Sends completions to engines and resumes streams that break."""
+    """Sends completions to engines and resumes broken streams."""
 
     def __init__(
         self,
@@ -173,16 +180,16 @@
     async def run(
         self, completion: Completion
     ) -> abc.AsyncGenerator[CompletionEvent, None]:
-        """Yield the answer's text; the last event is `Ended` or a refusal.
+        """Yield the text of the completion; the last event is `Ended` or a refusal.
 
-        A stream that breaks is resumed at the token it broke at, on another engine.
-        Completions may run twice without harm, so this is safe; the caller sees one
-        stream without a gap because every engine numbers its tokens.
+        A broken stream is resumed on another engine, at the first token not received.
+        This is safe because completions are idempotent. The caller sees one stream
+        without gaps because engines number their tokens.
         """
         delivered = 0
         maybe_ran = False
         failed: set[str] = set()
-        reason = "no engine is free"
+        reason = "no engine is available"
         pauses = backoff.Backoff(_MIN_PAUSE, _MAX_PAUSE, self._rng)
         digest = completion.digest
         for attempt_number in range(_MAX_ATTEMPTS):
@@ -192,7 +199,7 @@
                 if not maybe_ran:
                     yield results.quarantined(verdict.left)
                     return
-                reason = "engines ended while they ran this completion"
+                reason = "quarantined: engines crashed while they ran this completion"
                 break
             engine = self._choice.choose(completion, failed)
             if engine is None:
@@ -226,9 +233,10 @@
                 reason=reason,
             )
             if delivered == before:
-                # What failed together would be tried again together, and the other
-                # engines would fail it too. Pauses drawn at random spread it. A
-                # stream that gave tokens has a reader and goes on at once.
+                # Requests that failed together would be retried together, and fail
+                # on the other engines too. Randomized pauses spread the retries.
+                # A stream that delivered tokens is resumed at once, since its
+                # client is waiting for the next token.
                 left = completion.deadline - self._clock.monotonic()
                 await self._clock.sleep(min(pauses.next_pause(), left))
         if self._time_left(completion) <= 0:
@@ -258,7 +266,7 @@
                 while True:
                     event = await self._next_event(limits, events, completion, timeout)
                     if not isinstance(event, outcomes.Chunk):
-                        # An engine is not to blame for a deadline that passed.
+                        # A passed deadline is not a failure of the engine.
                         expired = self._time_left(completion) <= 0
                         final = None if expired else event
                         yield event
@@ -299,19 +307,20 @@
         completion: Completion,
         timeout: float,
     ) -> outcomes.EngineEvent:
-        """Return the next event, or `Broken` once the engine was silent too long.
+        """Return the next event, or `OutcomeUnknown` after the time-out.
 
-        Only the wait for the engine counts, not the time a slow caller takes. The
-        deadline bounds it too, so that a final answer comes at once when it passes.
-        Ending the wait closes the connection, by which the engine knows to stop.
+        Only the time spent waiting for the engine counts, not that of a slow caller.
+        The deadline limits the wait as well, so that the caller is answered as soon as
+        it passes. Cancelling the wait closes the connection, which tells the engine to
+        stop.
         """
         limit = min(timeout, self._time_left(completion))
         try:
             return await limits.within(limit, anext(events))
         except TimeoutError:
-            return outcomes.OutcomeUnknown(f"silent for {limit:.3g} s")
+            return outcomes.OutcomeUnknown(f"no token for {limit:.3g} s")
         except StopAsyncIteration:
-            return outcomes.OutcomeUnknown("no terminal event")
+            return outcomes.OutcomeUnknown("the stream ended without a terminal event")
 
     def _first_token_timeout(
         self, completion: Completion, engine: schema.Engine
@@ -344,12 +353,12 @@
     if delivered:
         return results.Refusal(
             results.ResultCode.STREAM_BROKEN,
-            f"the answer broke off after {delivered} tokens: {reason}",
+            f"the stream broke after {delivered} tokens, not resumable: {reason}",
             execution,
         )
     return results.Refusal(
         results.ResultCode.NO_BACKEND_SERVER,
-        f"no engine could answer: {reason}",
+        f"no engine could run the completion; retry later: {reason}",
         execution,
         _RETRY_AFTER,
     )
--- a/src/pimentolatch/requests/digests.py
+++ b/src/pimentolatch/requests/digests.py
@@ -1,12 +1,12 @@
-"""Names a request by what it asks for, whoever sends it again and under which id."""
+"""Keyed digests that identify a request by its content across retries."""
 
 import hashlib
 
 __all__ = ["RequestDigest", "digest_text", "request_digest"]
 
-# Two of ten million requests share one of 2**48 digests with odds of one in six, but
-# one of them is rarely among the thousand that are remembered. It fits an exact CBOR
-# integer as well as a JSON number.
+# Among ten million requests, two share one of 2**48 digests with a probability of one
+# in six, but rarely is one of the two among the thousand digests that are retained. The
+# size fits a CBOR integer and is exact as a JSON number.
 _DIGEST_BYTES = 6
 _LENGTH_BYTES = 8
 
@@ -16,23 +16,23 @@
 def request_digest(
     key: bytes, *, caller: str, method: str, host: str, target: bytes, body: bytes
 ) -> RequestDigest:
-    """Return the digest of a request, alike at every instance with the same key.
+    """Return the digest of a request, equal at all instances with the same key.
 
-    What differs between two attempts of the same request is left out: its id, its
-    deadline and the event after which a stream goes on.
+    What differs between attempts of one request is excluded: its id, its deadline and
+    the event after which a stream resumes.
 
     Args:
-        key: Keeps the digest from being tried out on guessed bodies; up to 64 bytes.
-        caller: Who sends it, as far as the request says; empty if it does not.
+        key: Secret key of up to 64 bytes; prevents confirming guessed bodies.
+        caller: Caller named by the request, or empty.
         method: HTTP method.
-        host: Host that the request names.
+        host: Value of the Host header.
         target: Path and query.
         body: The whole body.
     """
     digest = hashlib.blake2b(key=key, digest_size=_DIGEST_BYTES)
     head = (caller.encode(), method.encode(), host.encode(), target)
     for field in head:
-        # Without its length a field could give its end to the next one.
+        # The length prefix keeps different splits of the same bytes distinct.
         digest.update(len(field).to_bytes(_LENGTH_BYTES, "big"))
         digest.update(field)
     digest.update(body)
@@ -40,5 +40,5 @@
 
 
 def digest_text(digest: RequestDigest) -> str:
-    """Return a digest as logs and settings write it."""
+    """Return a digest in the form used in logs and settings."""
     return f"{digest:0{2 * _DIGEST_BYTES}x}"
--- a/src/pimentolatch/requests/idempotency_keys.py
+++ b/src/pimentolatch/requests/idempotency_keys.py
@@ -1,9 +1,9 @@
-"""What this instance remembers of the idempotency keys it answers for.
+"""Table of the idempotency keys that this instance owns.
 
-A retry that arrives here while the first attempt runs waits for its result; one that
-arrives later is given the result again. Memory is bounded: results are dropped, oldest
-first, past a number of bytes, but the fact that a key was used stays until no retry
-may use it any more, because forgetting it would let a retry run a second time.
+A retry that arrives while the first attempt runs waits for its result; a later retry
+gets the stored result. Memory is bounded: past a number of bytes the oldest results
+are evicted. The record that a key was used is retained until no retry may use the key
+any more, because dropping it would let a retry run the call a second time.
 """
 
 import asyncio
@@ -35,22 +35,22 @@
 
 
 def result_expired(execution: results.Execution) -> results.Refusal:
-    """Return the refusal of a retry whose result is no longer kept."""
+    """Return the refusal of a retry whose result is no longer retained."""
     return results.Refusal(
         results.ResultCode.RESULT_EXPIRED,
-        "the result of this key is no longer kept; the call is not run again",
+        "the result of this key has expired; the call is not run again",
         execution,
     )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyLimits:
-    """Bounds of the table.
+    """Limits of the table.
 
     Attributes:
-        lifetime: How long a used key is remembered; a retry may use it no longer.
-        entries: Keys remembered at once; past it new ones are refused before they run.
-        result_bytes: Memory for results; past it the oldest are dropped.
+        lifetime: How long a used key is retained, and so may be retried.
+        max_entries: Number of keys; past it calls with new keys are refused, not run.
+        max_result_bytes: Memory for results; past it the oldest are evicted.
     """
 
     lifetime: datetime.timedelta = datetime.timedelta(minutes=15)
@@ -63,9 +63,9 @@
     """A used key.
 
     Attributes:
-        dispatched: Whether the first byte may have left; set just before sending.
-        abandoned: Whether the caller was told "not run", after which nothing may be
-            sent. Never set once `dispatched` is.
+        dispatched: Whether the first byte may have been sent; set before sending.
+        abandoned: Whether the caller was answered "not run", after which nothing may
+            be sent. Never set once `dispatched` is.
         result: Future of the outcome, shared by all attempts with the key.
     """
 
@@ -78,22 +78,22 @@
     result_bytes: int = 0
 
     def start_dispatch(self) -> bool:
-        """Ask to send, with nothing awaited in between; False if it was given up.
+        """Mark the call as dispatched; return False if it was abandoned.
 
-        The caller is told "not run" at its deadline only if this was not asked
-        before, and nothing is sent after that: no interleaving makes the answer
-        false.
+        Must be called directly before sending, with no await in between. The caller
+        gets "not run" at its deadline only if the call was not marked before, and
+        nothing is sent afterwards, so no interleaving makes that answer false.
         """
         if not self.abandoned:
             self.dispatched = True
         return self.dispatched
 
     def revert_dispatch(self) -> None:
-        """Note that what was to be sent certainly was not."""
+        """Clear the mark, after the call was certainly not run."""
         self.dispatched = False
 
     def abandon(self) -> bool:
-        """Forbid sending; False if the call may already be on its way."""
+        """Forbid sending; return False if the call may already have been sent."""
         if not self.dispatched:
             self.abandoned = True
         return self.abandoned
@@ -101,30 +101,30 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NewKey:
-    """The key is new here; whoever got this runs the call and settles the entry."""
+    """The key is new here; the receiver runs the call and completes the entry."""
 
     entry: Entry
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KnownKey:
-    """The key is being run or was run; its outcome is or will be in the entry."""
+    """The call of the key runs or has run; the entry gets or has its outcome."""
 
     entry: Entry
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mismatch:
-    """The key came with another request before."""
+    """The key was used with a different request before."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TableFull:
-    """No more keys can be remembered, so the call must not run."""
+    """The table is full, so the call must not run."""
 
 
 class KeyTable:
-    """The keys this instance answers for, in order of their first use."""
+    """The keys that this instance owns, in order of first use."""
 
     def __init__(self, time: clock.Clock, limits: KeyLimits | None = None) -> None:
         self._clock = time
@@ -135,7 +135,7 @@
 
     @property
     def lifetime(self) -> datetime.timedelta:
-        """How long a used key is remembered."""
+        """How long a used key is retained."""
         return self._limits.lifetime
 
     def __len__(self) -> int:
@@ -144,7 +144,7 @@
     def begin(
         self, name: str, request_fingerprint: str
     ) -> NewKey | KnownKey | Mismatch | TableFull:
-        """Look a key up, and remember it as used if it is new."""
+        """Look up a key, and record it as used if it is new."""
         self._evict_expired()
         entry = self._entries.get(name)
         if entry is not None:
@@ -158,7 +158,7 @@
         return NewKey(entry)
 
     def ticket_uses(self) -> tuple[frozenset[int], frozenset[int]]:
-        """Return the numbers of tickets that were answered, and that may have run."""
+        """Return the numbers of tickets answered, and of those that may have run."""
         answered: set[int] = set()
         unknown: set[int] = set()
         for name, entry in self._entries.items():
@@ -169,7 +169,7 @@
         return frozenset(answered), frozenset(unknown)
 
     def complete(self, entry: Entry, outcome: Outcome) -> None:
-        """Settle an entry whose call ran, or may have, and keep its outcome."""
+        """Complete an entry whose call ran or may have run, and retain its outcome."""
         if not entry.result.done():
             entry.result.set_result(outcome)
         if isinstance(outcome, outcomes.Response):
@@ -179,7 +179,7 @@
             self._evict_results()
 
     def discard(self, entry: Entry, outcome: Outcome) -> None:
-        """Settle an entry whose call this instance has not run and will not run."""
+        """Complete and drop the entry of a call that this instance never runs."""
         if self._entries.get(entry.name) is entry:
             del self._entries[entry.name]
         if not entry.result.done():
@@ -214,16 +214,16 @@
 
 
 def ticket_name(number: int) -> str:
-    """Return the name of one of this instance's own tickets."""
+    """Return the table name of one of this instance's own tickets."""
     return f"{_TICKET}{number}"
 
 
 def key_name(caller: str, key: str) -> str:
-    """Return the name of a caller's key; callers can't meet in one another's keys."""
+    """Return the hashed name of a caller's key; keys of different callers differ."""
     return hashlib.sha256(f"{caller}\0{key}".encode()).hexdigest()
 
 
 def fingerprint(service: str, operation: str, body: bytes) -> str:
-    """Return what tells one request from another under the same key."""
+    """Return a hash that tells apart different requests with the same key."""
     head = f"{service}\0{operation}\0".encode()
     return hashlib.sha256(head + body).hexdigest()[:32]
--- a/src/pimentolatch/requests/identity.py
+++ b/src/pimentolatch/requests/identity.py
@@ -1,4 +1,4 @@
-"""Ids of requests and dispatches."""
+"""Unique ids of requests and dispatches."""
 
 import uuid
 
@@ -6,5 +6,5 @@
 
 
 def new_id() -> str:
-    """Return an id that no other instance or earlier incarnation has used."""
+    """Return an id that is unique across instances and incarnations."""
     return uuid.uuid4().hex
--- a/src/pimentolatch/requests/key_claims.py
+++ b/src/pimentolatch/requests/key_claims.py
@@ -1,15 +1,16 @@
-"""Claims of callers' own idempotency keys, in the platform's store.
+"""Claims on client-supplied idempotency keys, in the platform's store.
 
 A claim binds a key to one instance before the call is sent, so that a retry through
-any other instance finds it and never runs the call again. Claims are kept in *pages*:
-a key's hash names its page, and a conditional update of the page decides every race.
-An object for each key would need a third write to remove it; a page drops its expired
-claims in the writes that it gets anyhow, and the number of objects stays bounded.
-
-A claim lives in two stages. With its answer, or with the owner that can still give it,
-for `ANSWER_KEPT`; then as a bare record that the key was used, for `CLAIM_KEPT`. Only
-after that may the key run again, so that is the stated bound for late retries. It is
-far above the longest deadline (an hour), after which an owner sends nothing.
+any other instance finds it and never runs the call again. Claims are grouped in
+*pages*: the key's hash selects the page, and conditional updates of the page resolve
+races. One object per key would need a third write to delete it; a page drops expired
+claims in writes that happen anyway, and the number of objects stays bounded.
+
+A claim holds the answer, or the owner that can still provide it, for
+`ANSWER_RETENTION`, and then only the record that the key was used, until
+`CLAIM_RETENTION`. Only after that may the key run again, so that is the documented
+limit for late retries. It is far above the longest deadline (an hour), after which an
+owner sends nothing.
 """
 
 import base64
@@ -37,12 +38,12 @@
 KIND = "claims"
 ANSWER_RETENTION = datetime.timedelta(minutes=15)
 CLAIM_RETENTION = datetime.timedelta(hours=24)
-# Small enough that a page of them is far below the platform's limit of a megabyte.
+# Keeps a page of answers far below the platform's object limit of one megabyte.
 MAX_ANSWER_BYTES = 2_000
 MAX_CLAIMS_PER_PAGE = 3_000
-# A million pages: at 75 claimed calls a second, half of what the store's writes allow,
-# a page then holds some 6 claims of the last day. Each claim reads and writes its page
-# twice, so larger pages would take the bytes that an instance has for control.
+# A million pages: at 75 claimed calls a second, half of what the store's write limit
+# allows, a page holds about 6 claims of the last day. Each claim reads and writes its
+# page twice, so larger pages would use up an instance's bandwidth for control traffic.
 _PAGE_DIGITS = 5
 _MAX_ATTEMPTS = 4
 _BUDGET_SHARE = 0.5
@@ -54,7 +55,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Owner:
-    """The incarnation of an instance that runs a call, and where callers reach it."""
+    """Incarnation of an instance that runs a call, and its address for callers."""
 
     incarnation: str
     address: settings.Address
@@ -62,15 +63,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """A used key.
+    """Record that a key was used, and by which request.
 
     Attributes:
-        name: Hash of the caller and its key.
-        fingerprint: Hash of the request that came with the key.
-        claim_id: Names this claim, so that a write whose reply was lost is known again.
-        owner: Who runs the call; None once only the record of its use is kept.
-        claimed_at: Wall time; instances' clocks may differ by minutes without harm.
-        answer: The service's answer, if it is small and still kept.
+        name: Hash of the caller and the key.
+        fingerprint: Hash of the request that was sent with the key.
+        claim_id: Unique id, by which a write is recognized after its reply was lost.
+        owner: Incarnation that runs the call; None after `ANSWER_RETENTION`.
+        claimed_at: Wall time; clock skew of minutes between instances is harmless.
+        answer: The service's answer, if it is small enough and still retained.
     """
 
     name: str
@@ -82,7 +83,7 @@
     answer: outcomes.Response | None = None
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Return the value that is stored."""
+        """Return the value to store."""
         owner = self.owner
         value: dict[str, typing.Any] = {
             "name": self.name,
@@ -101,7 +102,7 @@
 
     @classmethod
     def from_json(cls, value: dict[str, typing.Any]) -> "Claim":
-        """Return the claim that a stored value describes."""
+        """Return the claim decoded from a stored value."""
         owner = answer = None
         if "owner" in value:
             address = settings.Address(host=value["host"], port=value["port"])
@@ -122,28 +123,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claimed:
-    """The claim is in the store; its owner may send the call."""
+    """The claim is stored; its owner may send the call."""
 
     claim: Claim
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AlreadyClaimed:
-    """The key was used before."""
+    """The key was claimed before, possibly by another instance."""
 
     claim: Claim
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimFailed:
-    """The key is not bound, so the call must not be sent."""
+    """The key could not be claimed, so the call must not be sent."""
 
     reason: str
     retry_after: datetime.timedelta | None = None
 
 
 def claims_budget(calls_per_second: float, time: clock.Clock) -> call_budget.CallBudget:
-    """Return the share of an instance's calls of the platform that claims may take."""
+    """Return the part of an instance's platform call budget that claims may use."""
     return call_budget.CallBudget(
         _BUDGET_SHARE * calls_per_second / _CALLS_PER_CHANGE, time
     )
@@ -154,16 +155,15 @@
 
 
 class ClaimPages:
-    """The claims in the store.
+    """Reads and updates the claims in the store.
 
     Args:
         objects: The platform's store.
         owner: This instance.
-        time: Clock of the claims' ages and of pauses.
-        share: Changes of pages that this instance may make, each of two calls.
-            Without a share of their own, keyed calls in a burst would take the
-            whole budget of calls, and leases and orders would wait for it. None
-            sets no bound, for measurements.
+        time: Clock for the age of claims and for pauses.
+        budget: Rate limit of page updates, each of two calls. Without a limit of
+            their own, a burst of keyed calls would use up the whole call budget and
+            delay leases and orders. None sets no limit, for benchmarks.
     """
 
     def __init__(
@@ -177,7 +177,7 @@
         self._owner = owner
         self._clock = time
         self._budget = budget
-        # Claims of ours that were never sent and never will be; see `release`.
+        # Own claims whose call was not sent and never will be; see `release`.
         self._void: dict[str, datetime.timedelta] = {}
 
     async def claim(
@@ -185,10 +185,10 @@
     ) -> Claimed | AlreadyClaimed | ClaimFailed:
         """Bind a key to this instance, unless it was used before.
 
-        A reply that is lost after the write took effect is settled by reading the
-        page back and looking for the claim's own id. A copy of the write that arrives
-        even later names an old version of the page and has no effect, or takes effect
-        under an id that is void; either way nothing is sent twice.
+        If the reply to the write is lost, the page is read back and searched for the
+        claim's id. A delayed copy of the write names an old page version and has no
+        effect, or takes effect under an id recorded as void; in both cases nothing is
+        sent twice.
         """
         claim = Claim(
             name, fingerprint, identity.new_id(), self._owner, self._clock.now()
@@ -200,7 +200,7 @@
             return ClaimFailed(page.reason, page.retry_after)
         current = _find(page, name)
         if current is None:
-            return ClaimFailed("the page of claims is full")
+            return ClaimFailed("the claims page of this key is full; retry later")
         if current.claim_id == claim.claim_id:
             return Claimed(current)
         return AlreadyClaimed(current)
@@ -208,10 +208,10 @@
     async def settle(
         self, claim: Claim, state: State, answer: outcomes.Response | None
     ) -> bool:
-        """Record how a claim's call ended; best effort.
+        """Record the outcome of a claim's call; best effort.
 
-        Until it is recorded, retries are passed to the owner, which knows. The record
-        is for retries after the owner has gone.
+        Until it is recorded, retries are forwarded to the owner, which knows the
+        outcome. The record serves retries after the owner has terminated.
         """
         if answer is not None and len(answer.body) > MAX_ANSWER_BYTES:
             answer = None
@@ -225,11 +225,12 @@
         return not isinstance(page, store.Unavailable)
 
     async def release(self, claim: Claim) -> None:
-        """Give a key back whose call was certainly not sent.
+        """Remove the claim of a call that was certainly not sent.
 
-        If the store does not confirm it, the claim's id stays void here: this
-        instance may claim the key anew over it. That write moves the page's version
-        on, so that a late copy of the release can't remove the newer claim.
+        The claim's id stays void here even if the store does not confirm the removal,
+        so this instance may replace the claim with a new one. That write increments
+        the page's version, so a delayed copy of the release can't remove the newer
+        claim.
         """
         self._record_void(claim.claim_id)
         await self._update(
@@ -238,7 +239,7 @@
         )
 
     def is_void(self, claim: Claim) -> bool:
-        """Tell whether this instance made the claim and will never send its call."""
+        """Return whether the claim is this instance's own and was released."""
         return claim.claim_id in self._void
 
     def _add(self, claims: _Claims, claim: Claim) -> _Claims:
@@ -249,17 +250,19 @@
         return claims if len(others) >= MAX_CLAIMS_PER_PAGE else (*others, claim)
 
     async def _update(self, name: str, change: _Change) -> _Claims | store.Unavailable:
-        """Change a page, and return it as it then stands.
+        """Apply a change to a page and return the resulting claims.
 
-        A write whose outcome is unknown is followed by reading the page again, which
-        shows whether it took effect; only the last one may stay unknown.
+        After a write with unknown outcome the page is read again, which shows whether
+        the write took effect. Only the last attempt can remain unknown.
         """
         if self._budget is not None and not await self._budget.take():
             return store.Unavailable(
-                "claims' share of the call budget", False, _RETRY_PAUSE
+                "claims' part of the call budget is used up", False, _RETRY_PAUSE
             )
         page_name = page_of(name)
-        failure = store.Unavailable("the page changed too often", False)
+        failure = store.Unavailable(
+            "the claims page was changed concurrently in every attempt", False
+        )
         unknown = False
         for _ in range(_MAX_ATTEMPTS):
             found = await self._store.get(KIND, page_name)
@@ -311,7 +314,7 @@
 
 
 def page_of(name: str) -> str:
-    """Return the name of the page that a claim stands on."""
+    """Return the name of the page that holds a claim."""
     return name[:_PAGE_DIGITS]
 
 
--- a/src/pimentolatch/requests/kv_transfer.py
+++ b/src/pimentolatch/requests/kv_transfer.py
@@ -1,4 +1,4 @@
-"""Has a long prompt read on another engine before its answer begins."""
+"""Disaggregated prefill: prefills on one engine and transfers the KV cache."""
 
 import asyncio
 import datetime
@@ -16,61 +16,68 @@
 
 
 class KvTransferClient(typing.Protocol):
-    """What is needed of a client that moves KV caches."""
+    """Client that transfers KV caches between engines."""
 
     async def transfer(
         self,
-        reader: settings.Address,
+        prefill_engine: settings.Address,
         decode_engine: settings.Address,
         model: str,
         prompt: str,
         limit: datetime.timedelta,
     ) -> kv_client.Handle | kv_client.NotTransferred:
-        """Read a prompt at one engine and let another fetch its cache."""
+        """Prefill a prompt on one engine and have another fetch its KV cache."""
 
 
 class NoKvTransfer:
-    """Leaves every prompt to the engine that answers."""
+    """Transfers nothing: the decode engine prefills every prompt itself."""
 
     async def transfer(
         self,
-        reader: settings.Address,
+        prefill_engine: settings.Address,
         decode_engine: settings.Address,
         model: str,
         prompt: str,
         limit: datetime.timedelta,
     ) -> kv_client.Handle | kv_client.NotTransferred:
-        """See `KvMoves.move`."""
-        return kv_client.NotTransferred("no client for it")
+        """See `KvTransferClient.transfer`."""
+        return kv_client.NotTransferred("KV transfer is not configured")
 
 
 class KvTransfer:
-    """Moves the cache of a prompt within a time limit, or does without."""
+    """Transfers the KV cache of a prompt within a time limit, or gives up."""
 
-    def __init__(self, moves: KvTransferClient) -> None:
-        self._client = moves
+    def __init__(self, client: KvTransferClient) -> None:
+        self._client = client
 
     async def transfer(
         self,
-        reader: schema.Engine,
+        prefill_engine: schema.Engine,
         decode_engine: schema.Engine,
         model: str,
         prompt: str,
         limit: datetime.timedelta,
     ) -> str | None:
-        """Return the handle of the moved cache, or None if it was not moved.
+        """Return the handle of the transferred cache, or None if the transfer failed.
 
-        A reader that hangs would hold the caller until its deadline. Past the limit
-        the answering engine reads the prompt itself: slower, but it needs nobody.
+        A hanging prefill engine would block the caller until its deadline. After the
+        limit the decode engine prefills the prompt itself, which is slower but does
+        not depend on another engine.
         """
         try:
             async with asyncio.timeout(limit.total_seconds()):
                 transferred = await self._client.transfer(
-                    reader.address, decode_engine.address, model, prompt, limit
+                    prefill_engine.address, decode_engine.address, model, prompt, limit
                 )
         except TimeoutError:
-            transferred = kv_client.NotTransferred("time limit")
+            transferred = kv_client.NotTransferred(
+                "time limit of the transfer exceeded"
+            )
         if isinstance(transferred, kv_client.Handle):
             return transferred.name
-        _log.warn("prompt read in place", reader=reader.name, reason=transferred.reason)
+        _log.warn(
+            "KV transfer failed; prefilling on the decode engine",
+            reader=prefill_engine.name,
+            reason=transferred.reason,
+        )
         return None
--- a/src/pimentolatch/requests/prompts.py
+++ b/src/pimentolatch/requests/prompts.py
@@ -1,4 +1,4 @@
-"""What a model request asks to be read and written."""
+"""Prompts of model requests and the shared parts they consist of."""
 
 import dataclasses
 import functools
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """A run of tokens that other prompts may share; its name stands for its text."""
+    """A sequence of tokens that prompts may share, identified by its name."""
 
     name: str
     tokens: int
@@ -17,12 +17,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prompt:
-    """A prompt by its parts, in order; the last part is the request's own.
+    """A prompt as a sequence of parts; the last one is specific to the request.
 
     Attributes:
         tokens: Tokens of the whole prompt.
-        most_output: Tokens that may be written at most.
-        expected_output: Tokens that the client expects; often far off.
+        max_output: Limit on the number of generated tokens.
+        expected_output: Output tokens expected by the client; often far off.
     """
 
     model: str
@@ -34,10 +34,10 @@
 
 @functools.lru_cache(maxsize=65_536)
 def part_key(name: str) -> int:
-    """Return a short key of a part, alike in every instance.
+    """Return a 32-bit key of a part, equal at all instances.
 
-    Ten thousand parts are in use at a time; two of them share one of four billion keys
-    about once in a hundred such times, and then one is taken for kept where it is not.
+    With ten thousand parts in use at a time, two of them collide with a probability of
+    about one in a hundred. Then one of the two may be taken for cached where it is not.
     """
     digest = hashlib.blake2b(name.encode(), digest_size=4).digest()
     return int.from_bytes(digest, "big")
--- a/src/pimentolatch/requests/refusals.py
+++ b/src/pimentolatch/requests/refusals.py
@@ -22,7 +22,7 @@
 
 
 def is_outcome_unknown(outcome: idempotency_keys.Outcome) -> bool:
-    """Tell whether it is not known if a call ran."""
+    """Return whether it is unknown if a call ran."""
     return (
         isinstance(outcome, results.Refusal)
         and outcome.code is results.ResultCode.OUTCOME_UNKNOWN
@@ -30,7 +30,7 @@
 
 
 def certainly_not_run(outcome: idempotency_keys.Outcome) -> bool:
-    """Tell whether a call has had no effect and will have none."""
+    """Return whether a call had no effect and never will."""
     return (
         isinstance(outcome, results.Refusal)
         and outcome.execution is results.Execution.NOT_RUN
@@ -39,23 +39,23 @@
 
 KEY_REUSED = results.Refusal(
     results.ResultCode.KEY_REUSED,
-    "this idempotency key came with another request before",
+    "this idempotency key was used with a different request; use a new key",
     results.Execution.NOT_RUN,
 )
 STOPPED = results.Refusal(
     results.ResultCode.STOPPING,
-    "this instance has stopped; its tickets run nothing more",
+    "the instance that issued this ticket is shutting down; retry with this ticket",
     results.Execution.NOT_RUN,
     _RETRY_AFTER,
 )
 TICKET_VOID = results.Refusal(
     results.ResultCode.TICKET_VOID,
-    "the ticket was never used and its owner has stopped; fetch another",
+    "the instance that issued this unused ticket has stopped; request a new ticket",
     results.Execution.NOT_RUN,
 )
 IN_PROGRESS = results.Refusal(
     results.ResultCode.DUPLICATE_IN_PROGRESS,
-    "the first attempt with this key still runs; a retry with it may tell",
+    "the first call with this key is still running; retry with this key later",
     results.Execution.UNKNOWN,
     _RETRY_AFTER,
 )
@@ -78,10 +78,10 @@
 
 
 def overloaded() -> results.Refusal:
-    """Return the refusal of a key that can't be remembered."""
+    """Return the refusal of a call whose key does not fit into the table."""
     return results.Refusal(
         results.ResultCode.OVERLOADED,
-        "no more idempotency keys can be remembered here at present",
+        "this instance's table of idempotency keys is full; retry later",
         results.Execution.NOT_RUN,
         _RETRY_AFTER,
     )
@@ -90,10 +90,10 @@
 def store_unavailable(
     reason: str, retry_after: datetime.timedelta | None = None
 ) -> results.Refusal:
-    """Return the refusal of a key that can't be bound."""
+    """Return the refusal of a call whose key can't be claimed or verified."""
     return results.Refusal(
         results.ResultCode.STORE_UNAVAILABLE,
-        f"the key can't be bound while the platform's store is out: {reason}",
+        f"idempotency keys are unavailable without the platform's store: {reason}",
         results.Execution.NOT_RUN,
         retry_after or _RETRY_AFTER,
     )
--- a/src/pimentolatch/requests/retired_owners.py
+++ b/src/pimentolatch/requests/retired_owners.py
@@ -1,9 +1,9 @@
-"""What became of the tickets of instances that stopped as planned.
+"""Records of which tickets were used, written by instances that shut down.
 
-A planned stop ends the only instance that knows which of its tickets were used, and
-hundreds happen a day. Without a record, callers that hold unused tickets of it would
-hear "outcome unknown" for calls that never ran. One write at the stop tells the others;
-after a crash there is none, and the outcome stays unknown.
+Only the instance that issued a ticket knows whether it was used, and hundreds of
+instances are shut down a day. Without a record, callers with unused tickets would get
+"outcome unknown" for calls that never ran. Each instance therefore writes one record at
+a planned shutdown. After a crash there is none, and the outcome stays unknown.
 """
 
 import dataclasses
@@ -23,10 +23,10 @@
     """The tickets of one incarnation.
 
     Attributes:
-        issued: Numbers handed out within the tickets' lifetime; of older ones
-            nothing is known any more.
-        answered: Those whose call was answered.
-        unknown: Those whose call may have run.
+        issued: Numbers issued within the tickets' lifetime; the use of older tickets
+            is unknown.
+        answered: Tickets whose call was answered.
+        unknown: Tickets whose call may have run.
     """
 
     issued: range
@@ -34,7 +34,7 @@
     unknown: frozenset[int]
 
     def ticket_use(self, number: int) -> TicketUse:
-        """Return what became of a ticket; the incarnation has ended."""
+        """Return the use of a ticket; the incarnation has stopped."""
         if number in self.answered:
             return "answered"
         if number in self.unknown or number not in self.issued:
@@ -43,12 +43,12 @@
 
 
 class RetiredOwners:
-    """The records in the platform's store.
+    """Reads and writes the records in the platform's store.
 
     Args:
         objects: The platform's store.
-        time: Clock of the records' ages.
-        lifetime: How long a ticket can be used, and so a record is needed.
+        time: Clock for the age of records.
+        lifetime: How long a ticket is valid, and so its record is needed.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._lifetime = lifetime
 
     async def write(self, incarnation: str, record: TicketRecord) -> None:
-        """Write a record, and remove those that no ticket needs; best effort."""
+        """Write a record and delete expired ones; best effort."""
         await self._remove_expired()
         value = {
             "at": int(self._clock.now().timestamp()),
@@ -71,7 +71,7 @@
         await self._store.put(KIND, incarnation, value, if_version=0)
 
     async def ticket_use(self, incarnation: str, number: int) -> TicketUse:
-        """Return what became of a ticket whose owner can't be reached."""
+        """Return the use of a ticket whose owner is unreachable."""
         found = await self._store.get(KIND, incarnation)
         if not isinstance(found, store.Found):
             return "unknown"
@@ -87,7 +87,7 @@
         listing = await self._store.list_objects(KIND)
         if isinstance(listing, store.Unavailable):
             return
-        # Twice the lifetime leaves room for instances' clocks to differ.
+        # Twice the lifetime allows for clock skew between instances.
         oldest = (self._clock.now() - 2 * self._lifetime).timestamp()
         for found in listing.objects:
             if found.value["at"] < oldest:
--- a/src/pimentolatch/requests/service_call.py
+++ b/src/pimentolatch/requests/service_call.py
@@ -1,4 +1,4 @@
-"""Calls of plain services."""
+"""Calls to plain services: server selection, retries and outcome."""
 
 import dataclasses
 import datetime
@@ -25,12 +25,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """A checked call.
+    """A validated call to a plain service.
 
     Attributes:
-        deadline: On the instance's monotonic clock.
-        authorization: The caller's header, for the instance that owns the key.
-        forwarded: Whether another instance passed the call on.
+        deadline: Time on the instance's monotonic clock.
+        authorization: The caller's header, forwarded to the instance that owns the
+            key.
+        forwarded: Whether the call was forwarded by another instance.
     """
 
     request_id: str
@@ -46,23 +47,23 @@
 
 
 class PlainServerClient(typing.Protocol):
-    """What is needed of a client of plain servers."""
+    """Client of the servers of plain services."""
 
     async def call(
         self, address: settings.Address, call: plain_client.Call
     ) -> outcomes.ServiceOutcome:
-        """Send a call and wait for its whole answer."""
+        """Send a call and wait for the complete answer."""
 
 
 class KeyedCallRunner(typing.Protocol):
     """Runs calls that carry an idempotency key at most once."""
 
     async def run(self, call: ServiceCall) -> idempotency_keys.Outcome:
-        """Return the outcome of the one run of the call's key."""
+        """Return the outcome of the only run of the call's key."""
 
 
 class CallSender:
-    """Sends calls to the plain servers that the fleet's view offers."""
+    """Sends calls to the plain servers in the current view of the fleet."""
 
     def __init__(
         self,
@@ -91,18 +92,19 @@
     ) -> idempotency_keys.Outcome:
         """Return the service's answer or a refusal.
 
-        A call that may not be repeated is sent again only while it is certain that no
-        server ran it; after that the only answers are its result or "outcome_unknown".
+        A call that is not repeatable is retried only while it is certain that no server
+        ran it; after that, the outcome is its result or "unknown".
 
         Args:
             call: The call.
-            repeatable: Whether it may run twice.
-            entry: Entry of the call's key; asked right before each sending.
-            extra_wait: How long to wait for an answer past the deadline, for a retry.
+            repeatable: Whether the call is idempotent and may run twice.
+            entry: Entry of the call's key; marked directly before each dispatch.
+            extra_wait: How long past the deadline to wait for an answer, which a retry
+                can get.
         """
         failed: set[str] = set()
         maybe_ran = False
-        reason = "no server is free"
+        reason = "no server is available"
         for attempt in range(_MAX_ATTEMPTS):
             left = call.deadline - self._clock.monotonic()
             server = self._choose(call.service, repeatable, failed)
@@ -110,8 +112,9 @@
                 break
             if entry is not None and not entry.start_dispatch():
                 break
-            # A repeatable call leaves time to try elsewhere; another one has no use
-            # for it, and a longer wait makes fewer unknown outcomes.
+            # A repeatable call leaves time to retry on another server. Other calls
+            # can't be retried after a time-out, and a longer wait gives fewer
+            # unknown outcomes.
             last = not repeatable or attempt == _MAX_ATTEMPTS - 1
             limit = left + extra_wait if last else left / 2
             outcome = await self._dispatch_to(
@@ -165,12 +168,12 @@
 
 
 class ServiceCallRunner:
-    """Runs calls by what the document says of their operations.
+    """Runs calls as the document declares their operations.
 
     Args:
         own_fleet: The configuration in force.
-        sender: Sends calls that need no key.
-        keyed: Runs calls that may not be repeated and carry a key.
+        sender: Sends calls that are repeatable or have no key.
+        keyed: Runs calls that have a key and are not repeatable.
     """
 
     def __init__(
@@ -187,7 +190,7 @@
         if document is None:
             return results.Refusal(
                 results.ResultCode.NO_CONFIGURATION,
-                "no configuration is in force yet",
+                "no configuration has been published yet; retry later",
                 results.Execution.NOT_RUN,
                 _RETRY_AFTER,
             )
@@ -196,7 +199,7 @@
         if operation is None:
             return results.Refusal(
                 results.ResultCode.UNKNOWN_SERVICE,
-                f"the call {call.service}/{call.operation} is not offered",
+                f"no operation {call.service}/{call.operation} in the configuration",
                 results.Execution.NOT_RUN,
             )
         if call.idempotency_key is not None and not operation.repeatable:
@@ -207,8 +210,8 @@
 def _dispatch(
     call: ServiceCall, repeatable: bool, limit: datetime.timedelta
 ) -> plain_client.Call:
-    # The request's own id leads the dispatch's, so that logs and histories of both
-    # sides can be put together.
+    # The dispatch id starts with the request id, so that the logs of both sides can be
+    # correlated.
     return plain_client.Call(
         f"{call.request_id}.{identity.new_id()[:8]}",
         call.service,
@@ -224,18 +227,18 @@
     if maybe_ran:
         return results.Refusal(
             results.ResultCode.OUTCOME_UNKNOWN,
-            f"the answer was lost: {reason}",
+            f"the call was sent, but its answer was lost: {reason}",
             results.Execution.UNKNOWN,
         )
     if late:
         return results.Refusal(
             results.ResultCode.DEADLINE_PASSED,
-            f"the deadline passed before a server took the call: {reason}",
+            f"the deadline passed before a server ran the call: {reason}",
             results.Execution.NOT_RUN,
         )
     return results.Refusal(
         results.ResultCode.NO_BACKEND_SERVER,
-        f"no server took the call: {reason}",
+        f"no server ran the call; retry later: {reason}",
         results.Execution.NOT_RUN,
         _RETRY_AFTER,
     )
--- a/src/pimentolatch/requests/suspect_completions.py
+++ b/src/pimentolatch/requests/suspect_completions.py
@@ -1,4 +1,4 @@
-"""Remembers completions under which engines have ended, beyond one attempt."""
+"""Tracks completions that are suspected of crashing engines, across attempts."""
 
 import collections
 import datetime
@@ -13,22 +13,22 @@
 
 __all__ = ["SuspectCompletions"]
 
-# Ends that are seen within this time are the end of one process: an engine takes longer
-# to start again, and its callers notice at different moments.
+# Reports within this time are of the same crash: an engine takes longer to restart, and
+# its callers notice the crash at different moments.
 _SAME_CRASH = datetime.timedelta(seconds=1)
-# Ends of one engine that are remembered. One that ends more often than this within a
-# day is hardly ended by completions.
+# Crashes retained per engine. One that crashes more often than this within a day is
+# unlikely to be crashed by completions.
 _MAX_CRASHES = 64
-# Ends that an instance which has just started is told at once.
+# Limit on the crashes sent to an instance that has just started.
 _MAX_NOTICES = 1000
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
 class SuspectCompletions:
-    """What one instance knows of completions that end engines.
+    """The suspected crashes that one instance knows of.
 
     Engines of the fleet document have no incarnations, so each instance numbers their
-    ends, and tells peers when they were.
+    crashes itself, and reports to peers when they occurred.
 
     Args:
         time: Clock of this instance.
@@ -43,17 +43,17 @@
         self._notify: abc.Callable[[], None] | None = None
 
     def on_update(self, notify: abc.Callable[[], None]) -> None:
-        """Have something called whenever there is something to tell."""
+        """Set a function to be called whenever there is something to send."""
         self._notify = notify
 
     def verdict(self, digest: digests.RequestDigest) -> crash_suspects.Verdict | None:
-        """Return whether a completion is kept from engines; None if it may run."""
+        """Return the verdict on a quarantined completion; None if it may run."""
         return self._suspects.verdict(digest, self._clock.monotonic())
 
     def record_crash(
         self, digest: digests.RequestDigest, engine: str, sent_at: datetime.timedelta
     ) -> None:
-        """Note that an engine's connection ended while it ran a completion.
+        """Record that an engine's connection was lost while it ran a completion.
 
         Args:
             digest: The completion.
@@ -63,39 +63,40 @@
         now = self._clock.monotonic()
         crash = self._crash_of(engine, now)
         pair = crash_evidence.Suspicion(digest, crash, False, now, now - sent_at)
-        known = self._suspects.add(pair, now)
-        if known is not None:
-            self._publish([known])
+        merged = self._suspects.add(pair, now)
+        if merged is not None:
+            self._publish([merged])
 
     def record_completion(self, digest: digests.RequestDigest) -> None:
-        """Note that an engine has run a completion to its end."""
+        """Record that an engine has finished a completion."""
         self._publish(self._suspects.completed(digest))
 
     def take(self, told: abc.Iterable[messages.EngineEnd], *, near: bool) -> None:
-        """Take what a peer tells.
+        """Receive crash reports from a peer.
 
         Args:
-            told: The ends.
-            near: The peer is of the own failure domain, all of which it tells itself.
+            told: The reported crashes.
+            near: Whether the peer is in the own failure domain, to all of which it
+                reports itself.
         """
         now = self._clock.monotonic()
         pairs = [self._from_message(end, now) for end in told]
-        fresh = self._suspects.merge(pairs, now)
-        self._publish(fresh, near=not near)
+        new = self._suspects.merge(pairs, now)
+        self._publish(new, near=not near)
 
     def take_near(self, most: int) -> tuple[messages.EngineEnd, ...]:
-        """Return what peers of the own failure domain are to be told."""
+        """Return the reports to send to peers in the own failure domain."""
         return self._to_messages(self._own_domain.take(most, self._suspects.crashes))
 
     def take_far(self, most: int) -> tuple[messages.EngineEnd, ...]:
-        """Return what peers of other failure domains are to be told."""
+        """Return the reports to send to peers in other failure domains."""
         return self._to_messages(self._other_domains.take(most, self._suspects.crashes))
 
     def serious(self) -> tuple[messages.EngineEnd, ...]:
-        """Return the ends that an instance which has just started has to know.
+        """Return the crashes that an instance needs to know when it starts.
 
-        Of very many, those of the completions with the most ends: a notice that is
-        larger than a frame would end the link.
+        If there are too many, those of the completions with the most crashes are
+        returned: a message larger than a frame would close the link.
         """
         self._suspects.forget_old(self._clock.monotonic())
         found = sorted(self._suspects.serious(), key=len, reverse=True)
@@ -121,12 +122,12 @@
         return crash_evidence.Suspicion(end.digest, crash, end.cleared, at, lasted)
 
     def _crash_of(self, engine: str, at: datetime.timedelta) -> servers.Incarnation:
-        """Return the end of an engine at a moment, numbered anew if it is not known."""
+        """Return the crash of an engine at a time, with a new number if it is new."""
         crashes = self._crashes.setdefault(
             engine, collections.deque(maxlen=_MAX_CRASHES)
         )
-        for number, known in crashes:
-            if abs(at - known) <= _SAME_CRASH:
+        for number, crashed_at in crashes:
+            if abs(at - crashed_at) <= _SAME_CRASH:
                 return servers.Incarnation(engine, number)
         number = crashes[-1][0] + 1 if crashes else 0
         crashes.append((number, at))
--- a/src/pimentolatch/requests/tickets.py
+++ b/src/pimentolatch/requests/tickets.py
@@ -1,13 +1,14 @@
-"""Tickets: idempotency keys that name the instance which answers for them.
+"""Tickets: idempotency keys that contain the instance that owns them.
 
-A caller fetches tickets beforehand and sends one as the idempotency key of a call. The
-ticket names the incarnation that handed it out, which alone may run the call and keeps
-its result; any other instance passes the call on to it. Nothing is written to the
-platform's store, so tickets carry any number of calls and work while the store is out.
-The price is one hop, and "outcome unknown" for retries after the owner has gone.
+A caller requests tickets in advance and sends one as the idempotency key of a call. The
+ticket names the incarnation that issued it, which alone may run the call and retains
+its result; any other instance forwards the call to it. Nothing is written to the
+platform's store, so its write limit does not apply to tickets, and they work while the
+store is unavailable. The cost is one hop, and "outcome unknown" for retries after the
+owner has terminated.
 
-A ticket is signed with a secret that the instances share through the store. Without a
-signature a caller could name any address, and instances would send requests there.
+Tickets are signed with a secret that the instances share through the store. Without a
+signature a caller could make instances send requests to any address.
 """
 
 import base64
@@ -36,12 +37,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """A ticket's content.
+    """The content of a ticket.
 
     Attributes:
-        number: Counts the tickets of the owner's incarnation.
-        issued_at: On the owner's monotonic clock, which only the owner compares, so
-            that no two clocks have to agree.
+        number: Sequence number within the owner's incarnation.
+        issued_at: Time on the owner's monotonic clock. Only the owner compares it, so
+            clocks need not be synchronized.
     """
 
     owner: key_claims.Owner
@@ -52,24 +53,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InvalidTicket:
-    """The text is no ticket of this fleet."""
+    """The text is not a ticket issued by this fleet."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SecretUnavailable:
-    """The store has not yet told the secret to this instance."""
+    """The signing secret could not be read from the store."""
 
     reason: str
 
 
 class TicketIssuer:
-    """Hands out tickets and reads them.
+    """Issues and verifies tickets.
 
     Args:
-        objects: The platform's store; asked only until the secret is known.
+        objects: The platform's store; read only until the secret is known.
         owner: This instance.
-        time: Clock of the tickets' ages.
-        lifetime: How long a ticket and its result can be used.
+        time: Clock for the age of tickets.
+        lifetime: How long a ticket is valid and its result is retained.
     """
 
     def __init__(
@@ -105,17 +106,17 @@
         ]
 
     def issued(self) -> range:
-        """Return the numbers of the tickets that can still be used."""
+        """Return the numbers of the tickets that have not expired."""
         oldest = self._clock.monotonic() - self._lifetime
         usable = (number for at, number in self._issues if at > oldest)
         return range(next(usable, self._next_number), self._next_number)
 
     def is_expired(self, ticket: Ticket) -> bool:
-        """Tell whether a ticket of this instance can be used no longer."""
+        """Return whether a ticket of this instance has expired."""
         return self._clock.monotonic() - ticket.issued_at >= self._lifetime
 
     async def verify(self, text: str) -> Ticket | InvalidTicket | SecretUnavailable:
-        """Check a ticket's signature and return its content."""
+        """Verify a ticket's signature and return its content."""
         secret = await self._shared_secret()
         if isinstance(secret, SecretUnavailable):
             return secret
@@ -126,7 +127,7 @@
             found = await self._store.get(KIND, NAME)
             if isinstance(found, store.Absent):
                 value = {"secret": secrets.token_hex(_SECRET_BYTES)}
-                # Whoever loses the race, or its reply, reads what stands there.
+                # If another instance won the race or the reply was lost, read it back.
                 await self._store.put(KIND, NAME, value, if_version=0)
                 found = await self._store.get(KIND, NAME)
             if not isinstance(found, store.Found):
@@ -169,7 +170,7 @@
     given, content = signed[:_SIGNATURE_BYTES], signed[_SIGNATURE_BYTES:]
     if not hmac.compare_digest(given, _signature(content, secret)):
         return InvalidTicket()
-    # Signed by an instance of this fleet, so the content is as `_text` wrote it.
+    # Signed by an instance of this fleet, so `_encode` wrote the content.
     fields: typing.Any = cbor2.loads(content)
     incarnation, host, port, caller, number, issued_ms = fields
     return Ticket(
