--- a/src/pimentolatch/requests/completion.py
+++ b/src/pimentolatch/requests/completion.py
@@ -82,7 +82,7 @@
         if document is None:
             return results.Refusal(
                 results.ResultCode.NO_CONFIGURATION,
-                "no configuration has been published yet; retry later",
+                "this instance has no configuration yet; retry later",
                 results.Execution.NOT_RUN,
                 _RETRY_AFTER,
             )
--- a/src/pimentolatch/requests/completion_stream.py
+++ b/src/pimentolatch/requests/completion_stream.py
@@ -353,7 +353,7 @@
     if delivered:
         return results.Refusal(
             results.ResultCode.STREAM_BROKEN,
-            f"the stream broke after {delivered} tokens, not resumable: {reason}",
+            f"the stream broke after {delivered} tokens, resumption failed: {reason}",
             execution,
         )
     return results.Refusal(
--- a/src/pimentolatch/requests/service_call.py
+++ b/src/pimentolatch/requests/service_call.py
@@ -190,7 +190,7 @@
         if document is None:
             return results.Refusal(
                 results.ResultCode.NO_CONFIGURATION,
-                "no configuration has been published yet; retry later",
+                "this instance has no configuration yet; retry later",
                 results.Execution.NOT_RUN,
                 _RETRY_AFTER,
             )
