--- a/src/pimentolatch/decisions/retries.py
+++ b/src/pimentolatch/decisions/retries.py
@@ -9,7 +9,7 @@
 if everything fails. Two kinds are free: resuming a stream that already sent tokens,
 since dropping it would waste them, and retrying a request that its server certainly did
 not run, since it cost no engine time. Both are bounded by the request's attempts.
-`requests.stream` adds the backoff in between.
+`requests.completion_stream` adds the backoff in between.
 
 A non-idempotent request is never retried once a byte of it was sent; the request layer
 decides that before it asks this one.
--- a/src/pimentolatch/entry/caller_front_end.py
+++ b/src/pimentolatch/entry/caller_front_end.py
@@ -8,12 +8,37 @@
 from collections import abc
 
 import logbook
-from starlette import applications, exceptions, requests, responses, routing
-
-from pimentolatch import clock, fleet, index, metrics, results, settings
-from pimentolatch.backend import instance, outcomes
-from pimentolatch.entry import graceful_shutdown, http_responses, request_parsing
-from pimentolatch.requests import completion, identity, service_call, stream
+from starlette import (
+    applications,
+    exceptions,
+    requests,
+    responses,
+    routing,
+)
+
+from pimentolatch import (
+    clock,
+    fleet,
+    index,
+    metrics,
+    results,
+    settings,
+)
+from pimentolatch.backend import (
+    instance_client,
+    outcomes,
+)
+from pimentolatch.entry import (
+    graceful_shutdown,
+    http_responses,
+    request_parsing,
+)
+from pimentolatch.requests import (
+    completion,
+    completion_stream,
+    identity,
+    service_call,
+)
 
 __all__ = ["CallerFrontEnd", "TicketIssuer"]
 
@@ -138,7 +163,7 @@
             body = request_parsing.parse_json(request_parsing.CompletionBody, data.body)
             if isinstance(body, results.Refusal):
                 return self._refusal_response("completion", body)
-            completion_request = stream.Completion(
+            completion_request = completion_stream.Completion(
                 identity.new_id(),
                 data.caller,
                 body.model,
@@ -168,17 +193,17 @@
         return responses.Response(
             outcome.body,
             outcome.status,
-            {instance.REQUEST_ID_HEADER: request_id},
+            {instance_client.REQUEST_ID_HEADER: request_id},
             outcome.content_type,
         )
 
     async def _call_outcome(
         self, request: requests.Request, request_id: str
-    ) -> outcomes.Answered | results.Refusal:
+    ) -> outcomes.Response | results.Refusal:
         key = request_parsing.parse_idempotency_key(request.headers)
         if isinstance(key, results.Refusal):
             return key
-        forwarded = instance.FORWARDED_HEADER in request.headers
+        forwarded = instance_client.FORWARDED_HEADER in request.headers
         data = await self._read_request(request, forwarded=forwarded)
         if isinstance(data, results.Refusal):
             return data
@@ -280,8 +305,8 @@
 
 def _request_id(request: requests.Request) -> str:
     """Return the request id: that of a forwarded request is kept, to correlate logs."""
-    given = request.headers.get(instance.REQUEST_ID_HEADER, "")
-    if instance.FORWARDED_HEADER in request.headers and given.isalnum():
+    given = request.headers.get(instance_client.REQUEST_ID_HEADER, "")
+    if instance_client.FORWARDED_HEADER in request.headers and given.isalnum():
         return given[:_REQUEST_ID_LENGTH_LIMIT]
     return identity.new_id()
 
--- a/src/pimentolatch/entry/control_plane.py
+++ b/src/pimentolatch/entry/control_plane.py
@@ -131,7 +131,7 @@
             chance=chance,
             peer_links=self._links,
         )
-        crashes.on_news(self._peering.node.send_crash_notices)
+        crashes.on_update(self._peering.node.send_crash_notices)
         self._keeper.on_adopted(self._peering.node.configuration_changed)
         self._collector = garbage_collector.PartCollector(self._store, self._documents)
         self._followers = (
--- a/src/pimentolatch/entry/http_responses.py
+++ b/src/pimentolatch/entry/http_responses.py
@@ -10,10 +10,15 @@
 import logbook
 from starlette import responses
 
-from pimentolatch import clock, metrics, results, waits
-from pimentolatch.backend import instance
+from pimentolatch import (
+    clock,
+    metrics,
+    results,
+    waits,
+)
+from pimentolatch.backend import instance_client
 from pimentolatch.entry import bounded_http
-from pimentolatch.requests import stream
+from pimentolatch.requests import completion_stream
 
 __all__ = ["CompletionResponse", "refusal_response"]
 
@@ -52,7 +57,7 @@
         seconds = max(1, round(refusal.retry_after.total_seconds()))
         headers["retry-after"] = str(seconds)
     if request_id is not None:
-        headers[instance.REQUEST_ID_HEADER] = request_id
+        headers[instance_client.REQUEST_ID_HEADER] = request_id
     if refusal.code in _CLOSING_CODES:
         headers["connection"] = "close"
     return responses.JSONResponse(
@@ -79,8 +84,8 @@
 
     def __init__(
         self,
-        request: stream.Completion,
-        events: abc.AsyncGenerator[stream.CompletionEvent, None],
+        request: completion_stream.Completion,
+        events: abc.AsyncGenerator[completion_stream.CompletionEvent, None],
         *,
         streamed: bool,
         release: contextlib.ExitStack,
@@ -122,9 +127,11 @@
             response = await self._full_response(first)
             await response(scope, receive, send)
 
-    async def _full_response(self, event: stream.CompletionEvent) -> responses.Response:
+    async def _full_response(
+        self, event: completion_stream.CompletionEvent
+    ) -> responses.Response:
         text: list[str] = []
-        while isinstance(event, stream.Delta):
+        while isinstance(event, completion_stream.Delta):
             text.append(event.text)
             event = await anext(self._events)
         request_id = self._request.request_id
@@ -134,22 +141,22 @@
         self._count_completed(event)
         return responses.JSONResponse(
             self._body("".join(text), event),
-            headers={instance.REQUEST_ID_HEADER: request_id},
+            headers={instance_client.REQUEST_ID_HEADER: request_id},
         )
 
     async def _send_stream(
-        self, event: stream.CompletionEvent, scope: Scope, send: Send
+        self, event: completion_stream.CompletionEvent, scope: Scope, send: Send
     ) -> None:
         request_id = self._request.request_id
         headers = [
             *_STREAM_HEADERS,
-            (instance.REQUEST_ID_HEADER.encode(), request_id.encode()),
+            (instance_client.REQUEST_ID_HEADER.encode(), request_id.encode()),
         ]
         await send({"type": "http.response.start", "status": 200, "headers": headers})
         timeouts = waits.Waits()
         prefix = f'data: {{"id": "{request_id}", "choices": [{{"index": 0, "text": '
         try:
-            while isinstance(event, stream.Delta):
+            while isinstance(event, completion_stream.Delta):
                 text = (
                     f'{prefix}{json.dumps(event.text)}, "finish_reason": null}}]}}\n\n'
                 )
@@ -169,7 +176,7 @@
         finally:
             timeouts.close()
 
-    def _final_events(self, event: stream.Ended | results.Refusal) -> str:
+    def _final_events(self, event: completion_stream.Ended | results.Refusal) -> str:
         if isinstance(event, results.Refusal):
             self._count(event.code)
             return f"data: {json.dumps(event.to_json())}\n\n"
@@ -177,7 +184,7 @@
         body = json.dumps(self._body("", event))
         return f"data: {body}\n\ndata: [DONE]\n\n"
 
-    def _body(self, text: str, ended: stream.Ended) -> dict[str, typing.Any]:
+    def _body(self, text: str, ended: completion_stream.Ended) -> dict[str, typing.Any]:
         choice = {"index": 0, "text": text, "finish_reason": "stop"}
         return {
             "id": self._request.request_id,
@@ -187,7 +194,7 @@
             "usage": {"completion_tokens": ended.length},
         }
 
-    def _count_completed(self, event: stream.Ended) -> None:
+    def _count_completed(self, event: completion_stream.Ended) -> None:
         self._count(results.ResultCode.OK)
         self._metrics.resumed.inc(event.resumptions)
 
--- a/src/pimentolatch/protocol/messages.py
+++ b/src/pimentolatch/protocol/messages.py
@@ -7,7 +7,10 @@
 
 import dataclasses
 
-from pimentolatch.decisions import demand, work_reports
+from pimentolatch.decisions import (
+    demand,
+    work_reports,
+)
 
 __all__ = [
     "Acknowledgement",
@@ -219,7 +222,7 @@
     """An engine's connection closed while the engine ran a completion.
 
     Attributes:
-        digest: `stream.Completion.digest` of the completion.
+        digest: `completion_stream.Completion.digest` of the completion.
         cleared: Whether the completion has run to its end since.
         age_ms: Time since the connection closed.
         ran_for_ms: Time for which the engine had run the completion by then.
--- a/src/pimentolatch/requests/completion.py
+++ b/src/pimentolatch/requests/completion.py
@@ -1,4 +1,4 @@
-"""Admits completions, chooses their engines and runs them."""
+"""Admits completions, selects engines and runs them."""
 
 import contextlib
 import datetime
@@ -7,7 +7,12 @@
 
 from pimentolatch import clock, fleet, results
 from pimentolatch.decisions import dispatcher, outstanding_work
-from pimentolatch.requests import handover, schedule, stream, suspect_completions
+from pimentolatch.requests import (
+    completion_scheduler,
+    completion_stream,
+    kv_transfer,
+    suspect_completions,
+)
 
 __all__ = ["CompletionRunner"]
 
@@ -15,47 +20,47 @@
 
 
 class CompletionRunner:
-    """Runs completions on the engines that the fleet's view offers."""
+    """Runs completions on the engines in the current view of the fleet."""
 
     def __init__(
         self,
         *,
         own_fleet: fleet.Fleet,
         own_domain: str,
-        engines: stream.EngineStreams,
+        engines: completion_stream.EngineStreams,
         work: outstanding_work.OutstandingWork,
         time: clock.Clock,
         own_instance: str = "",
-        moves: handover.KvMoves | None = None,
+        kv_client: kv_transfer.KvTransferClient | None = None,
     ) -> None:
         self._fleet = own_fleet
         decisions = dispatcher.Dispatcher(own_instance, own_domain, work)
-        self._scheduler = schedule.Scheduler(decisions, own_fleet, time)
+        self._scheduler = completion_scheduler.Scheduler(decisions, own_fleet, time)
         self._suspects = suspect_completions.SuspectCompletions(time)
-        self._stream = stream.ResumingStream(
+        self._stream = completion_stream.ResumingStream(
             engines,
             self._scheduler,
             time,
             suspects=self._suspects,
-            moves=moves,
-            # Instances must not draw the same pauses.
-            chance=random.Random(own_instance),
+            kv_client=kv_client,
+            # Seeded by instance, so that instances don't retry at the same moments.
+            rng=random.Random(own_instance),
         )
 
     @property
     def suspects(self) -> suspect_completions.SuspectCompletions:
-        """The completions that have ended engines."""
+        """Completions suspected of crashing engines."""
         return self._suspects
 
     @property
-    def scheduler(self) -> schedule.Scheduler:
-        """The queue of completions; its `run` has to run beside the requests."""
+    def scheduler(self) -> completion_scheduler.Scheduler:
+        """Queue of completions; its `run` must run as a background task."""
         return self._scheduler
 
     async def run(
-        self, completion: stream.Completion
-    ) -> abc.AsyncGenerator[stream.CompletionEvent, None]:
-        """Yield the answer's text; the last event is `Ended` or a refusal."""
+        self, completion: completion_stream.Completion
+    ) -> abc.AsyncGenerator[completion_stream.CompletionEvent, None]:
+        """Yield the text of the completion; the last event is `Ended` or a refusal."""
         if refusal := self._unservable(completion):
             yield refusal
             return
@@ -70,19 +75,21 @@
         finally:
             self._scheduler.leave(completion)
 
-    def _unservable(self, completion: stream.Completion) -> results.Refusal | None:
+    def _unservable(
+        self, completion: completion_stream.Completion
+    ) -> results.Refusal | None:
         document = self._fleet.view.document
         if document is None:
             return results.Refusal(
                 results.ResultCode.NO_CONFIGURATION,
-                "no configuration is in force yet",
+                "this instance has no configuration yet; retry later",
                 results.Execution.NOT_RUN,
                 _RETRY_AFTER,
             )
         if all(model.name != completion.model for model in document.models):
             return results.Refusal(
                 results.ResultCode.UNKNOWN_MODEL,
-                f"the model {completion.model!r} is not served",
+                f"no model {completion.model!r} in the configuration; see /v1/models",
                 results.Execution.NOT_RUN,
             )
         return None
--- a/src/pimentolatch/requests/stream.py
+++ b/src/pimentolatch/requests/completion_stream.py
@@ -1,4 +1,4 @@
-"""Keeps one answer whole over several engines."""
+"""Streams a completion and resumes it on another engine after a failure."""
 
 import contextlib
 import dataclasses
@@ -10,60 +10,59 @@
 import logbook
 
 from pimentolatch import backoff, clock, results, settings, waits
-from pimentolatch.backend import engine as engine_client
-from pimentolatch.backend import outcomes
+from pimentolatch.backend import engine_client, outcomes
 from pimentolatch.document import schema
-from pimentolatch.requests import digests, handover, identity, suspect_completions
+from pimentolatch.requests import digests, identity, kv_transfer, suspect_completions
 
 __all__ = [
     "Completion",
     "CompletionEvent",
     "Delta",
     "Ended",
-    "EngineChoice",
+    "EngineSelector",
     "EngineStreams",
     "ResumingStream",
-    "SilenceLimits",
+    "ResponseTimeouts",
 ]
 
 _log = logbook.Logger("stream")
-_ATTEMPTS = 4
+_MAX_ATTEMPTS = 4
 _RETRY_AFTER = datetime.timedelta(seconds=1)
-_FIRST_PAUSE = datetime.timedelta(milliseconds=100)
-_LONGEST_PAUSE = datetime.timedelta(seconds=2)
+_MIN_PAUSE = datetime.timedelta(milliseconds=100)
+_MAX_PAUSE = datetime.timedelta(seconds=2)
 _CHARACTERS_PER_TOKEN = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SilenceLimits:
-    """How long an engine may say nothing before its stream counts as broken.
+class ResponseTimeouts:
+    """Time without a token after which the stream of an engine counts as broken.
 
-    A frozen engine keeps its connections open and never errs: without these bounds
-    its callers wait until their deadlines and then get nothing, although any other
-    engine could have gone on. The grounds for the figures: a first token should come
-    within 1.9 s and the next ones within 71 ms for 95 in 100, so an engine silent
-    for several times that has failed, while one that reads a long prompt gets three
-    times the time its stated speed calls for.
+    A frozen engine keeps its connections open and reports no error. Without time-outs
+    its callers would wait until their deadlines and get nothing, although another
+    engine could have resumed the stream. The latency targets are 1.9 s for the first
+    token and 71 ms for each next one, at the 95th percentile. An engine that exceeds
+    several times that has failed; prefilling a long prompt is allowed three times the
+    time expected from the engine's stated speed.
 
     Attributes:
-        first_token: Bound on the first token of a dispatch, besides reading.
-        reading_factor: Times the expected time of reading the prompt, on top.
-        next_token: Bound on each later token.
+        first_token: Time-out for the first token of a dispatch, without prefill.
+        prefill_factor: Multiple of the expected prefill time that is added to it.
+        next_token: Time-out for each later token.
     """
 
     first_token: datetime.timedelta = datetime.timedelta(seconds=5)
-    reading_factor: float = 3.0
+    prefill_factor: float = 3.0
     next_token: datetime.timedelta = datetime.timedelta(seconds=2)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Completion:
-    """A checked request for a completion.
+    """A validated completion request.
 
     Attributes:
-        deadline: Time on the instance's monotonic clock after which the answer has
-            no use.
-        priority: Higher is served first.
+        deadline: Time on the instance's monotonic clock after which the answer is
+            useless.
+        priority: Higher values are served first.
     """
 
     request_id: str
@@ -76,7 +75,7 @@
 
     @property
     def digest(self) -> digests.RequestDigest:
-        """Names the completion, whichever attempt this is."""
+        """Digest of the completion, equal for all its attempts."""
         return digests.request_digest(
             b"",
             caller=self.caller,
@@ -89,18 +88,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delta:
-    """The next text of the answer."""
+    """Text that extends the completion."""
 
     text: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ended:
-    """The answer is whole.
+    """The completion is finished.
 
     Attributes:
-        length: Number of its tokens.
-        resumptions: Times it was continued after an engine failed.
+        length: Number of tokens.
+        resumptions: How often it was resumed after an engine failed.
     """
 
     length: int
@@ -111,93 +110,102 @@
 
 
 class EngineStreams(typing.Protocol):
-    """What is needed of a client of engines."""
+    """Client of engines."""
 
     def generate(
         self, address: settings.Address, dispatch: engine_client.Dispatch
     ) -> abc.AsyncGenerator[outcomes.EngineEvent, None]:
-        """Stream an answer; the last event is never a chunk."""
+        """Yield the events of a stream; the last one is never a chunk."""
 
 
-class EngineChoice(typing.Protocol):
-    """Chooses engines for one completion and counts what is sent to them."""
+class EngineSelector(typing.Protocol):
+    """Selects the engines of completions and accounts for their work."""
 
     def choose(
         self, completion: Completion, failed: abc.Set[str]
     ) -> schema.Engine | None:
         """Return an engine that has not failed this completion, or None."""
 
-    def reader(self, completion: Completion) -> schema.Engine | None:
-        """Return the engine that is to read the prompt first, if it is another one."""
+    def prefill_engine(self, completion: Completion) -> schema.Engine | None:
+        """Return the prefill engine if prefill is disaggregated, else None."""
 
-    def prompt_read(self, completion: Completion) -> None:
-        """Count the prompt as read there, or as given up."""
+    def prefill_ended(self, completion: Completion) -> None:
+        """Record that the disaggregated prefill was completed or given up."""
 
-    def began(self, completion: Completion, engine: schema.Engine) -> None:
-        """Count a dispatch as sent."""
+    def dispatched(self, completion: Completion, engine: schema.Engine) -> None:
+        """Record that a dispatch was sent."""
 
-    def progressed(self, completion: Completion, engine: schema.Engine) -> None:
-        """Count one token as received."""
+    def token_received(self, completion: Completion, engine: schema.Engine) -> None:
+        """Record that one token was received."""
 
-    def ended(
+    def dispatch_ended(
         self,
         completion: Completion,
         engine: schema.Engine,
         outcome: outcomes.EngineEvent | None,
     ) -> None:
-        """Count a dispatch as over; None if the caller left or its deadline passed."""
+        """Record the end of a dispatch.
+
+        Args:
+            completion: The completion.
+            engine: Engine of the dispatch.
+            outcome: Last event, or None if the caller disconnected or its deadline
+                passed.
+        """
 
 
 class ResumingStream:
-    """Sends completions to engines and resumes streams that break."""
+    """Sends completions to engines and resumes broken streams."""
 
     def __init__(
         self,
         engines: EngineStreams,
-        choice: EngineChoice,
+        choice: EngineSelector,
         time: clock.Clock,
-        limits: SilenceLimits | None = None,
-        moves: handover.KvMoves | None = None,
-        chance: random.Random | None = None,
+        limits: ResponseTimeouts | None = None,
+        kv_client: kv_transfer.KvTransferClient | None = None,
+        rng: random.Random | None = None,
         suspects: suspect_completions.SuspectCompletions | None = None,
     ) -> None:
         self._engines = engines
         self._choice = choice
         self._clock = time
-        self._limits = limits or SilenceLimits()
-        self._chance = chance or random.Random(0)
+        self._limits = limits or ResponseTimeouts()
+        self._rng = rng or random.Random(0)
         self._suspects = suspects or suspect_completions.SuspectCompletions(time)
-        self._handover = handover.Handover(moves or handover.NoHandover())
+        self._kv_transfer = kv_transfer.KvTransfer(
+            kv_client or kv_transfer.NoKvTransfer()
+        )
 
     async def run(
         self, completion: Completion
     ) -> abc.AsyncGenerator[CompletionEvent, None]:
-        """Yield the answer's text; the last event is `Ended` or a refusal.
+        """Yield the text of the completion; the last event is `Ended` or a refusal.
 
-        A stream that breaks is resumed at the token it broke at, on another engine.
-        Completions may run twice without harm, so this is safe; the caller sees one
-        stream without a gap because every engine numbers its tokens.
+        A broken stream is resumed on another engine, at the first token not received.
+        This is safe because completions are idempotent. The caller sees one stream
+        without gaps because engines number their tokens.
         """
         delivered = 0
         maybe_ran = False
         failed: set[str] = set()
-        reason = "no engine is free"
-        pauses = backoff.Backoff(_FIRST_PAUSE, _LONGEST_PAUSE, self._chance)
+        reason = "no engine is available"
+        pauses = backoff.Backoff(_MIN_PAUSE, _MAX_PAUSE, self._rng)
         digest = completion.digest
-        for attempt_number in range(_ATTEMPTS):
+        for attempt_number in range(_MAX_ATTEMPTS):
             if self._time_left(completion) <= 0:
                 break
             if (verdict := self._suspects.verdict(digest)) is not None:
                 if not maybe_ran:
                     yield results.quarantined(verdict.remaining)
                     return
-                reason = "engines ended while they ran this completion"
+                reason = "quarantined: engines crashed while they ran this completion"
                 break
             engine = self._choice.choose(completion, failed)
             if engine is None:
                 break
             before = delivered
-            begun = self._clock.monotonic()
+            started_at = self._clock.monotonic()
             attempt = self._attempt(completion, engine, delivered)
             async with contextlib.aclosing(attempt):
                 async for event in attempt:
@@ -205,14 +213,17 @@
                         delivered += event.tokens
                         yield Delta(event.text)
                     elif isinstance(event, outcomes.Finished):
-                        self._suspects.completed(digest)
+                        self._suspects.record_completion(digest)
                         yield Ended(event.length, attempt_number)
                         return
                     else:
                         reason = event.reason
-                        maybe_ran |= isinstance(event, outcomes.Broken)
-                        if isinstance(event, outcomes.Broken) and event.connection_lost:
-                            self._suspects.engine_ended(digest, engine.name, begun)
+                        maybe_ran |= isinstance(event, outcomes.OutcomeUnknown)
+                        if (
+                            isinstance(event, outcomes.OutcomeUnknown)
+                            and event.connection_lost
+                        ):
+                            self._suspects.record_crash(digest, engine.name, started_at)
             failed.add(engine.name)
             _log.warn(
                 "dispatch failed",
@@ -222,9 +233,10 @@
                 reason=reason,
             )
             if delivered == before:
-                # What failed together would be tried again together, and the other
-                # engines would fail it too. Pauses drawn at random spread it. A
-                # stream that gave tokens has a reader and goes on at once.
+                # Requests that failed together would be retried together, and fail
+                # on the other engines too. Randomized pauses spread the retries.
+                # A stream that delivered tokens is resumed at once, since its
+                # client is waiting for the next token.
                 left = completion.deadline - self._clock.monotonic()
                 await self._clock.sleep(min(pauses.next_pause(), left))
         if self._time_left(completion) <= 0:
@@ -237,7 +249,7 @@
     ) -> abc.AsyncGenerator[outcomes.EngineEvent, None]:
         final: outcomes.EngineEvent | None = None
         limits = waits.Waits()
-        self._choice.began(completion, engine)
+        self._choice.dispatched(completion, engine)
         try:
             dispatch = engine_client.Dispatch(
                 identity.new_id(),
@@ -250,69 +262,73 @@
             )
             events = self._engines.generate(engine.address, dispatch)
             async with contextlib.aclosing(events):
-                silence = self._first_silence(completion, engine)
+                timeout = self._first_token_timeout(completion, engine)
                 while True:
-                    event = await self._next(limits, events, completion, silence)
+                    event = await self._next_event(limits, events, completion, timeout)
                     if not isinstance(event, outcomes.Chunk):
-                        # An engine is not to blame for a deadline that passed.
+                        # A passed deadline is not a failure of the engine.
                         expired = self._time_left(completion) <= 0
                         final = None if expired else event
                         yield event
                         return
                     for _ in range(event.tokens):
-                        self._choice.progressed(completion, engine)
+                        self._choice.token_received(completion, engine)
                     yield event
-                    silence = self._limits.next_token.total_seconds()
+                    timeout = self._limits.next_token.total_seconds()
         finally:
             limits.close()
-            self._choice.ended(completion, engine, final)
+            self._choice.dispatch_ended(completion, engine, final)
 
     async def _kv_handle(
         self, completion: Completion, engine: schema.Engine
     ) -> str | None:
-        reader = self._choice.reader(completion)
-        if reader is None:
+        prefill_engine = self._choice.prefill_engine(completion)
+        if prefill_engine is None:
             return None
         limit = min(
-            self._first_silence(completion, reader), self._time_left(completion)
+            self._first_token_timeout(completion, prefill_engine),
+            self._time_left(completion),
         )
         try:
-            return await self._handover.handle(
-                reader,
+            return await self._kv_transfer.transfer(
+                prefill_engine,
                 engine,
                 completion.model,
                 completion.prompt,
                 datetime.timedelta(seconds=max(0.0, limit)),
             )
         finally:
-            self._choice.prompt_read(completion)
+            self._choice.prefill_ended(completion)
 
-    async def _next(
+    async def _next_event(
         self,
         limits: waits.Waits,
         events: abc.AsyncGenerator[outcomes.EngineEvent, None],
         completion: Completion,
-        silence: float,
+        timeout: float,
     ) -> outcomes.EngineEvent:
-        """Return the next event, or `Broken` once the engine was silent too long.
+        """Return the next event, or `OutcomeUnknown` after the time-out.
 
-        Only the wait for the engine counts, not the time a slow caller takes. The
-        deadline bounds it too, so that a final answer comes at once when it passes.
-        Ending the wait closes the connection, by which the engine knows to stop.
+        Only the time spent waiting for the engine counts, not that of a slow caller.
+        The deadline limits the wait as well, so that the caller is answered as soon as
+        it passes. Cancelling the wait closes the connection, which tells the engine to
+        stop.
         """
-        limit = min(silence, self._time_left(completion))
+        limit = min(timeout, self._time_left(completion))
         try:
             return await limits.within(limit, anext(events))
         except TimeoutError:
-            return outcomes.Broken(f"silent for {limit:.3g} s")
+            return outcomes.OutcomeUnknown(f"no token for {limit:.3g} s")
         except StopAsyncIteration:
-            return outcomes.Broken("no terminal event")
+            return outcomes.OutcomeUnknown("the stream ended without a terminal event")
 
-    def _first_silence(self, completion: Completion, engine: schema.Engine) -> float:
+    def _first_token_timeout(
+        self, completion: Completion, engine: schema.Engine
+    ) -> float:
         tokens = len(completion.prompt) / _CHARACTERS_PER_TOKEN
-        reading = tokens / engine.prefill_tokens_per_s
-        first = self._limits.first_token.total_seconds()
-        return first + self._limits.reading_factor * reading
+        prefill_time = tokens / engine.prefill_tokens_per_s
+        first_token = self._limits.first_token.total_seconds()
+        return first_token + self._limits.prefill_factor * prefill_time
 
     def _time_left(self, completion: Completion) -> float:
         return (completion.deadline - self._clock.monotonic()).total_seconds()
@@ -337,12 +353,12 @@
     if delivered:
         return results.Refusal(
             results.ResultCode.STREAM_BROKEN,
-            f"the answer broke off after {delivered} tokens: {reason}",
+            f"the stream broke after {delivered} tokens, resumption failed: {reason}",
             execution,
         )
     return results.Refusal(
         results.ResultCode.NO_BACKEND_SERVER,
-        f"no engine could answer: {reason}",
+        f"no engine could run the completion; retry later: {reason}",
         execution,
         _RETRY_AFTER,
     )
--- a/src/pimentolatch/requests/suspect_completions.py
+++ b/src/pimentolatch/requests/suspect_completions.py
@@ -1,4 +1,4 @@
-"""Remembers completions under which engines have ended, beyond one attempt."""
+"""Tracks completions that are suspected of crashing engines, across attempts."""
 
 import collections
 import datetime
@@ -17,22 +17,22 @@
 
 __all__ = ["SuspectCompletions"]
 
-# Ends that are seen within this time are the end of one process: an engine takes longer
-# to start again, and its callers notice at different moments.
-_ONE_END = datetime.timedelta(seconds=1)
-# Ends of one engine that are remembered. One that ends more often than this within a
-# day is hardly ended by completions.
-_MOST_ENDS = 64
-# Ends that an instance which has just started is told at once.
-_MOST_SERIOUS = 1000
+# Reports within this time are of the same crash: an engine takes longer to restart, and
+# its callers notice the crash at different moments.
+_SAME_CRASH = datetime.timedelta(seconds=1)
+# Crashes retained per engine. One that crashes more often than this within a day is
+# unlikely to be crashed by completions.
+_MAX_CRASHES = 64
+# Limit on the crashes sent to an instance that has just started.
+_MAX_NOTICES = 1000
 _MILLISECOND = datetime.timedelta(milliseconds=1)
 
 
 class SuspectCompletions:
-    """What one instance knows of completions that end engines.
+    """The suspected crashes that one instance knows of.
 
     Engines of the fleet document have no incarnations, so each instance numbers their
-    ends, and tells peers when they were.
+    crashes itself, and reports to peers when they occurred.
 
     Args:
         time: Clock of this instance.
@@ -41,100 +41,107 @@
     def __init__(self, time: clock.Clock) -> None:
         self._suspects = crash_suspects.CrashSuspects(crash_suspects.Policy())
         self._clock = time
-        self._ends: dict[str, collections.deque[tuple[int, datetime.timedelta]]] = {}
-        self._near = crash_notices.CrashNoticeQueue()
-        self._far = crash_notices.CrashNoticeQueue()
+        self._crashes: dict[str, collections.deque[tuple[int, datetime.timedelta]]] = {}
+        self._own_domain = crash_notices.CrashNoticeQueue()
+        self._other_domains = crash_notices.CrashNoticeQueue()
         self._notify: abc.Callable[[], None] | None = None
 
-    def on_news(self, notify: abc.Callable[[], None]) -> None:
-        """Have something called whenever there is something to tell."""
+    def on_update(self, notify: abc.Callable[[], None]) -> None:
+        """Set a function to be called whenever there is something to send."""
         self._notify = notify
 
     def verdict(self, digest: digests.RequestDigest) -> crash_suspects.Verdict | None:
-        """Return whether a completion is kept from engines; None if it may run."""
+        """Return the verdict on a quarantined completion; None if it may run."""
         return self._suspects.verdict(digest, self._clock.monotonic())
 
-    def engine_ended(
-        self, digest: digests.RequestDigest, engine: str, begun: datetime.timedelta
+    def record_crash(
+        self, digest: digests.RequestDigest, engine: str, sent_at: datetime.timedelta
     ) -> None:
-        """Note that an engine's connection ended while it ran a completion.
+        """Record that an engine's connection was lost while it ran a completion.
 
         Args:
             digest: The completion.
             engine: The engine's name.
-            begun: When the completion was sent there.
+            sent_at: When the completion was sent there.
         """
         now = self._clock.monotonic()
-        ended = self._end_of(engine, now)
-        pair = crash_evidence.SuspectedCrash(digest, ended, False, now, now - begun)
-        known = self._suspects.add(pair, now)
-        if known is not None:
-            self._tell([known])
+        crash = self._crash_of(engine, now)
+        pair = crash_evidence.SuspectedCrash(digest, crash, False, now, now - sent_at)
+        merged = self._suspects.add(pair, now)
+        if merged is not None:
+            self._publish([merged])
 
-    def completed(self, digest: digests.RequestDigest) -> None:
-        """Note that an engine has run a completion to its end."""
-        self._tell(self._suspects.completed(digest))
+    def record_completion(self, digest: digests.RequestDigest) -> None:
+        """Record that an engine has finished a completion."""
+        self._publish(self._suspects.completed(digest))
 
     def take(self, told: abc.Iterable[messages.EngineCrash], *, near: bool) -> None:
-        """Take what a peer tells.
+        """Receive crash reports from a peer.
 
         Args:
-            told: The ends.
-            near: The peer is of the own failure domain, all of which it tells itself.
+            told: The reported crashes.
+            near: Whether the peer is in the own failure domain, to all of which it
+                reports itself.
         """
         now = self._clock.monotonic()
-        pairs = [self._pair(end, now) for end in told]
-        fresh = self._suspects.merge(pairs, now)
-        self._tell(fresh, near=not near)
+        pairs = [self._from_message(end, now) for end in told]
+        new = self._suspects.merge(pairs, now)
+        self._publish(new, near=not near)
 
     def take_near(self, most: int) -> tuple[messages.EngineCrash, ...]:
-        """Return what peers of the own failure domain are to be told."""
-        return self._rows(self._near.take(most, self._suspects.crash_count))
+        """Return the reports to send to peers in the own failure domain."""
+        return self._to_messages(
+            self._own_domain.take(most, self._suspects.crash_count)
+        )
 
     def take_far(self, most: int) -> tuple[messages.EngineCrash, ...]:
-        """Return what peers of other failure domains are to be told."""
-        return self._rows(self._far.take(most, self._suspects.crash_count))
+        """Return the reports to send to peers in other failure domains."""
+        return self._to_messages(
+            self._other_domains.take(most, self._suspects.crash_count)
+        )
 
     def serious(self) -> tuple[messages.EngineCrash, ...]:
-        """Return the ends that an instance which has just started has to know.
+        """Return the crashes that an instance needs to know when it starts.
 
-        Of very many, those of the completions with the most ends: a notice that is
-        larger than a frame would end the link.
+        If there are too many, those of the completions with the most crashes are
+        returned: a message larger than a frame would close the link.
         """
         self._suspects.remove_expired(self._clock.monotonic())
         found = sorted(self._suspects.repeated_crashes(), key=len, reverse=True)
         pairs = [pair for pairs in found for pair in pairs]
-        return self._rows(pairs[:_MOST_SERIOUS])
+        return self._to_messages(pairs[:_MAX_NOTICES])
 
-    def _tell(
+    def _publish(
         self, pairs: abc.Collection[crash_evidence.SuspectedCrash], *, near: bool = True
     ) -> None:
         for pair in pairs:
-            self._far.add(pair)
+            self._other_domains.add(pair)
             if near:
-                self._near.add(pair)
+                self._own_domain.add(pair)
         if pairs and self._notify is not None:
             self._notify()
 
-    def _pair(
+    def _from_message(
         self, end: messages.EngineCrash, now: datetime.timedelta
     ) -> crash_evidence.SuspectedCrash:
         at = now - end.age_ms * _MILLISECOND
-        ended = self._end_of(end.engine, at)
+        crash = self._crash_of(end.engine, at)
         lasted = end.ran_for_ms * _MILLISECOND
-        return crash_evidence.SuspectedCrash(end.digest, ended, end.cleared, at, lasted)
+        return crash_evidence.SuspectedCrash(end.digest, crash, end.cleared, at, lasted)
 
-    def _end_of(self, engine: str, at: datetime.timedelta) -> servers.Incarnation:
-        """Return the end of an engine at a moment, numbered anew if it is not known."""
-        ends = self._ends.setdefault(engine, collections.deque(maxlen=_MOST_ENDS))
-        for number, known in ends:
-            if abs(at - known) <= _ONE_END:
+    def _crash_of(self, engine: str, at: datetime.timedelta) -> servers.Incarnation:
+        """Return the crash of an engine at a time, with a new number if it is new."""
+        crashes = self._crashes.setdefault(
+            engine, collections.deque(maxlen=_MAX_CRASHES)
+        )
+        for number, crashed_at in crashes:
+            if abs(at - crashed_at) <= _SAME_CRASH:
                 return servers.Incarnation(engine, number)
-        number = ends[-1][0] + 1 if ends else 0
-        ends.append((number, at))
+        number = crashes[-1][0] + 1 if crashes else 0
+        crashes.append((number, at))
         return servers.Incarnation(engine, number)
 
-    def _rows(
+    def _to_messages(
         self, pairs: abc.Iterable[crash_evidence.SuspectedCrash]
     ) -> tuple[messages.EngineCrash, ...]:
         now = self._clock.monotonic()
--- a/tests/features/steps/orders_duty_steps.py
+++ b/tests/features/steps/orders_duty_steps.py
@@ -8,11 +8,22 @@
 
 from pimentolatch import clock
 from pimentolatch.audit import trail
-from pimentolatch.backend import orders
-from pimentolatch.control import drain, leader_lease, reconciler, slots
-from pimentolatch.decisions import roles, serving_floor
+from pimentolatch.backend import order_client
+from pimentolatch.control import (
+    drain,
+    leader_lease,
+    reconciler,
+    slots,
+)
+from pimentolatch.decisions import (
+    roles,
+    serving_floor,
+)
 from pimentolatch.document import schema
-from standins import memory_store, objects
+from standins import (
+    memory_store,
+    objects,
+)
 
 DOMAIN = "north"
 STEP = datetime.timedelta(milliseconds=100)
@@ -251,7 +262,7 @@
             1,
             DOMAIN,
             {name: slots.Slot(name, 1, slots.SlotState.DRAINING) for name in draining},
-            {name: orders.Unreachable("down") for name in unreachable},
+            {name: order_client.Unreachable("down") for name in unreachable},
             {name: drain.InUse("streams") for name in draining},
             unreachable=set(unreachable),
         )
--- a/tests/features/steps/requests_http_steps.py
+++ b/tests/features/steps/requests_http_steps.py
@@ -12,16 +12,27 @@
 import hypothesis
 from hypothesis import strategies
 
-from pimentolatch import metrics, results, settings
+from pimentolatch import (
+    metrics,
+    results,
+    settings,
+)
 from pimentolatch.entry import (
     bounded_http,
     http_responses,
     http_server,
     request_parsing,
 )
-from pimentolatch.requests import stream
-from standins import callers, deployments, processes
-from tests.support import completions, virtual_time
+from pimentolatch.requests import completion_stream
+from standins import (
+    callers,
+    deployments,
+    processes,
+)
+from tests.support import (
+    completions,
+    virtual_time,
+)
 
 ONE = deployments.Layout("one", ("north",), 1, 1, 1)
 TWO_ENGINES = deployments.Layout("two", ("north",), 1, 2, 1)
@@ -257,7 +268,7 @@
     async def events():
         try:
             while True:
-                yield stream.Delta("text ")
+                yield completion_stream.Delta("text ")
         finally:
             context.seen.append("closed")
 
@@ -270,7 +281,9 @@
 
     async def play():
         clock = virtual_time.LoopClock()
-        asked = stream.Completion("r", "c", "m", "p", 9, datetime.timedelta(hours=1))
+        asked = completion_stream.Completion(
+            "r", "c", "m", "p", 9, datetime.timedelta(hours=1)
+        )
         answer = http_responses.CompletionResponse(
             asked,
             events(),
