--- a/benchmarks/gateway_cost.py
+++ b/benchmarks/gateway_cost.py
@@ -24,7 +24,7 @@
 from benchmarks import rows
 from pimentolatch import clock
 from pimentolatch.gateway import process, settings
-from pimentolatch.platform import configuration, entries
+from pimentolatch.platform import configuration, server_entries
 from pimentolatch.protocol import beacons
 from pimentolatch.routes import servers
 from standins import route_server
@@ -209,7 +209,7 @@
     instance = process.GatewayInstance(_settings(port, peers_port), clock.SystemClock())
     spec = _spec()
     instance.fleet.configure(configuration.decode(spec), spec)
-    found = [entries.decode(name, entry) for name, entry in listed.items()]
+    found = [server_entries.decode(name, entry) for name, entry in listed.items()]
     instance.fleet.replace_servers(
         1, [s for s in found if isinstance(s, servers.Server)]
     )
--- a/benchmarks/mix.py
+++ b/benchmarks/mix.py
@@ -16,7 +16,7 @@
 import time
 
 from benchmarks import fakes, patterns, plots, policies, runs, scores, serving
-from pimentolatch import checks
+from pimentolatch import validation
 from pimentolatch.decisions import roles
 from pimentolatch.document import schema
 
@@ -65,7 +65,7 @@
 
 def _policy(deployment: patterns.Deployment) -> schema.RolePolicy:
     path = EXAMPLES / f"{deployment.name}-fleet.jsonc"
-    document = checks.read_file(schema.FleetDocument, path)
+    document = validation.read_file(schema.FleetDocument, path)
     assert isinstance(document, schema.FleetDocument), document
     return document.roles
 
--- a/benchmarks/peer_member.py
+++ b/benchmarks/peer_member.py
@@ -15,7 +15,7 @@
 import logbook
 import psutil
 
-from pimentolatch import checks, clock, fleet, metrics, settings
+from pimentolatch import clock, fleet, metrics, settings, validation
 from pimentolatch.decisions import work_reports
 from pimentolatch.entry import control_plane
 
@@ -68,8 +68,8 @@
 
 
 async def _run(path: pathlib.Path, settle_s: float, measured_s: float) -> None:
-    chosen = checks.read_file(settings.EntrySettings, path)
-    if isinstance(chosen, checks.Problems):
+    chosen = validation.read_file(settings.EntrySettings, path)
+    if isinstance(chosen, validation.Problems):
         raise SystemExit(str(chosen))
     control = control_plane.ControlPlane(
         chosen,
--- a/src/pimentolatch/audit/trail.py
+++ b/src/pimentolatch/audit/trail.py
@@ -26,9 +26,9 @@
 PAGES = 64
 # A record more than this is dropped, oldest first: a long outage of the platform must
 # not fill the instance's memory.
-WAITING_LIMIT = 2000
+MAX_PENDING = 2000
 _ATTEMPTS = 4
-_BATCH_TIME = datetime.timedelta(seconds=2)
+_BATCH_INTERVAL = datetime.timedelta(seconds=2)
 
 _log = logbook.Logger("audit")
 
@@ -78,96 +78,96 @@
     """Collects records and writes them in batches.
 
     Args:
-        book: Name of the trail, a failure domain's name or another fixed word; each
+        name: Name of the trail, a failure domain's name or another fixed word; each
             has pages of its own.
     """
 
     def __init__(
-        self, objects: store.Store, book: str, instance: str, time: clock.Clock
+        self, objects: store.Store, name: str, instance: str, time: clock.Clock
     ) -> None:
         self._store = objects
-        self._book = book
+        self._name = name
         self._instance = instance
         self._clock = time
-        self._waiting: list[Record] = []
-        self._writing = asyncio.Lock()
+        self._pending: list[Record] = []
+        self._write_lock = asyncio.Lock()
 
     @property
-    def waiting(self) -> int:
+    def pending(self) -> int:
         """Records not yet in the store."""
-        return len(self._waiting)
+        return len(self._pending)
 
-    def note(
+    def add(
         self, document: int, action: str, subject: str, outcome: str, detail: str = ""
     ) -> None:
         """Add a record; it is written with the next batch."""
         at = self._clock.now().isoformat(timespec="milliseconds")
-        self._waiting.append(
+        self._pending.append(
             Record(at, self._instance, document, action, subject, outcome, detail)
         )
-        if len(self._waiting) > WAITING_LIMIT:
-            _log.warn("audit record dropped", record=self._waiting[0].record_id)
-            del self._waiting[0]
+        if len(self._pending) > MAX_PENDING:
+            _log.warn("audit record dropped", record=self._pending[0].record_id)
+            del self._pending[0]
 
     async def run(self) -> None:
         """Write batches for ever."""
         while True:
-            await self._clock.sleep(_BATCH_TIME)
+            await self._clock.sleep(_BATCH_INTERVAL)
             await self.flush()
 
     async def flush(self) -> bool:
         """Write what waits; False if some of it still waits."""
-        async with self._writing:
+        async with self._write_lock:
             for _ in range(_ATTEMPTS):
-                if not self._waiting:
+                if not self._pending:
                     return True
                 page = await self._newest_page()
                 if isinstance(page, store.Unavailable):
                     return False
                 # After a lost answer some of the records may have got in; the page
                 # is read again and shows them by their ids.
-                self._drop(page.records)
+                self._drop_written(page.records)
                 if len(page.records) >= RECORDS_PER_PAGE:
-                    await self._turn(page)
+                    await self._start_next_page(page)
                 elif not await self._append(page):
                     return False
-        return not self._waiting
+        return not self._pending
 
     async def _append(self, page: _Page) -> bool:
         room = RECORDS_PER_PAGE - len(page.records)
-        batch = tuple(self._waiting[:room])
+        batch = tuple(self._pending[:room])
         if not batch:
             return True
         outcome = await self._store.put(
             PAGE_KIND,
-            _page_name(self._book, page.number),
+            _page_name(self._name, page.number),
             {"records": [record.to_json() for record in page.records + batch]},
             if_version=page.version,
         )
         if isinstance(outcome, store.Written):
-            self._drop(batch)
+            self._drop_written(batch)
         return not isinstance(outcome, store.Unavailable) or outcome.effect_unknown
 
-    def _drop(self, written: tuple[Record, ...]) -> None:
+    def _drop_written(self, written: tuple[Record, ...]) -> None:
         ids = {record.record_id for record in written}
-        self._waiting = [r for r in self._waiting if r.record_id not in ids]
+        self._pending = [r for r in self._pending if r.record_id not in ids]
 
     async def _newest_page(self) -> _Page | store.Unavailable:
-        head = await self._store.get(HEAD_KIND, self._book)
+        head = await self._store.get(HEAD_KIND, self._name)
         if isinstance(head, store.Unavailable):
             return head
         if isinstance(head, store.Absent):
-            await self._store.put(HEAD_KIND, self._book, {"page": 0}, if_version=0)
+            await self._store.put(HEAD_KIND, self._name, {"page": 0}, if_version=0)
         number = head.value["page"] if isinstance(head, store.Found) else 0
-        page = await self._store.get(PAGE_KIND, _page_name(self._book, number))
+        page = await self._store.get(PAGE_KIND, _page_name(self._name, number))
         if isinstance(page, store.Unavailable):
             return page
         if isinstance(page, store.Absent):
             return _Page(number, 0, ())
         return _Page(number, page.version, _records(page.value))
 
-    async def _turn(self, full: _Page) -> None:
-        head = await self._store.get(HEAD_KIND, self._book)
+    async def _start_next_page(self, full: _Page) -> None:
+        head = await self._store.get(HEAD_KIND, self._name)
         if isinstance(head, store.Unavailable):
             return
         version = head.version if isinstance(head, store.Found) else 0
@@ -175,14 +175,14 @@
         if number != full.number:
             return
         await self._store.put(
-            HEAD_KIND, self._book, {"page": number + 1}, if_version=version
+            HEAD_KIND, self._name, {"page": number + 1}, if_version=version
         )
-        await self._remove(number + 1 - PAGES)
+        await self._remove_page(number + 1 - PAGES)
 
-    async def _remove(self, number: int) -> None:
+    async def _remove_page(self, number: int) -> None:
         if number < 0:
             return
-        name = _page_name(self._book, number)
+        name = _page_name(self._name, number)
         old = await self._store.get(PAGE_KIND, name)
         if isinstance(old, store.Found):
             await self._store.delete(PAGE_KIND, name, if_version=old.version)
@@ -194,37 +194,39 @@
     def __init__(self, objects: store.Store) -> None:
         self._store = objects
 
-    async def books(self) -> tuple[str, ...] | store.Unavailable:
+    async def trail_names(self) -> tuple[str, ...] | store.Unavailable:
         """Return the names of the books."""
         listing = await self._store.list_objects(HEAD_KIND)
         if isinstance(listing, store.Unavailable):
             return listing
         return tuple(found.name for found in listing.objects)
 
-    async def latest_of_all(self, count: int) -> tuple[Record, ...] | store.Unavailable:
+    async def latest_across_trails(
+        self, count: int
+    ) -> tuple[Record, ...] | store.Unavailable:
         """Return the newest records over all books, oldest first."""
-        books = await self.books()
-        if isinstance(books, store.Unavailable):
-            return books
+        trail_names = await self.trail_names()
+        if isinstance(trail_names, store.Unavailable):
+            return trail_names
         records: list[Record] = []
-        for book in books:
-            found = await self.latest(book, count)
+        for name in trail_names:
+            found = await self.latest(name, count)
             if isinstance(found, store.Unavailable):
                 return found
             records += found
         return tuple(sorted(records, key=lambda record: record.at)[-count:])
 
     async def latest(
-        self, book: str, count: int = RECORDS_PER_PAGE
+        self, name: str, count: int = RECORDS_PER_PAGE
     ) -> tuple[Record, ...] | store.Unavailable:
         """Return the newest records of a book, oldest first."""
-        head = await self._store.get(HEAD_KIND, book)
+        head = await self._store.get(HEAD_KIND, name)
         if isinstance(head, store.Unavailable):
             return head
         number = head.value["page"] if isinstance(head, store.Found) else 0
         records: tuple[Record, ...] = ()
         while number >= 0 and len(records) < count:
-            page = await self._store.get(PAGE_KIND, _page_name(book, number))
+            page = await self._store.get(PAGE_KIND, _page_name(name, number))
             if isinstance(page, store.Unavailable):
                 return page
             if isinstance(page, store.Found):
@@ -241,5 +243,5 @@
     return tuple(Record.from_json(item) for item in value["records"])
 
 
-def _page_name(book: str, number: int) -> str:
-    return f"{book}.{number:08d}"
+def _page_name(name: str, number: int) -> str:
+    return f"{name}.{number:08d}"
--- a/src/pimentolatch/backoff.py
+++ b/src/pimentolatch/backoff.py
@@ -14,27 +14,27 @@
     moment; drawn from the whole range, their calls are spread evenly over it.
 
     Args:
-        first: Bound of the first pause.
-        longest: Bound that the others grow to.
+        initial: Bound of the first pause.
+        maximum: Bound that the others grow to.
     """
 
     def __init__(
         self,
-        first: datetime.timedelta,
-        longest: datetime.timedelta,
-        chance: random.Random,
+        initial: datetime.timedelta,
+        maximum: datetime.timedelta,
+        rng: random.Random,
     ) -> None:
-        self._first = first
-        self._longest = longest
-        self._chance = chance
-        self._bound = first
+        self._initial = initial
+        self._maximum = maximum
+        self._rng = rng
+        self._bound = initial
 
     def next_pause(self) -> datetime.timedelta:
         """Return the pause after one more failure."""
-        pause = self._bound * self._chance.random()
-        self._bound = min(self._longest, self._bound * 2)
+        pause = self._bound * self._rng.random()
+        self._bound = min(self._maximum, self._bound * 2)
         return pause
 
     def reset(self) -> None:
         """Start again after a success."""
-        self._bound = self._first
+        self._bound = self._initial
--- a/src/pimentolatch/call_budget.py
+++ b/src/pimentolatch/call_budget.py
@@ -13,9 +13,9 @@
 __all__ = ["BudgetedStore", "CallBudget"]
 
 # A call waits so long for its turn, then fails without having been made.
-_LONGEST_WAIT = datetime.timedelta(seconds=1)
+_MAX_WAIT = datetime.timedelta(seconds=1)
 _BURST = datetime.timedelta(seconds=2)
-_LEAST_BURST = 4.0
+_MIN_BURST = 4.0
 _Outcome = typing.TypeVar("_Outcome")
 
 
@@ -29,15 +29,15 @@
     def __init__(self, calls_per_second: float, time: clock.Clock) -> None:
         self._rate = calls_per_second
         self._clock = time
-        self._most = max(_LEAST_BURST, calls_per_second * _BURST.total_seconds())
-        self._tokens = self._most
-        self._filled = self._clock.monotonic()
+        self._capacity = max(_MIN_BURST, calls_per_second * _BURST.total_seconds())
+        self._tokens = self._capacity
+        self._refilled_at = self._clock.monotonic()
 
     async def take(self) -> bool:
         """Take one call from the budget; False if its turn is too far off."""
-        self._fill()
+        self._refill()
         wait = datetime.timedelta(seconds=max(0.0, (1.0 - self._tokens) / self._rate))
-        if wait > _LONGEST_WAIT:
+        if wait > _MAX_WAIT:
             return False
         # Taken before the wait: whoever comes next waits behind this call.
         self._tokens -= 1.0
@@ -45,11 +45,11 @@
             await self._clock.sleep(wait)
         return True
 
-    def _fill(self) -> None:
+    def _refill(self) -> None:
         now = self._clock.monotonic()
-        gained = (now - self._filled).total_seconds() * self._rate
-        self._tokens = min(self._most, self._tokens + gained)
-        self._filled = now
+        gained = (now - self._refilled_at).total_seconds() * self._rate
+        self._tokens = min(self._capacity, self._tokens + gained)
+        self._refilled_at = now
 
 
 class BudgetedStore:
@@ -70,55 +70,55 @@
     ) -> store.Found | store.Absent | store.Unavailable:
         """See `store.Store.get`."""
         if not await self._budget.take():
-            return self._refused("get")
-        return self._counted("get", await self._inner.get(kind, name))
+            return self._over_budget("get")
+        return self._count("get", await self._inner.get(kind, name))
 
     async def put(
         self, kind: str, name: str, value: store.Json, *, if_version: int
     ) -> store.Written | store.Conflict | store.Unavailable:
         """See `store.Store.put`."""
         if not await self._budget.take():
-            return self._refused("put")
+            return self._over_budget("put")
         outcome = await self._inner.put(kind, name, value, if_version=if_version)
-        return self._counted("put", outcome)
+        return self._count("put", outcome)
 
     async def delete(
         self, kind: str, name: str, *, if_version: int
     ) -> store.Written | store.Absent | store.Conflict | store.Unavailable:
         """See `store.Store.delete`."""
         if not await self._budget.take():
-            return self._refused("delete")
+            return self._over_budget("delete")
         outcome = await self._inner.delete(kind, name, if_version=if_version)
-        return self._counted("delete", outcome)
+        return self._count("delete", outcome)
 
     async def list_objects(
         self, kind: str, prefix: str = ""
     ) -> store.Listing | store.Unavailable:
         """See `store.Store.list_objects`."""
         if not await self._budget.take():
-            return self._refused("list")
-        return self._counted("list", await self._inner.list_objects(kind, prefix))
+            return self._over_budget("list")
+        return self._count("list", await self._inner.list_objects(kind, prefix))
 
     async def watch(
         self, kind: str, *, after: int, wait: datetime.timedelta
     ) -> store.Changes | store.HistoryGone | store.Unavailable:
         """See `store.Store.watch`."""
         if not await self._budget.take():
-            return self._refused("watch")
+            return self._over_budget("watch")
         outcome = await self._inner.watch(kind, after=after, wait=wait)
-        return self._counted("watch", outcome)
+        return self._count("watch", outcome)
 
     async def instances(self) -> tuple[store.Instance, ...] | store.Unavailable:
         """See `store.Store.instances`."""
         if not await self._budget.take():
-            return self._refused("instances")
-        return self._counted("instances", await self._inner.instances())
+            return self._over_budget("instances")
+        return self._count("instances", await self._inner.instances())
 
-    def _refused(self, call: str) -> store.Unavailable:
+    def _over_budget(self, call: str) -> store.Unavailable:
         self._calls.labels(call, "over budget").inc()
-        return store.Unavailable("call budget", False, _LONGEST_WAIT)
+        return store.Unavailable("call budget", False, _MAX_WAIT)
 
-    def _counted(self, call: str, outcome: _Outcome) -> _Outcome:
+    def _count(self, call: str, outcome: _Outcome) -> _Outcome:
         name = "ok" if isinstance(outcome, tuple) else type(outcome).__name__.lower()
         self._calls.labels(call, name).inc()
         return outcome
--- a/src/pimentolatch/cli/commands.py
+++ b/src/pimentolatch/cli/commands.py
@@ -10,13 +10,13 @@
 
 import cyclopts
 
-from pimentolatch import checks, settings
 from pimentolatch import logs as process_logs
-from pimentolatch.cli import explaining, operator_client
+from pimentolatch import settings, validation
+from pimentolatch.cli import explanation, operator_client
 from pimentolatch.document import changes, schema
 from pimentolatch.entry import process
 from pimentolatch.gateway import daemon
-from pimentolatch.platform import heads
+from pimentolatch.platform import http_headers
 
 __all__ = ["application", "main"]
 
@@ -55,8 +55,8 @@
     Args:
         settings_file: Settings of this instance, JSON with comments.
     """
-    chosen = checks.read_file(settings.EntrySettings, settings_file)
-    if isinstance(chosen, checks.Problems):
+    chosen = validation.read_file(settings.EntrySettings, settings_file)
+    if isinstance(chosen, validation.Problems):
         _fail(EXIT_INVALID_INPUT, str(chosen))
     process_logs.set_up(chosen.logs.level, chosen.instance)
     try:
@@ -69,7 +69,7 @@
 def gateway(
     settings_file: typing.Annotated[
         pathlib.Path,
-        cyclopts.Parameter(name="--settings", env_var=heads.SETTINGS_VARIABLE),
+        cyclopts.Parameter(name="--settings", env_var=http_headers.SETTINGS_VARIABLE),
     ],
 ) -> None:
     """Serve the operator's routes until SIGTERM.
@@ -108,7 +108,7 @@
     except OSError as error:
         _fail(EXIT_INVALID_INPUT, f"{error.filename}: must be a readable log file")
     lines = itertools.chain.from_iterable(texts) if logs else sys.stdin
-    print(explaining.explain(explaining.read_lines(lines, request_id)))
+    print(explanation.explain(explanation.read_lines(lines, request_id)))
 
 
 @application.command
@@ -118,8 +118,8 @@
     Args:
         settings_file: Settings of an instance, JSON with comments.
     """
-    chosen = checks.read_file(settings.EntrySettings, settings_file)
-    if isinstance(chosen, checks.Problems):
+    chosen = validation.read_file(settings.EntrySettings, settings_file)
+    if isinstance(chosen, validation.Problems):
         _fail(EXIT_INVALID_INPUT, str(chosen))
     print(f"{settings_file}: valid settings of {chosen.instance}")
 
@@ -217,14 +217,14 @@
 
 
 def _document(path: pathlib.Path) -> schema.FleetDocument:
-    checked = checks.read_file(schema.FleetDocument, path)
-    if isinstance(checked, checks.Problems):
+    checked = validation.read_file(schema.FleetDocument, path)
+    if isinstance(checked, validation.Problems):
         _fail(EXIT_INVALID_INPUT, str(checked))
     return checked
 
 
 def _answer_or_fail(
-    answer: operator_client.Answer | operator_client.Unreachable, json_output: bool
+    answer: operator_client.Response | operator_client.Unreachable, json_output: bool
 ) -> dict[str, typing.Any]:
     if isinstance(answer, operator_client.Unreachable):
         _fail(EXIT_UNREACHABLE, answer.reason)
--- a/src/pimentolatch/cli/operator_client.py
+++ b/src/pimentolatch/cli/operator_client.py
@@ -10,11 +10,11 @@
 
 from pimentolatch.backend import connections
 
-__all__ = ["Answer", "Unreachable", "audit", "document", "status", "submit"]
+__all__ = ["Response", "Unreachable", "audit", "document", "status", "submit"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """An instance's answer."""
 
     status: int
@@ -30,7 +30,7 @@
 
 def submit(
     entry: str, document: str, operator: str, submission: str, expected: int | None
-) -> Answer | Unreachable:
+) -> Response | Unreachable:
     """Submit a document's JSON text under a submission id."""
     query = {"operator": operator, "submission": submission}
     if expected is not None:
@@ -39,24 +39,24 @@
     return asyncio.run(_call(entry, "POST", path, document.encode()))
 
 
-def status(entry: str) -> Answer | Unreachable:
+def status(entry: str) -> Response | Unreachable:
     """Ask for an instance's status."""
     return asyncio.run(_call(entry, "GET", "/v1/status"))
 
 
-def document(entry: str) -> Answer | Unreachable:
+def document(entry: str) -> Response | Unreachable:
     """Ask for the document in force."""
     return asyncio.run(_call(entry, "GET", "/v1/document"))
 
 
-def audit(entry: str, count: int) -> Answer | Unreachable:
+def audit(entry: str, count: int) -> Response | Unreachable:
     """Ask for the newest records of the audit trail."""
     return asyncio.run(_call(entry, "GET", f"/v1/audit?count={count}"))
 
 
 async def _call(
     entry: str, method: str, path: str, data: bytes | None = None
-) -> Answer | Unreachable:
+) -> Response | Unreachable:
     async with aiosonic.HTTPClient() as client:
         try:
             response = await client.request(
@@ -65,6 +65,6 @@
                 data=data,
                 headers={"content-type": "application/json"},
             )
-            return Answer(response.status_code, json.loads(await response.content()))
+            return Response(response.status_code, json.loads(await response.content()))
         except connections.ANSWER_FAILURES as error:
             return Unreachable(f"{entry}: {error!r}")
--- a/src/pimentolatch/control/keeper.py
+++ b/src/pimentolatch/control/keeper.py
@@ -7,7 +7,7 @@
 
 import logbook
 
-from pimentolatch import checks, clock, fleet
+from pimentolatch import clock, fleet, validation
 from pimentolatch.control import configuration, heads, parts
 from pimentolatch.document import schema
 
@@ -122,8 +122,8 @@
         if parts.content_hash(text) != head.content_hash:
             return Unreadable("the parts don't match the hash")
         # Stored text is plain JSON: no comments to strip, which a large one feels.
-        document = checks.check_value(schema.FleetDocument, json.loads(text))
-        if isinstance(document, checks.Problems):
+        document = validation.check_value(schema.FleetDocument, json.loads(text))
+        if isinstance(document, validation.Problems):
             return Unreadable(str(document))
         return self._take(head, present, document)
 
--- a/src/pimentolatch/control/publication.py
+++ b/src/pimentolatch/control/publication.py
@@ -83,7 +83,7 @@
                 self._withdrawals[slot.engine] = withdrawal
         shown = f"number {written.number}: withdrawn {sorted(written.withdrawn)}"
         domain = written.failure_domain
-        self._audit.note(configuration.number, "view", domain, "written", shown)
+        self._audit.add(configuration.number, "view", domain, "written", shown)
         _log.info("view written", number=written.number)
         return written
 
--- a/src/pimentolatch/control/steps.py
+++ b/src/pimentolatch/control/steps.py
@@ -55,7 +55,7 @@
         """Update a slot and record what came of it."""
         outcome = await self._slots.update(slot)
         shown = "done" if isinstance(outcome, slots.Slot) else str(outcome)
-        self._audit.note(document, action, slot.engine, shown, detail)
+        self._audit.add(document, action, slot.engine, shown, detail)
         _log.info(action, engine=slot.engine, outcome=shown, detail=detail)
 
     def begin_order(self, request: orders.OrderRequest) -> None:
@@ -68,7 +68,7 @@
         outcome = await self._giver.settle(step.slot, step.state)
         shown = "done" if isinstance(outcome, slots.Slot) else str(outcome)
         detail = str(step.slot.order)
-        self._audit.note(document, "settle", step.slot.engine, shown, detail)
+        self._audit.add(document, "settle", step.slot.engine, shown, detail)
 
     async def _give(self, request: orders.OrderRequest) -> None:
         superseded = request.slot.order if _pending(request.slot) else None
@@ -76,11 +76,11 @@
         engine = request.engine.name
         # Written before the order goes out, so that a crash in between leaves the
         # intention on record and the successor's record tells the rest.
-        self._audit.note(request.document, "order", engine, "intended", detail)
+        self._audit.add(request.document, "order", engine, "intended", detail)
         await self._audit.flush()
         outcome = await self._giver.give(request)
         shown = type(outcome).__name__
-        self._audit.note(request.document, "order", engine, shown, str(outcome))
+        self._audit.add(request.document, "order", engine, shown, str(outcome))
         _log.info("order", engine=engine, outcome=shown)
 
 
--- a/src/pimentolatch/document/schema.py
+++ b/src/pimentolatch/document/schema.py
@@ -6,7 +6,7 @@
 
 import pydantic
 
-from pimentolatch import checks, settings
+from pimentolatch import settings, validation
 
 __all__ = [
     "AdmissionPolicy",
@@ -25,7 +25,7 @@
 Name = settings.Name
 
 
-class Model(checks.CheckedModel):
+class Model(validation.CheckedModel):
     """A model that callers may name.
 
     Attributes:
@@ -41,7 +41,7 @@
     context_tokens: int = pydantic.Field(default=131_072, gt=0)
 
 
-class Engine(checks.CheckedModel):
+class Engine(validation.CheckedModel):
     """A backend server that runs a model.
 
     Attributes:
@@ -70,7 +70,7 @@
     serving: typing.Literal["active", "withdrawn"] = "active"
 
 
-class PlainServer(checks.CheckedModel):
+class PlainServer(validation.CheckedModel):
     """A backend server that answers the calls of a plain service."""
 
     kind: typing.Literal["plain"] = "plain"
@@ -87,21 +87,21 @@
 ]
 
 
-class Operation(checks.CheckedModel):
+class Operation(validation.CheckedModel):
     """A call of a plain service; `repeatable` says whether it may run twice."""
 
     name: Name
     repeatable: bool
 
 
-class Service(checks.CheckedModel):
+class Service(validation.CheckedModel):
     """A plain service beside the engines."""
 
     name: Name
     operations: tuple[Operation, ...] = pydantic.Field(min_length=1)
 
 
-class Caller(checks.CheckedModel):
+class Caller(validation.CheckedModel):
     """A customer of the fleet.
 
     Attributes:
@@ -118,7 +118,7 @@
     burst_tokens: float = pydantic.Field(default=500_000.0, gt=0)
 
 
-class AdmissionPolicy(checks.CheckedModel):
+class AdmissionPolicy(validation.CheckedModel):
     """Bounds on waiting.
 
     Attributes:
@@ -130,7 +130,7 @@
     queue_wait_limit_s: float = pydantic.Field(default=10.0, gt=0, le=600)
 
 
-class RoutingPolicy(checks.CheckedModel):
+class RoutingPolicy(validation.CheckedModel):
     """Where work is sent.
 
     Attributes:
@@ -146,7 +146,7 @@
     kv_bytes_per_s: float = pydantic.Field(default=2.5e9, gt=0)
 
 
-class RolePolicy(checks.CheckedModel):
+class RolePolicy(validation.CheckedModel):
     """How readily engines change role.
 
     Attributes:
@@ -166,14 +166,14 @@
     least_serving_share: float = pydantic.Field(default=0.5, ge=0, le=1)
 
 
-class FailureDomain(checks.CheckedModel):
+class FailureDomain(validation.CheckedModel):
     """A group of machines that can fail or be cut off together."""
 
     name: Name
     region: Name
 
 
-class FleetDocument(checks.CheckedModel):
+class FleetDocument(validation.CheckedModel):
     """The whole intended configuration of a fleet."""
 
     fleet: Name
--- a/src/pimentolatch/index.py
+++ b/src/pimentolatch/document_index.py
@@ -7,7 +7,7 @@
 
 from pimentolatch.document import schema
 
-__all__ = ["Index", "Indexes"]
+__all__ = ["Index", "IndexCache"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -28,13 +28,13 @@
     plain_servers: dict[str, tuple[schema.PlainServer, ...]]
 
 
-class Indexes:
+class IndexCache:
     """Holds the index of the document asked for last."""
 
     def __init__(self) -> None:
         self._latest: Index | None = None
 
-    def of(self, document: schema.FleetDocument) -> Index:
+    def get(self, document: schema.FleetDocument) -> Index:
         """Return a document's index; constant time unless the document changed."""
         if self._latest is None or self._latest.document is not document:
             self._latest = _build(document)
--- a/src/pimentolatch/entry/answers.py
+++ b/src/pimentolatch/entry/answers.py
@@ -10,7 +10,7 @@
 import logbook
 from starlette import responses
 
-from pimentolatch import clock, metrics, results, waits
+from pimentolatch import clock, metrics, results, reusable_timeout
 from pimentolatch.backend import instance
 from pimentolatch.entry import guard
 from pimentolatch.requests import stream
@@ -138,19 +138,19 @@
             (instance.REQUEST_ID_HEADER.encode(), request_id.encode()),
         ]
         await send({"type": "http.response.start", "status": 200, "headers": headers})
-        limits = waits.Waits()
+        limits = reusable_timeout.ReusableTimeout()
         before = f'data: {{"id": "{request_id}", "choices": [{{"index": 0, "text": '
         try:
             while isinstance(event, stream.Delta):
                 text = (
                     f'{before}{json.dumps(event.text)}, "finish_reason": null}}]}}\n\n'
                 )
-                await limits.within(_STALL_SECONDS, _send_body(send, text))
+                await limits.wait_for(_STALL_SECONDS, _send_body(send, text))
                 waiting_since = self._clock.monotonic()
                 event = await anext(self._events)
                 self._metrics.token_gap.observe(self._seconds_since(waiting_since))
             ending = _send_body(send, self._last_events(event), last=True)
-            await limits.within(_STALL_SECONDS, ending)
+            await limits.wait_for(_STALL_SECONDS, ending)
         except TimeoutError:
             _log.warn("caller reads nothing; answer given up", request=request_id)
             scope["extensions"][guard.ABORT_EXTENSION]["call"]()
--- a/src/pimentolatch/entry/bodies.py
+++ b/src/pimentolatch/entry/bodies.py
@@ -9,7 +9,7 @@
 import pydantic
 from starlette import requests
 
-from pimentolatch import checks, results
+from pimentolatch import results, validation
 
 __all__ = [
     "CompletionBody",
@@ -30,10 +30,10 @@
 _DEFAULT_URGENCY = 3
 _LEAST_URGENCY = 7
 
-ModelT = typing.TypeVar("ModelT", bound=checks.CheckedModel)
+ModelT = typing.TypeVar("ModelT", bound=validation.CheckedModel)
 
 
-class CompletionBody(checks.CheckedModel):
+class CompletionBody(validation.CheckedModel):
     """The body of `POST /v1/completions`.
 
     Fields that other servers of this path know and that have no effect here are
@@ -48,7 +48,7 @@
     stream: bool = False
 
 
-class TicketsBody(checks.CheckedModel):
+class TicketsBody(validation.CheckedModel):
     """The body of `POST /v1/tickets`."""
 
     count: int = pydantic.Field(default=1, ge=1, le=TICKETS_LIMIT)
@@ -123,8 +123,8 @@
         value = json.loads(raw)
     except (ValueError, RecursionError):
         return results.invalid("the body must be a JSON object")
-    checked = checks.check_value(model, value)
-    if isinstance(checked, checks.Problems):
+    checked = validation.check_value(model, value)
+    if isinstance(checked, validation.Problems):
         return results.invalid(str(checked))
     return checked
 
--- a/src/pimentolatch/entry/callers.py
+++ b/src/pimentolatch/entry/callers.py
@@ -10,7 +10,7 @@
 import logbook
 from starlette import applications, exceptions, requests, responses, routing
 
-from pimentolatch import clock, fleet, index, metrics, results, settings
+from pimentolatch import clock, document_index, fleet, metrics, results, settings
 from pimentolatch.backend import instance, outcomes
 from pimentolatch.entry import answers, bodies, gate
 from pimentolatch.requests import completion, identity, service_call, stream
@@ -77,7 +77,7 @@
         self._gate = door
         self._clock = time
         self._metrics = measured
-        self._indexes = index.Indexes()
+        self._indexes = document_index.IndexCache()
         self._limits = bodies.ReadLimits(
             chosen.max_body_bytes, datetime.timedelta(seconds=chosen.body_timeout_s)
         )
@@ -216,7 +216,7 @@
             return _ANONYMOUS
         scheme, _, key = request.headers.get("authorization", "").partition(" ")
         digest = hashlib.sha256(key.encode()).hexdigest()
-        known = self._indexes.of(document).callers.get(digest)
+        known = self._indexes.get(document).callers.get(digest)
         if known is not None and scheme.lower() == "bearer":
             return known.name
         return results.Refusal(
--- a/src/pimentolatch/entry/control_plane.py
+++ b/src/pimentolatch/entry/control_plane.py
@@ -60,12 +60,12 @@
     ) -> None:
         self._clock = time
         chance = random.Random()
-        reached_at = chosen.peers.reached_at
+        dial_address = chosen.peers.dial_address
         self._own = incarnations.Identity(
             incarnations.new_incarnation(chosen.instance, time),
             chosen.failure_domain,
-            reached_at.host,
-            reached_at.port,
+            dial_address.host,
+            dial_address.port,
         )
         self._http = objects.ObjectStore(
             chosen.platform.address,
--- a/src/pimentolatch/entry/operators.py
+++ b/src/pimentolatch/entry/operators.py
@@ -7,7 +7,7 @@
 
 from starlette import applications, requests, responses, routing
 
-from pimentolatch import checks, clock, fleet, metrics, results, settings, store
+from pimentolatch import clock, fleet, metrics, results, settings, store, validation
 from pimentolatch.audit import trail
 from pimentolatch.control import configuration, heads, holder
 from pimentolatch.document import schema
@@ -164,7 +164,7 @@
             number = outcome.head.number
         detail = f"submission {submission.submission_id} by {submission.operator}"
         fleet_name = submission.document.fleet
-        self._trail.note(
+        self._trail.add(
             number, "submit document", fleet_name, type(outcome).__name__, detail
         )
         # The submission's answer must not hang on the trail; what could not be written
@@ -178,7 +178,7 @@
             message = f"count: found {text!r}; must be a number up to {_AUDIT_LIMIT}"
             return _refused(results.invalid(message))
         reader = trail.AuditReader(self._control.store)
-        records = await reader.latest_of_all(int(text))
+        records = await reader.latest_across_trails(int(text))
         if isinstance(records, store.Unavailable):
             return _refused(
                 results.Refusal(
@@ -194,8 +194,10 @@
     def _submission(
         self, request: requests.Request, raw: bytes
     ) -> configuration.Submission | results.Refusal:
-        document = checks.check_text(schema.FleetDocument, raw.decode(errors="replace"))
-        if isinstance(document, checks.Problems):
+        document = validation.check_text(
+            schema.FleetDocument, raw.decode(errors="replace")
+        )
+        if isinstance(document, validation.Problems):
             return results.Refusal(
                 results.ResultCode.DOCUMENT_INVALID,
                 str(document),
--- a/src/pimentolatch/fleet.py
+++ b/src/pimentolatch/fleet.py
@@ -49,7 +49,7 @@
         self._changed = asyncio.Event()
         self._domain_views: dict[str, views.DomainView] = {}
         self._leaving: frozenset[str] = frozenset()
-        self._withdrawn_here: frozenset[str] = frozenset()
+        self._withdrawn_locally: frozenset[str] = frozenset()
 
     @property
     def view(self) -> View:
@@ -73,26 +73,26 @@
     def adopt_view(self, view: views.DomainView) -> None:
         """Route by a domain view; the caller hands over only later ones."""
         self._domain_views[view.failure_domain] = view
-        self._combine()
+        self._merge_views()
 
     def set_leaving(self, servers: frozenset[str]) -> None:
         """Set the backend servers that the platform's list shows as leaving."""
         self._leaving = servers
-        self._combine()
+        self._merge_views()
 
     def withdraw(self, servers: frozenset[str]) -> None:
         """Set backend servers that take no new work for a reason of this instance."""
-        self._withdrawn_here = servers
-        self._combine()
+        self._withdrawn_locally = servers
+        self._merge_views()
 
     async def wait_for_change(self) -> View:
         """Return the view after its next change."""
         await self._changed.wait()
         return self._view
 
-    def _combine(self) -> None:
+    def _merge_views(self) -> None:
         parts = [view.withdrawn for view in self._domain_views.values()]
-        withdrawn = self._leaving.union(self._withdrawn_here, *parts)
+        withdrawn = self._leaving.union(self._withdrawn_locally, *parts)
         roles = tuple(
             sorted(role for view in self._domain_views.values() for role in view.roles)
         )
--- a/src/pimentolatch/gateway/client_request.py
+++ b/src/pimentolatch/gateway/client_request.py
@@ -9,7 +9,7 @@
 from pimentolatch import results
 from pimentolatch.decisions import access
 from pimentolatch.entry import guard
-from pimentolatch.platform import heads
+from pimentolatch.platform import http_headers
 from pimentolatch.requests import digests
 from pimentolatch.routes import table
 
@@ -40,7 +40,7 @@
     target: bytes
     fields: Fields
     body: bytes
-    head: heads.ClientHead
+    head: http_headers.ClientHeaders
     route: table.Route
     service: table.Service
     arrived_at: datetime.timedelta
--- a/src/pimentolatch/gateway/daemon.py
+++ b/src/pimentolatch/gateway/daemon.py
@@ -6,7 +6,7 @@
 import sys
 
 from pimentolatch.gateway import process
-from pimentolatch.platform import heads
+from pimentolatch.platform import http_headers
 
 __all__ = ["main", "run"]
 
@@ -28,10 +28,11 @@
 
 def main() -> None:
     """Run with the settings file named by an environment variable."""
-    path = os.environ.get(heads.SETTINGS_VARIABLE)
+    path = os.environ.get(http_headers.SETTINGS_VARIABLE)
     if path is None:
         print(
-            f"{heads.SETTINGS_VARIABLE} is not set; it must name the settings file",
+            f"{http_headers.SETTINGS_VARIABLE} is not set; "
+            "it must name the settings file",
             file=sys.stderr,
         )
         sys.exit(_EXIT_INVALID_INPUT)
--- a/src/pimentolatch/gateway/decode_client.py
+++ b/src/pimentolatch/gateway/decode_client.py
@@ -14,7 +14,7 @@
     request_progress,
     sse,
 )
-from pimentolatch.platform import heads
+from pimentolatch.platform import http_headers
 
 __all__ = ["DecodeClient"]
 
@@ -102,19 +102,19 @@
         )
         now = self._context.clock.monotonic()
         resumed = progress.last_event > request.head.last_event
-        delivery = heads.Delivery(
+        options = http_headers.DispatchOptions(
             place.engine.server.server_id,
             request.deadline - now - dispatch.RETURN_TIME,
             urgency=place.level,
-            source=None
+            prefill_source=None
             if prefilled is None
             else (prefilled.engine.server.address, prefilled.handle),
             last_event=progress.last_event if resumed else None,
-            donor=request_progress.address_of(place.kv_source)
+            kv_source=request_progress.address_of(place.kv_source)
             if prefilled is None
             else None,
         )
-        call = self._context.client.open(place.engine.server, request, delivery)
+        call = self._context.client.open(place.engine.server, request, options)
         if not request.route.repeatable:
             return await call
         return await self._context.stall_checks.wait_unless_stalled(
--- a/src/pimentolatch/gateway/dispatch.py
+++ b/src/pimentolatch/gateway/dispatch.py
@@ -10,7 +10,7 @@
 from pimentolatch import clock
 from pimentolatch.backend import channel
 from pimentolatch.gateway import client_request
-from pimentolatch.platform import heads
+from pimentolatch.platform import http_headers
 from pimentolatch.routes import servers
 
 __all__ = [
@@ -81,7 +81,7 @@
     """A complete response of the server, whatever its status."""
 
     status: int
-    head: heads.AnswerHead
+    head: http_headers.ResponseHeaders
     body: bytes
 
 
@@ -90,7 +90,7 @@
     """A response whose header has arrived; its body is read from `link`."""
 
     status: int
-    head: heads.AnswerHead
+    head: http_headers.ResponseHeaders
     link: channel.Channel
 
 
@@ -153,7 +153,7 @@
         self,
         server: servers.Server,
         request: client_request.ClientRequest,
-        delivery: heads.Delivery,
+        options: http_headers.DispatchOptions,
     ) -> OpenResponse | NotSent | Declined | OutcomeUnknown:
         """Send a request and wait for the header of its response.
 
@@ -162,7 +162,7 @@
         """
         longest_idle = (
             None
-            if request.route.repeatable or delivery.only_read
+            if request.route.repeatable or options.prefill_only
             else _MAX_IDLE_FOR_UNREPEATABLE
         )
         try:
@@ -175,8 +175,8 @@
         except channel.ConnectError as error:
             return NotSent(str(error), error.silent)
         try:
-            labelled = dataclasses.replace(delivery, customer=request.customer_name)
-            fields = heads.request_fields(request.fields, labelled)
+            labelled = dataclasses.replace(options, customer=request.customer_name)
+            fields = http_headers.request_fields(request.fields, labelled)
             link.send(request.method, request.target, fields, request.body)
             return await self._opened(server, request, link)
         except channel.BrokenError as error:
@@ -190,10 +190,10 @@
         self,
         server: servers.Server,
         request: client_request.ClientRequest,
-        delivery: heads.Delivery,
+        options: http_headers.DispatchOptions,
     ) -> FullResponse | NotSent | Declined | OutcomeUnknown:
         """Send a request and read its response to the end."""
-        opened = await self.open(server, request, delivery)
+        opened = await self.open(server, request, options)
         if not isinstance(opened, OpenResponse):
             return opened
         with self.returned_to_pool(server, opened):
@@ -248,7 +248,7 @@
     ) -> OpenResponse | Declined | OutcomeUnknown:
         for _ in range(_MAX_STALE_RESPONSES):
             start = await link.start()
-            head = heads.read_answer(start.fields)
+            head = http_headers.parse_response_headers(start.fields)
             if head.request_id in ("", request.request_id):
                 return await self._classified(
                     server, OpenResponse(start.status, head, link)
@@ -317,7 +317,9 @@
         except BaseException:
             link.close()
             raise
-        return FullResponse(start.status, heads.read_answer(start.fields), content)
+        return FullResponse(
+            start.status, http_headers.parse_response_headers(start.fields), content
+        )
 
     def end(self) -> None:
         """Return the connection to the pool, or close it if it can't be reused."""
--- a/src/pimentolatch/gateway/dispatch_check.py
+++ b/src/pimentolatch/gateway/dispatch_check.py
@@ -38,7 +38,7 @@
             return results.quarantined(verdict.left)
         configuration = self._fleet.configuration
         if configuration is None or access.holds(
-            configuration, request.head.keys, request.access.customer
+            configuration, request.head.api_keys, request.access.customer
         ):
             return None
         return refusals.unknown_key()
--- a/src/pimentolatch/gateway/front_end.py
+++ b/src/pimentolatch/gateway/front_end.py
@@ -26,7 +26,7 @@
     refusals,
     request_log,
 )
-from pimentolatch.platform import heads
+from pimentolatch.platform import http_headers
 from pimentolatch.requests import digests
 from pimentolatch.routes import table
 
@@ -141,7 +141,7 @@
         """Read a complete request; None if its client disconnected before its end."""
         target = scope["extensions"][guard.TARGET_EXTENSION]["bytes"]
         try:
-            head = heads.read_client(scope["headers"])
+            head = http_headers.parse_client_headers(scope["headers"])
         except ValueError as error:
             return results.invalid(f"header: {error}")
         path = target.partition(b"?")[0].decode("latin-1")
@@ -149,7 +149,10 @@
         if route is None:
             return refusals.no_route(head.host, path)
         allowed = access.decide(
-            configuration, route, head.keys, current=not self._fleet.store_unreachable
+            configuration,
+            route,
+            head.api_keys,
+            current=not self._fleet.store_unreachable,
         )
         if isinstance(allowed, access.Denial):
             return _refusal_for(allowed)
@@ -264,7 +267,7 @@
 
 def _request_id(scope: Scope) -> str:
     try:
-        return heads.read_client(scope["headers"]).request_id
+        return http_headers.parse_client_headers(scope["headers"]).request_id
     except ValueError:
         return ""
 
@@ -275,14 +278,14 @@
     return refusals.unknown_key()
 
 
-def _caller(head: heads.ClientHead, allowed: access.Access) -> str:
+def _caller(head: http_headers.ClientHeaders, allowed: access.Access) -> str:
     """Return the identity of a caller, for the request's digest.
 
     A customer has the same identity whichever of its keys it uses.
     """
     if allowed.customer is not None:
         return allowed.customer.name
-    return b"".join(head.keys).decode("latin-1")
+    return b"".join(head.api_keys).decode("latin-1")
 
 
 def _fields_to_forward(
@@ -294,7 +297,7 @@
     """
     if configuration.customers is None:
         return fields
-    return heads.without_keys(fields)
+    return http_headers.without_api_keys(fields)
 
 
 async def _wait_for_disconnect(receive: Receive) -> None:
--- a/src/pimentolatch/gateway/plain_forwarder.py
+++ b/src/pimentolatch/gateway/plain_forwarder.py
@@ -18,7 +18,7 @@
     request_log,
     usage_exchange,
 )
-from pimentolatch.platform import heads
+from pimentolatch.platform import http_headers
 from pimentolatch.requests import digests
 from pimentolatch.routes import servers
 
@@ -149,12 +149,12 @@
         if may_repeat:
             target = _TIMEOUT_FACTOR * request.route.latency_target
             timeout = min(left, max(target, _MIN_TIMEOUT))
-        delivery = heads.Delivery(server.server_id, left)
+        options = http_headers.DispatchOptions(server.server_id, left)
         outcome: _Outcome = dispatch.OutcomeUnknown("cancelled")
         self._choice.begin(server)
         try:
             async with asyncio.timeout(timeout.total_seconds()):
-                outcome = await self._client.fetch(server, request, delivery)
+                outcome = await self._client.fetch(server, request, options)
         except TimeoutError:
             outcome = dispatch.OutcomeUnknown("no answer in time")
         finally:
--- a/src/pimentolatch/gateway/prefill_client.py
+++ b/src/pimentolatch/gateway/prefill_client.py
@@ -17,7 +17,7 @@
 )
 from pimentolatch.platform import (
     engines,
-    heads,
+    http_headers,
 )
 
 __all__ = ["PrefillClient"]
@@ -54,17 +54,17 @@
         loads = self._context.loads(request)
         sent_at = self._context.clock.monotonic()
         cost = loads.prefill_cost(place.tokens)
-        delivery = heads.Delivery(
+        options = http_headers.DispatchOptions(
             engine.server.server_id,
             request.deadline - sent_at - dispatch.RETURN_TIME,
             urgency=place.level,
-            only_read=True,
-            donor=request_progress.address_of(place.kv_source),
+            prefill_only=True,
+            kv_source=request_progress.address_of(place.kv_source),
         )
         ahead = engine.total_prefill_tokens(sent_at, place.level)
         engine.prefill_tokens[place.level] += cost
         try:
-            outcome = await self._outcome(request, place, progress, delivery)
+            outcome = await self._outcome(request, place, progress, options)
         finally:
             engine.prefill_tokens[place.level] -= cost
         self._context.log_sent(request, engine, "read", outcome, sent_at)
@@ -101,7 +101,7 @@
         request: client_request.ClientRequest,
         place: placement_types.Disaggregated,
         progress: request_progress.Progress,
-        delivery: heads.Delivery,
+        options: http_headers.DispatchOptions,
     ) -> _Outcome | dispatch.Withdrawn:
         """Dispatch a prompt and wait until shortly before its client disconnects.
 
@@ -117,7 +117,7 @@
                     place.prefill_engine,
                     request.request_id,
                     self._context.client.fetch(
-                        place.prefill_engine.server, request, delivery
+                        place.prefill_engine.server, request, options
                     ),
                     request_progress.first_event_limit(place),
                 )
@@ -141,7 +141,7 @@
         if not isinstance(outcome, dispatch.FullResponse) or outcome.status != 200:
             return None
         try:
-            read = engines.decode_read_prompt(outcome.body)
+            read = engines.decode_prefill_result(outcome.body)
         except ValueError as error:
             _log.warn(
                 "prefill engine returned no valid KV handle; retrying",
--- a/src/pimentolatch/gateway/process.py
+++ b/src/pimentolatch/gateway/process.py
@@ -11,10 +11,10 @@
 import logbook
 
 from pimentolatch import (
-    checks,
     clock,
     logs,
     tasks,
+    validation,
 )
 from pimentolatch.decisions import (
     neighbours,
@@ -355,7 +355,7 @@
         self._store.close()
 
 
-async def run_until_signal(settings_file: pathlib.Path) -> checks.Problems | None:
+async def run_until_signal(settings_file: pathlib.Path) -> validation.Problems | None:
     """Run an instance until SIGTERM or SIGINT; SIGHUP reloads its settings.
 
     Returns:
@@ -364,8 +364,8 @@
     Raises:
         OSError: An address can't be bound.
     """
-    chosen = checks.read_file(settings.GatewaySettings, settings_file)
-    if isinstance(chosen, checks.Problems):
+    chosen = validation.read_file(settings.GatewaySettings, settings_file)
+    if isinstance(chosen, validation.Problems):
         return chosen
     logs.set_up(chosen.logs.level, chosen.instance)
     stop = asyncio.Event()
@@ -382,8 +382,8 @@
 
 def reload(instance: GatewayInstance, settings_file: pathlib.Path) -> None:
     """Reload the settings; invalid ones are rejected and the current ones stay."""
-    chosen = checks.read_file(settings.GatewaySettings, settings_file)
-    if isinstance(chosen, checks.Problems):
+    chosen = validation.read_file(settings.GatewaySettings, settings_file)
+    if isinstance(chosen, validation.Problems):
         _log.error(
             "invalid settings rejected; keeping the current ones", reason=str(chosen)
         )
--- a/src/pimentolatch/gateway/settings.py
+++ b/src/pimentolatch/gateway/settings.py
@@ -5,7 +5,7 @@
 
 import pydantic
 
-from pimentolatch import checks, settings
+from pimentolatch import settings, validation
 from pimentolatch.decisions import crash_suspects, server_plan
 
 __all__ = [
@@ -22,7 +22,7 @@
 DigestText = typing.Annotated[str, pydantic.Field(pattern="^[0-9a-f]{12}$")]
 
 
-class PeerSettings(checks.CheckedModel):
+class PeerSettings(validation.CheckedModel):
     """How instances reach each other.
 
     Attributes:
@@ -31,7 +31,7 @@
         seeds: Addresses of some instances, to join the fleet; may be out of date.
     """
 
-    host: settings.IpNumber
+    host: settings.IpAddress
     ports: tuple[settings.PortNumber, settings.PortNumber]
     seeds: tuple[settings.AddressText, ...] = ()
 
@@ -46,7 +46,7 @@
         return settings.Address(host=self.host, port=self.ports[0] + 1)
 
 
-class StoreSettings(checks.CheckedModel):
+class StoreSettings(validation.CheckedModel):
     """The platform's store.
 
     Attributes:
@@ -57,7 +57,7 @@
     call_timeout_s: float = pydantic.Field(default=1.0, gt=0, le=60)
 
 
-class BoundSettings(checks.CheckedModel):
+class BoundSettings(validation.CheckedModel):
     """Bounds that this instance has to observe.
 
     Attributes:
@@ -75,7 +75,7 @@
     lease_ms: float = pydantic.Field(default=3000.0, gt=0)
 
 
-class ControlSettings(checks.CheckedModel):
+class ControlSettings(validation.CheckedModel):
     """The platform's interface for reports and orders, sent by the leader only.
 
     Attributes:
@@ -88,7 +88,7 @@
     usage_window_s: float = pydantic.Field(default=5.0, gt=0)
 
 
-class CapacitySettings(checks.CheckedModel):
+class CapacitySettings(validation.CheckedModel):
     """How servers that are billed by the second are ordered.
 
     Attributes:
@@ -111,7 +111,7 @@
         return server_plan.Policy(self.servers, self.spot, self.spare_domains)
 
 
-class QuarantineSettings(checks.CheckedModel):
+class QuarantineSettings(validation.CheckedModel):
     """When a request that crashes servers is quarantined, that is, not dispatched.
 
     Attributes:
@@ -138,7 +138,7 @@
         )
 
 
-class GatewaySettings(checks.CheckedModel):
+class GatewaySettings(validation.CheckedModel):
     """Settings of one instance.
 
     Attributes:
--- a/src/pimentolatch/gateway/store_watch.py
+++ b/src/pimentolatch/gateway/store_watch.py
@@ -8,7 +8,7 @@
 
 from pimentolatch import backoff, clock, store
 from pimentolatch.gateway import expired_entries, fleet_state
-from pimentolatch.platform import configuration, entries, objects
+from pimentolatch.platform import configuration, objects, server_entries
 from pimentolatch.routes import servers
 
 __all__ = [
@@ -153,7 +153,7 @@
         time: Clock of this instance.
     """
 
-    kind = entries.SERVER_KIND
+    kind = server_entries.SERVER_KIND
     coalesce_interval = _COALESCE_INTERVAL
 
     def __init__(
@@ -199,7 +199,7 @@
         """Decode the valid entries; log each entry that has become invalid."""
         usable = []
         for item in found:
-            decoded = entries.decode(item.name, item.value)
+            decoded = server_entries.decode(item.name, item.value)
             if isinstance(decoded, servers.Server):
                 usable.append(decoded)
                 self._unusable.discard(item.name)
@@ -213,7 +213,7 @@
     """Apply a configuration if it is valid and newer; return whether it was applied."""
     try:
         decoded = configuration.decode(spec)
-    except configuration.UNREADABLE as error:
+    except configuration.DECODE_ERRORS as error:
         _log.error("configuration not understood", reason=repr(error))
         return False
     if not fleet.configure(decoded, spec):
--- a/src/pimentolatch/logs.py
+++ b/src/pimentolatch/logs.py
@@ -12,7 +12,7 @@
 
 _STANDARD_OUTPUT = 1
 # Lines that wait for a reader; some seconds of a busy instance.
-_MOST_WAITING_BYTES = 262_144
+_MAX_BUFFERED_BYTES = 262_144
 
 
 class BoundedStream:
@@ -29,15 +29,15 @@
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        self._waiting: collections.deque[bytes] = collections.deque()
-        self._bytes = 0
+        self._buffer: collections.deque[bytes] = collections.deque()
+        self._buffered_bytes = 0
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
         """Take a line."""
         data = text.encode()
-        if self._bytes + len(data) > _MOST_WAITING_BYTES:
+        if self._buffered_bytes + len(data) > _MAX_BUFFERED_BYTES:
             self.dropped += 1
         else:
             self._append(data)
@@ -45,30 +45,30 @@
 
     def flush(self) -> None:
         """Hand on what the reader takes now."""
-        while self._waiting:
-            data = self._waiting[0]
+        while self._buffer:
+            data = self._buffer[0]
             try:
                 written = os.write(self._descriptor, data)
             except BlockingIOError:
                 return
             except OSError:
                 # Nobody will ever read it.
-                self._waiting.clear()
-                self._bytes = 0
+                self._buffer.clear()
+                self._buffered_bytes = 0
                 return
-            self._bytes -= written
+            self._buffered_bytes -= written
             if written < len(data):
-                self._waiting[0] = data[written:]
+                self._buffer[0] = data[written:]
                 return
-            self._waiting.popleft()
-            if self.dropped and not self._waiting:
-                self._tell_dropped()
+            self._buffer.popleft()
+            if self.dropped and not self._buffer:
+                self._report_dropped()
 
     def _append(self, data: bytes) -> None:
-        self._waiting.append(data)
-        self._bytes += len(data)
+        self._buffer.append(data)
+        self._buffered_bytes += len(data)
 
-    def _tell_dropped(self) -> None:
+    def _report_dropped(self) -> None:
         line = {"level": "warning", "message": "log lines dropped", "n": self.dropped}
         self.dropped = 0
         self._append(json.dumps(line).encode() + b"\n")
@@ -84,7 +84,7 @@
     def format(self, record: logbook.LogRecord) -> str:
         """Return the record as a JSON line without its end."""
         fields: dict[str, typing.Any] = {
-            "time": _shown_time(record.time),
+            "time": _format_time(record.time),
             "level": record.level_name.lower(),
             "instance": self._instance,
             "logger": record.channel,
@@ -96,7 +96,7 @@
         return json.dumps(fields, default=str)
 
 
-def _shown_time(time: datetime.datetime | None) -> str | None:
+def _format_time(time: datetime.datetime | None) -> str | None:
     return None if time is None else time.isoformat(timespec="milliseconds")
 
 
--- a/src/pimentolatch/platform/configuration.py
+++ b/src/pimentolatch/platform/configuration.py
@@ -6,13 +6,13 @@
 
 from pimentolatch.routes import customers, table
 
-__all__ = ["CONFIGURATION_KIND", "CONFIGURATION_NAME", "UNREADABLE", "decode"]
+__all__ = ["CONFIGURATION_KIND", "CONFIGURATION_NAME", "DECODE_ERRORS", "decode"]
 
 CONFIGURATION_KIND = "config"
 CONFIGURATION_NAME = "main"
 
 # What `decode` raises for what is not a configuration.
-UNREADABLE = (AttributeError, LookupError, OverflowError, TypeError, ValueError)
+DECODE_ERRORS = (AttributeError, LookupError, OverflowError, TypeError, ValueError)
 
 _Fields = abc.Mapping[str, typing.Any]
 
@@ -21,7 +21,7 @@
     """Return the configuration that a spec holds.
 
     Raises:
-        One of `UNREADABLE`: The spec is not a configuration.
+        One of `DECODE_ERRORS`: The spec is not a configuration.
     """
     services = (_service(fields) for fields in spec["services"])
     return table.Configuration(
--- a/src/pimentolatch/platform/control_api.py
+++ b/src/pimentolatch/platform/control_api.py
@@ -25,7 +25,7 @@
     "Unanswered",
 ]
 
-_CALL_LIMIT = datetime.timedelta(seconds=1)
+_CALL_TIMEOUT = datetime.timedelta(seconds=1)
 _USAGE = b"/usage"
 _SCALE = b"/scale"
 
@@ -103,7 +103,7 @@
     def __init__(self, address: settings.Address, time: clock.Clock) -> None:
         self._address = address
         self._clock = time
-        self._pool = channel.ChannelPool(_CALL_LIMIT)
+        self._pool = channel.ChannelPool(_CALL_TIMEOUT)
 
     async def report_usage(
         self, holder: Holder, window: int, counts: abc.Mapping[str, int]
@@ -149,7 +149,7 @@
         except channel.ConnectError as error:
             return Unanswered(str(error), reached=False)
         try:
-            async with asyncio.timeout(_CALL_LIMIT.total_seconds()):
+            async with asyncio.timeout(_CALL_TIMEOUT.total_seconds()):
                 link.send(
                     "POST", target, self._fields(holder), json.dumps(body).encode()
                 )
--- a/src/pimentolatch/platform/engines.py
+++ b/src/pimentolatch/platform/engines.py
@@ -11,9 +11,9 @@
 __all__ = [
     "ORDER_TARGET",
     "REPORT_TARGET",
-    "ReadPrompt",
+    "PrefillResult",
     "StageOrder",
-    "decode_read_prompt",
+    "decode_prefill_result",
     "decode_report",
     "encode_stage_order",
     "order_fields",
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadPrompt:
+class PrefillResult:
     """A prompt that an engine has read and keeps for another one."""
 
     handle: str
@@ -52,11 +52,11 @@
     orders: int
 
 
-def decode_read_prompt(body: bytes) -> ReadPrompt:
+def decode_prefill_result(body: bytes) -> PrefillResult:
     """Decode the answer to a request that was only read; raises `ValueError`."""
     try:
         fields = json.loads(body)
-        return ReadPrompt(str(fields["kv_handle"]), int(fields["tokens"]))
+        return PrefillResult(str(fields["kv_handle"]), int(fields["tokens"]))
     except (LookupError, OverflowError, RecursionError, TypeError) as error:
         raise ValueError(f"not a handle: {body[:60]!r}") from error
 
@@ -97,7 +97,7 @@
             int(fields.get("running", 0)),
             # Each run is a row of id, tokens in memory, events made and priority.
             frozenset(str(row[0]) for row in fields.get("runs", ())),
-            _born(fields.get("born")),
+            _checked_born(fields.get("born")),
         )
     except (
         LookupError,
@@ -110,7 +110,7 @@
         return None
 
 
-def _born(value: typing.Any) -> int | None:
+def _checked_born(value: typing.Any) -> int | None:
     if value is None or (isinstance(value, int) and not isinstance(value, bool)):
         return value
     raise ValueError(f"born {value!r:.60} is no whole number")
--- a/src/pimentolatch/platform/heads.py
+++ b/src/pimentolatch/platform/http_headers.py
@@ -8,14 +8,14 @@
 from pimentolatch.requests import prompts
 
 __all__ = [
-    "AnswerHead",
-    "ClientHead",
-    "Delivery",
+    "ResponseHeaders",
+    "ClientHeaders",
+    "DispatchOptions",
     "SETTINGS_VARIABLE",
-    "read_answer",
-    "read_client",
+    "parse_response_headers",
+    "parse_client_headers",
     "request_fields",
-    "without_keys",
+    "without_api_keys",
 ]
 
 # Environment variable with the path of a process's settings file.
@@ -24,7 +24,7 @@
 Fields = abc.Sequence[tuple[bytes, bytes]]
 
 _REQUEST_ID = b"x-request-id"
-_CALLER_KEY = b"api-key"
+_API_KEY = b"api-key"
 _DEADLINE = b"x-deadline-ms"
 _MODEL = b"x-model"
 _TOKEN_COUNTS = b"x-token-counts"
@@ -35,22 +35,22 @@
 _CUSTOMER = b"x-tenant"
 _URGENCY = b"x-request-urgency"
 _STAGE = b"x-stage"
-_CACHE_SOURCE = b"x-kv-source"
-_CACHE_FETCH = b"kv-fetch"
+_KV_SOURCE = b"x-kv-source"
+_KV_FETCH = b"kv-fetch"
 _NOT_RUN = b"x-not-executed"
 _SEAL = b"x-response-seal"
-_READ_ONLY = b"prefill"
+_PREFILL_ONLY = b"prefill"
 
 # Only we set these: a client that sends one would claim memory, another request's
 # prompt, another place in the queue or another customer's name for itself.
-_OURS = frozenset(
+_RESERVED_FIELDS = frozenset(
     {
         _DEADLINE,
         _EXPECTED_SERVER,
         _URGENCY,
         _STAGE,
-        _CACHE_SOURCE,
-        _CACHE_FETCH,
+        _KV_SOURCE,
+        _KV_FETCH,
         _CUSTOMER,
         b"x-expect-version",
         b"x-pin-ms",
@@ -80,18 +80,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClientHead:
+class ClientHeaders:
     """What the header of a client's request says.
 
     Attributes:
-        keys: Every key that the header holds, an empty one included.
+        api_keys: Every key that the header holds, an empty one included.
         time_left: How long the client will wait from now on; None if it does not say.
         last_event: Number of the last event that the client holds; 0 for none.
         prompt: What is to be read and written, for model requests.
     """
 
     host: str
-    keys: tuple[bytes, ...] = dataclasses.field(repr=False)
+    api_keys: tuple[bytes, ...] = dataclasses.field(repr=False)
     request_id: str
     time_left: datetime.timedelta | None
     last_event: int
@@ -99,32 +99,32 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Delivery:
+class DispatchOptions:
     """What we tell a server about a request that is sent to it.
 
     Attributes:
         server_id: The only server that may run it.
         time_left: After this time the server stops working on it.
         urgency: 0 is served first, 9 last; None leaves it to the server.
-        only_read: Only read the prompt and keep it for another server.
-        source: Server and handle of a prompt that was read there.
+        prefill_only: Only read the prompt and keep it for another server.
+        prefill_source: Server and handle of a prompt that was read there.
         last_event: Go on after this event; None leaves the client's own field.
-        donor: Server that keeps parts of the prompt, to be fetched from there.
+        kv_source: Server that keeps parts of the prompt, to be fetched from there.
         customer: Whose request it is.
     """
 
     server_id: str
     time_left: datetime.timedelta
     urgency: int | None = None
-    only_read: bool = False
-    source: tuple[settings.Address, str] | None = None
+    prefill_only: bool = False
+    prefill_source: tuple[settings.Address, str] | None = None
     last_event: int | None = None
-    donor: settings.Address | None = None
+    kv_source: settings.Address | None = None
     customer: str | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHeaders:
     """What the header of a server's answer says.
 
     Attributes:
@@ -142,7 +142,7 @@
     fields: tuple[tuple[bytes, bytes], ...]
 
 
-def read_client(fields: Fields) -> ClientHead:
+def parse_client_headers(fields: Fields) -> ClientHeaders:
     """Decode the header of a client's request.
 
     Raises:
@@ -150,9 +150,9 @@
     """
     found = {name.lower(): value for name, value in fields}
     time_left = found.get(_DEADLINE)
-    return ClientHead(
+    return ClientHeaders(
         host=found.get(b"host", b"").decode("latin-1"),
-        keys=tuple(v.strip() for name, v in fields if name.lower() == _CALLER_KEY),
+        api_keys=tuple(v.strip() for name, v in fields if name.lower() == _API_KEY),
         request_id=found.get(_REQUEST_ID, b"").decode("latin-1"),
         time_left=None if time_left is None else _milliseconds(time_left),
         last_event=int(found.get(_LAST_EVENT, b"0") or b"0"),
@@ -188,35 +188,37 @@
     return tuple(parts)
 
 
-def without_keys(fields: Fields) -> Fields:
+def without_api_keys(fields: Fields) -> Fields:
     """Return a header without what proves whose request it is."""
-    return [(name, value) for name, value in fields if name.lower() != _CALLER_KEY]
+    return [(name, value) for name, value in fields if name.lower() != _API_KEY]
 
 
-def request_fields(fields: Fields, delivery: Delivery) -> list[tuple[bytes, bytes]]:
+def request_fields(
+    fields: Fields, options: DispatchOptions
+) -> list[tuple[bytes, bytes]]:
     """Return the header that a server receives, without its body's length."""
-    dropped = _CONNECTION_FIELDS | _OURS | _named_by_connection(fields)
-    if delivery.last_event is not None:
+    dropped = _CONNECTION_FIELDS | _RESERVED_FIELDS | _named_by_connection(fields)
+    if options.last_event is not None:
         dropped |= {_LAST_EVENT}
     kept = [(name, value) for name, value in fields if name.lower() not in dropped]
-    left = max(1, int(delivery.time_left / datetime.timedelta(milliseconds=1)))
+    left = max(1, int(options.time_left / datetime.timedelta(milliseconds=1)))
     kept.append((_DEADLINE, b"%d" % left))
-    kept.append((_EXPECTED_SERVER, delivery.server_id.encode("latin-1")))
-    if delivery.customer is not None:
-        kept.append((_CUSTOMER, delivery.customer.encode()))
-    if delivery.urgency is not None:
-        kept.append((_URGENCY, b"%d" % delivery.urgency))
-    if delivery.only_read:
-        kept.append((_STAGE, _READ_ONLY))
-    if delivery.source is not None:
-        address, handle = delivery.source
+    kept.append((_EXPECTED_SERVER, options.server_id.encode("latin-1")))
+    if options.customer is not None:
+        kept.append((_CUSTOMER, options.customer.encode()))
+    if options.urgency is not None:
+        kept.append((_URGENCY, b"%d" % options.urgency))
+    if options.prefill_only:
+        kept.append((_STAGE, _PREFILL_ONLY))
+    if options.prefill_source is not None:
+        address, handle = options.prefill_source
         text = f"{address.host}:{address.port}/{handle}"
-        kept.append((_CACHE_SOURCE, text.encode("latin-1")))
-    if delivery.donor is not None:
-        text = f"{delivery.donor.host}:{delivery.donor.port}"
-        kept.append((_CACHE_FETCH, text.encode("latin-1")))
-    if delivery.last_event is not None:
-        kept.append((_LAST_EVENT, b"%d" % delivery.last_event))
+        kept.append((_KV_SOURCE, text.encode("latin-1")))
+    if options.kv_source is not None:
+        text = f"{options.kv_source.host}:{options.kv_source.port}"
+        kept.append((_KV_FETCH, text.encode("latin-1")))
+    if options.last_event is not None:
+        kept.append((_LAST_EVENT, b"%d" % options.last_event))
     return kept
 
 
@@ -231,12 +233,12 @@
     )
 
 
-def read_answer(fields: Fields) -> AnswerHead:
+def parse_response_headers(fields: Fields) -> ResponseHeaders:
     """Decode the header of a server's answer."""
     found = {name.lower(): value for name, value in fields}
     dropped = (_CONNECTION_FIELDS - {b"content-length"}) | _named_by_connection(fields)
     dropped |= {_NOT_RUN, b"x-instance-id"}
-    return AnswerHead(
+    return ResponseHeaders(
         request_id=found.get(_REQUEST_ID, b"").decode("latin-1"),
         not_run=_NOT_RUN in found,
         sealed=_SEAL in found,
--- a/src/pimentolatch/platform/objects.py
+++ b/src/pimentolatch/platform/objects.py
@@ -20,19 +20,19 @@
 
     Args:
         address: The store's address.
-        call_limit: How long a call may take; a watch takes its wait besides.
+        call_timeout: How long a call may take; a watch takes its wait besides.
     """
 
     def __init__(
         self,
         address: settings.Address,
-        call_limit: datetime.timedelta,
+        call_timeout: datetime.timedelta,
         time: clock.Clock,
     ) -> None:
         self._address = address
-        self._limit = call_limit
+        self._call_timeout = call_timeout
         self._clock = time
-        self._pool = channel.ChannelPool(call_limit)
+        self._pool = channel.ChannelPool(call_timeout)
 
     async def list_objects(
         self, kind: str, prefix: str = ""
@@ -43,10 +43,10 @@
         revision = 0
         while True:
             query = {"after": after} if after else {}
-            answer = await self._call("GET", _path(kind, query=query))
-            if isinstance(answer, store.Unavailable):
-                return answer
-            body = answer.body
+            response = await self._call("GET", _path(kind, query=query))
+            if isinstance(response, store.Unavailable):
+                return response
+            body = response.body
             found += [_object(item) for item in body["items"]]
             # A page of a later revision may lack what moved to an earlier page, so
             # changes are followed from the first page's revision.
@@ -62,15 +62,15 @@
         """See `store.Store.watch`."""
         milliseconds = int(wait / datetime.timedelta(milliseconds=1))
         query = {"watch": str(after), "wait_ms": str(milliseconds)}
-        answer = await self._call("GET", _path(kind, query=query), extra=wait)
-        if isinstance(answer, store.Unavailable):
-            return answer
-        if answer.status == 410:
+        response = await self._call("GET", _path(kind, query=query), extra=wait)
+        if isinstance(response, store.Unavailable):
+            return response
+        if response.status == 410:
             return store.HistoryGone()
-        events = answer.body["events"]
+        events = response.body["events"]
         latest = {event["object"]["metadata"]["name"]: event for event in events}
         return store.Changes(
-            int(answer.body["as_of"]),
+            int(response.body["as_of"]),
             tuple(_object(e["object"]) for e in latest.values() if not e["deleted"]),
             tuple(name for name, e in latest.items() if e["deleted"]),
         )
@@ -79,12 +79,12 @@
         self, kind: str, name: str
     ) -> store.Found | store.Absent | store.Unavailable:
         """See `store.Store.get`."""
-        answer = await self._call("GET", _path(kind, name))
-        if isinstance(answer, store.Unavailable):
-            return answer
-        if answer.status == 404:
+        response = await self._call("GET", _path(kind, name))
+        if isinstance(response, store.Unavailable):
+            return response
+        if response.status == 404:
             return store.Absent(name)
-        return _object(answer.body)
+        return _object(response.body)
 
     async def put(
         self, kind: str, name: str, value: store.Json, *, if_version: int
@@ -97,35 +97,37 @@
         else:
             method, path = "POST", _path(kind)
         body = {"metadata": metadata, "spec": value}
-        answer = await self._call(method, path, body)
-        if isinstance(answer, store.Unavailable):
-            return answer
-        if answer.status in (404, 409):
-            current = (answer.body or {}).get("metadata", {})
+        response = await self._call(method, path, body)
+        if isinstance(response, store.Unavailable):
+            return response
+        if response.status in (404, 409):
+            current = (response.body or {}).get("metadata", {})
             return store.Conflict(int(current.get("revision", 0)))
-        return store.Written(int(answer.body["metadata"]["revision"]))
+        return store.Written(int(response.body["metadata"]["revision"]))
 
     async def delete(
         self, kind: str, name: str, *, if_version: int
     ) -> store.Written | store.Absent | store.Conflict | store.Unavailable:
         """See `store.Store.delete`."""
         path = _path(kind, name, {"revision": str(if_version)})
-        answer = await self._call("DELETE", path)
-        if isinstance(answer, store.Unavailable):
-            return answer
-        if answer.status == 404:
+        response = await self._call("DELETE", path)
+        if isinstance(response, store.Unavailable):
+            return response
+        if response.status == 404:
             return store.Absent(name)
-        version = int(((answer.body or {}).get("metadata") or {}).get("revision", 0))
+        version = int(((response.body or {}).get("metadata") or {}).get("revision", 0))
         return (
-            store.Conflict(version) if answer.status == 409 else store.Written(version)
+            store.Conflict(version)
+            if response.status == 409
+            else store.Written(version)
         )
 
     async def instances(self) -> tuple[store.Instance, ...] | store.Unavailable:
         """See `store.Store.instances`."""
-        answer = await self._call("GET", "/v1/instances")
-        if isinstance(answer, store.Unavailable):
-            return answer
-        rows = answer.body["instances"]
+        response = await self._call("GET", "/v1/instances")
+        if isinstance(response, store.Unavailable):
+            return response
+        rows = response.body["instances"]
         return tuple(
             store.Instance(**{**row, "ended": tuple(row["ended"])}) for row in rows
         )
@@ -137,8 +139,8 @@
         body: typing.Any = None,
         *,
         extra: datetime.timedelta = datetime.timedelta(),
-    ) -> "_Answer | store.Unavailable":
-        write = method != "GET"
+    ) -> "_Response | store.Unavailable":
+        is_write = method != "GET"
         data = b"" if body is None else json.dumps(body).encode()
         host = f"{self._address.host}:{self._address.port}".encode()
         try:
@@ -147,12 +149,12 @@
                 "store",
                 self._address,
                 self._clock.monotonic(),
-                longest_idle=datetime.timedelta(0) if write else None,
+                longest_idle=datetime.timedelta(0) if is_write else None,
             )
         except channel.ConnectError as error:
             return store.Unavailable(str(error), effect_unknown=False)
         try:
-            async with asyncio.timeout((self._limit + extra).total_seconds()):
+            async with asyncio.timeout((self._call_timeout + extra).total_seconds()):
                 link.send(method, target.encode(), [(b"host", host), *_JSON], data)
                 start = await link.start()
                 content = await link.read_whole()
@@ -166,12 +168,12 @@
             RecursionError,
         ) as error:
             link.close()
-            return store.Unavailable(repr(error), effect_unknown=write)
+            return store.Unavailable(repr(error), effect_unknown=is_write)
         except BaseException:
             link.close()
             raise
         self._pool.give_back("store", link, self._clock.monotonic())
-        return _checked(start, parsed, write)
+        return _check_status(start, parsed, is_write)
 
     def close(self) -> None:
         """Close the kept connections."""
@@ -179,22 +181,22 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Answer:
+class _Response:
     status: int
     body: typing.Any
 
 
-def _checked(
-    start: channel.AnswerStart, parsed: typing.Any, write: bool
-) -> _Answer | store.Unavailable:
+def _check_status(
+    start: channel.AnswerStart, parsed: typing.Any, is_write: bool
+) -> _Response | store.Unavailable:
     if start.status in (200, 201, 404, 409, 410):
-        return _Answer(start.status, parsed)
+        return _Response(start.status, parsed)
     retry_after = None
     for name, value in start.fields:
         if name == b"retry-after":
             retry_after = datetime.timedelta(seconds=float(value))
     # 503 and 429 promise that nothing was done.
-    unknown = write and start.status not in (429, 503)
+    unknown = is_write and start.status not in (429, 503)
     return store.Unavailable(f"status {start.status}", unknown, retry_after)
 
 
--- a/src/pimentolatch/requests/service_call.py
+++ b/src/pimentolatch/requests/service_call.py
@@ -4,7 +4,7 @@
 import datetime
 import typing
 
-from pimentolatch import clock, fleet, index, results, settings
+from pimentolatch import clock, document_index, fleet, results, settings
 from pimentolatch.backend import outcomes, plain
 from pimentolatch.decisions import outstanding_work, plain_routing
 from pimentolatch.document import schema
@@ -72,8 +72,8 @@
         self._work = work
         self._clock = time
         self._router = plain_routing.PlainRouter(own_domain, work)
-        self._indexes = index.Indexes()
-        self._known: index.Index | None = None
+        self._indexes = document_index.IndexCache()
+        self._known: document_index.Index | None = None
 
     async def send(
         self,
@@ -127,7 +127,7 @@
         view = self._fleet.view
         if view.document is None:
             return None
-        known = self._indexes.of(view.document)
+        known = self._indexes.get(view.document)
         if known is not self._known:
             self._known = known
             self._router.forget({s.name for s in view.document.plain_servers})
@@ -171,7 +171,7 @@
         self._fleet = own_fleet
         self._sender = sender
         self._keyed = keyed
-        self._indexes = index.Indexes()
+        self._indexes = document_index.IndexCache()
 
     async def run(self, call: ServiceCall) -> keys.Outcome:
         """Return the service's answer or a refusal."""
@@ -183,7 +183,7 @@
                 results.Execution.NOT_RUN,
                 _RETRY_AFTER,
             )
-        operations = self._indexes.of(document).operations
+        operations = self._indexes.get(document).operations
         operation = operations.get((call.service, call.operation))
         if operation is None:
             return results.Refusal(
--- a/src/pimentolatch/requests/stream.py
+++ b/src/pimentolatch/requests/stream.py
@@ -9,7 +9,7 @@
 
 import logbook
 
-from pimentolatch import backoff, clock, results, settings, waits
+from pimentolatch import backoff, clock, results, reusable_timeout, settings
 from pimentolatch.backend import engine as engine_client
 from pimentolatch.backend import outcomes
 from pimentolatch.document import schema
@@ -236,7 +236,7 @@
         self, completion: Completion, engine: schema.Engine, offset: int
     ) -> abc.AsyncGenerator[outcomes.EngineEvent, None]:
         final: outcomes.EngineEvent | None = None
-        limits = waits.Waits()
+        limits = reusable_timeout.ReusableTimeout()
         self._choice.began(completion, engine)
         try:
             dispatch = engine_client.Dispatch(
@@ -289,7 +289,7 @@
 
     async def _next(
         self,
-        limits: waits.Waits,
+        limits: reusable_timeout.ReusableTimeout,
         events: abc.AsyncGenerator[outcomes.EngineEvent, None],
         completion: Completion,
         silence: float,
@@ -302,7 +302,7 @@
         """
         limit = min(silence, self._time_left(completion))
         try:
-            return await limits.within(limit, anext(events))
+            return await limits.wait_for(limit, anext(events))
         except TimeoutError:
             return outcomes.Broken(f"silent for {limit:.3g} s")
         except StopAsyncIteration:
--- a/src/pimentolatch/results.py
+++ b/src/pimentolatch/results.py
@@ -132,11 +132,11 @@
     return Refusal(ResultCode.INVALID_REQUEST, message, Execution.NOT_RUN)
 
 
-def quarantined(left: datetime.timedelta) -> Refusal:
+def quarantined(remaining: datetime.timedelta) -> Refusal:
     """Refuse what has ended servers, for as long as it is kept from them."""
     return Refusal(
         ResultCode.QUARANTINED,
         "servers ended while they ran this request",
         Execution.NOT_RUN,
-        left,
+        remaining,
     )
--- a/src/pimentolatch/waits.py
+++ b/src/pimentolatch/reusable_timeout.py
@@ -3,12 +3,12 @@
 import asyncio
 import typing
 
-__all__ = ["Waits"]
+__all__ = ["ReusableTimeout"]
 
 _Result = typing.TypeVar("_Result")
 
 
-class Waits:
+class ReusableTimeout:
     """Time limits on waits that follow one another, one at a time.
 
     A stream waits twice for each token, for the engine and for the caller. A timer set
@@ -20,21 +20,23 @@
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
-        self._until: float | None = None
+        self._deadline: float | None = None
         self._task: asyncio.Task[typing.Any] | None = None
         self._expired = False
 
-    async def within(self, seconds: float, wait: typing.Awaitable[_Result]) -> _Result:
+    async def wait_for(
+        self, seconds: float, awaitable: typing.Awaitable[_Result]
+    ) -> _Result:
         """Return what is waited for; raises `TimeoutError` past the limit."""
         task = asyncio.current_task()
         assert task is not None
         cancelling = task.cancelling()
         self._task = task
-        self._until = self._loop.time() + seconds
-        if self._timer is None or self._timer.when() > self._until:
-            self._set_timer(self._until)
+        self._deadline = self._loop.time() + seconds
+        if self._timer is None or self._timer.when() > self._deadline:
+            self._set_timer(self._deadline)
         try:
-            return await wait
+            return await awaitable
         except asyncio.CancelledError:
             # The cancellation may be ours, somebody else's, or both; only ours alone
             # may be turned into a timeout.
@@ -42,7 +44,7 @@
                 raise TimeoutError from None
             raise
         finally:
-            self._until = None
+            self._deadline = None
             self._expired = False
 
     def close(self) -> None:
@@ -53,14 +55,14 @@
 
     def _set_timer(self, when: float) -> None:
         self.close()
-        self._timer = self._loop.call_at(when, self._look)
+        self._timer = self._loop.call_at(when, self._on_timer)
 
-    def _look(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
-        if self._until is None or self._task is None:
+        if self._deadline is None or self._task is None:
             return
-        if self._loop.time() < self._until:
-            self._set_timer(self._until)
+        if self._loop.time() < self._deadline:
+            self._set_timer(self._deadline)
             return
         self._expired = True
         self._task.cancel()
--- a/src/pimentolatch/settings.py
+++ b/src/pimentolatch/settings.py
@@ -8,7 +8,7 @@
 
 import pydantic
 
-from pimentolatch import checks
+from pimentolatch import validation
 
 __all__ = [
     "Address",
@@ -19,24 +19,24 @@
 ]
 
 
-def _ip_number(value: str) -> str:
+def _ip_address(value: str) -> str:
     try:
         return str(ipaddress.ip_address(value))
     except ValueError:
         raise ValueError("must be an IP number, such as 192.0.2.7") from None
 
 
-IpNumber = typing.Annotated[str, pydantic.AfterValidator(_ip_number)]
+IpAddress = typing.Annotated[str, pydantic.AfterValidator(_ip_address)]
 PortNumber = typing.Annotated[int, pydantic.Field(ge=1, le=65535)]
 Name = typing.Annotated[
     str, pydantic.Field(pattern=r"^[a-z0-9][a-z0-9-]{0,62}$", max_length=63)
 ]
 
 
-class Address(checks.CheckedModel):
+class Address(validation.CheckedModel):
     """A TCP address."""
 
-    host: IpNumber
+    host: IpAddress
     port: PortNumber
 
     @classmethod
@@ -63,7 +63,7 @@
 AddressText = typing.Annotated[Address, pydantic.BeforeValidator(_address_from_text)]
 
 
-class PlatformSettings(checks.CheckedModel):
+class PlatformSettings(validation.CheckedModel):
     """Where the platform is and how much of it this instance may use.
 
     Attributes:
@@ -78,7 +78,7 @@
     call_timeout_s: float = pydantic.Field(default=2.0, gt=0, le=60)
 
 
-class PeerSettings(checks.CheckedModel):
+class PeerSettings(validation.CheckedModel):
     """Links to the other entry instances.
 
     Attributes:
@@ -103,18 +103,18 @@
     list_lag_bound_s: float = pydantic.Field(default=30.0, gt=0, le=3600)
 
     @property
-    def reached_at(self) -> Address:
+    def dial_address(self) -> Address:
         """Address that peers dial."""
         return self.advertised or self.address
 
 
-class LogSettings(checks.CheckedModel):
+class LogSettings(validation.CheckedModel):
     """What is logged."""
 
     level: typing.Literal["DEBUG", "INFO", "NOTICE", "WARNING", "ERROR"] = "INFO"
 
 
-class EntrySettings(checks.CheckedModel):
+class EntrySettings(validation.CheckedModel):
     """Settings of one entry instance.
 
     Attributes:
--- a/src/pimentolatch/tasks.py
+++ b/src/pimentolatch/tasks.py
@@ -11,7 +11,7 @@
 __all__ = ["keep_running"]
 
 _log = logbook.Logger("tasks")
-_PAUSE = datetime.timedelta(seconds=1)
+_RESTART_DELAY = datetime.timedelta(seconds=1)
 
 
 async def keep_running(
@@ -31,4 +31,4 @@
             await work()
         except Exception:
             _log.exception("task failed and is started again", task=name)
-        await time.sleep(_PAUSE)
+        await time.sleep(_RESTART_DELAY)
--- a/src/pimentolatch/checks.py
+++ b/src/pimentolatch/validation.py
@@ -16,7 +16,7 @@
     "read_file",
 ]
 
-_SHOWN_VALUE_LENGTH = 60
+_MAX_VALUE_LENGTH = 60
 
 
 class CheckedModel(pydantic.BaseModel):
@@ -56,11 +56,11 @@
         return "\n".join(str(problem) for problem in self.problems)
 
 
-def _shown(value: object) -> str:
+def _shorten(value: object) -> str:
     text = repr(value)
-    if len(text) <= _SHOWN_VALUE_LENGTH:
+    if len(text) <= _MAX_VALUE_LENGTH:
         return text
-    return text[:_SHOWN_VALUE_LENGTH] + "..."
+    return text[:_MAX_VALUE_LENGTH] + "..."
 
 
 def check_value(model: type[ModelT], value: object) -> ModelT | Problems:
@@ -81,7 +81,7 @@
         tuple(
             InputProblem(
                 field=".".join(str(part) for part in item["loc"]) or "(whole input)",
-                value=_shown(item["input"]),
+                value=_shorten(item["input"]),
                 advice=item["msg"],
             )
             for item in found
@@ -95,7 +95,7 @@
         value = jsonc.loads(text)
     except (ValueError, RecursionError) as error:
         problem = InputProblem(
-            "(whole input)", _shown(text), f"must be JSON with comments: {error}"
+            "(whole input)", _shorten(text), f"must be JSON with comments: {error}"
         )
         return Problems((problem,))
     return check_value(model, value)
--- a/tests/features/steps/orders_duty_steps.py
+++ b/tests/features/steps/orders_duty_steps.py
@@ -294,7 +294,7 @@
 def note(context, writer):
     detail = f"change {len(context.noted)}"
     context.noted.append(detail)
-    writer.note(1, "order", "engine-1", "done", detail)
+    writer.add(1, "order", "engine-1", "done", detail)
 
 
 async def _flush(writer):
--- a/tests/features/steps/product_steps.py
+++ b/tests/features/steps/product_steps.py
@@ -9,7 +9,7 @@
 import jsonc
 from hypothesis import strategies
 
-from pimentolatch import checks
+from pimentolatch import validation
 from pimentolatch.control import parts
 from pimentolatch.document import changes, schema
 from standins import deployments, processes
@@ -215,9 +215,9 @@
     @hypothesis.given(strategies.text(max_size=200), JSON, damaged_documents())
     def check(text, value, damaged):
         context.checked += [
-            checks.check_text(schema.FleetDocument, text),
-            checks.check_value(schema.FleetDocument, value),
-            checks.check_value(schema.FleetDocument, damaged),
+            validation.check_text(schema.FleetDocument, text),
+            validation.check_value(schema.FleetDocument, value),
+            validation.check_value(schema.FleetDocument, damaged),
         ]
 
     check()
@@ -228,9 +228,9 @@
 )
 def documents_or_problems(context):
     kinds = {type(found) for found in context.checked}
-    assert kinds == {schema.FleetDocument, checks.Problems}, kinds
+    assert kinds == {schema.FleetDocument, validation.Problems}, kinds
     for found in context.checked:
-        if isinstance(found, checks.Problems):
+        if isinstance(found, validation.Problems):
             assert found.problems
             assert all(p.field and p.value and p.advice for p in found.problems)
 
@@ -239,10 +239,10 @@
 def stored_and_read(context):
     context.pairs = []
     for value in DOCUMENTS:
-        document = checks.check_value(schema.FleetDocument, value)
+        document = validation.check_value(schema.FleetDocument, value)
         text = "".join(part.text for part in parts.split(document))
         context.pairs.append(
-            (document, checks.check_value(schema.FleetDocument, json.loads(text)))
+            (document, validation.check_value(schema.FleetDocument, json.loads(text)))
         )
 
 
--- a/tests/features/steps/routes_entries_steps.py
+++ b/tests/features/steps/routes_entries_steps.py
@@ -11,7 +11,7 @@
 import logbook
 
 from pimentolatch import clock, store
-from pimentolatch.platform import configuration, engines, entries, objects
+from pimentolatch.platform import configuration, engines, objects, server_entries
 from pimentolatch.protocol import beacons, snapshots
 from pimentolatch.routes import reports, servers, table
 from standins import route_server
@@ -46,17 +46,17 @@
 
 @behave.then("entries: one {change} is unusable")
 def unusable(context, change):
-    assert isinstance(entries.decode("e1", an_entry()), servers.Server)
-    decoded = entries.decode("e1", changed_entry(change))
-    assert isinstance(decoded, entries.Unusable), decoded
+    assert isinstance(server_entries.decode("e1", an_entry()), servers.Server)
+    decoded = server_entries.decode("e1", changed_entry(change))
+    assert isinstance(decoded, server_entries.InvalidEntry), decoded
     assert decoded.reason and len(decoded.reason) < 200
 
 
 @behave.then("entries: one without its born is usable")
 def usable(context):
-    decoded = entries.decode("e1", changed_entry("without its born"))
+    decoded = server_entries.decode("e1", changed_entry("without its born"))
     assert decoded.incarnation == servers.Incarnation("e1", None)
-    again = entries.decode("e1", an_entry())
+    again = server_entries.decode("e1", an_entry())
     assert again.incarnation == servers.Incarnation("e1", 1000)
 
 
@@ -110,7 +110,7 @@
 
     found = asyncio.run(listing())
     assert isinstance(found, store.Listing), found
-    decoded = [entries.decode(item.name, item.value) for item in found.objects]
+    decoded = [server_entries.decode(item.name, item.value) for item in found.objects]
     assert [isinstance(item, servers.Server) for item in decoded] == [True, False]
 
 
@@ -177,7 +177,7 @@
 
 
 def snapshot():
-    listed = (entries.decode("e1", an_entry()),)
+    listed = (server_entries.decode("e1", an_entry()),)
     expired = {"e1": datetime.timedelta(seconds=1)}
     return cbor2.loads(snapshots.encode_servers(snapshots.Servers(7, listed, expired)))
 
@@ -185,13 +185,13 @@
 def decode_configuration(spec):
     try:
         return configuration.decode(spec)
-    except configuration.UNREADABLE as error:
+    except configuration.DECODE_ERRORS as error:
         return error
 
 
-def decode_read_prompt(value):
+def decode_prefill_result(value):
     try:
-        return engines.decode_read_prompt(as_json(value))
+        return engines.decode_prefill_result(as_json(value))
     except ValueError as error:
         return error
 
@@ -210,8 +210,8 @@
 TARGETS = {
     "entries": Fuzzed(
         an_entry(),
-        lambda spec: entries.decode("e1", spec),
-        (servers.Server, entries.Unusable),
+        lambda spec: server_entries.decode("e1", spec),
+        (servers.Server, server_entries.InvalidEntry),
     ),
     "configurations": Fuzzed(
         route_world.configuration(3, route_world.ROUTES[:1]),
@@ -225,8 +225,8 @@
     ),
     "read prompts": Fuzzed(
         {"kv_handle": "h1", "tokens": 5, "version": 1},
-        decode_read_prompt,
-        (engines.ReadPrompt, ValueError),
+        decode_prefill_result,
+        (engines.PrefillResult, ValueError),
     ),
     "beacons": Fuzzed(
         cbor2.loads(beacons.encode(routes_logic_steps.a_beacon())),
--- a/tests/features/steps/routes_operations_steps.py
+++ b/tests/features/steps/routes_operations_steps.py
@@ -8,8 +8,8 @@
 
 import behave
 
-from pimentolatch import checks, clock, logs
-from pimentolatch.cli import explaining
+from pimentolatch import clock, logs, validation
+from pimentolatch.cli import explanation
 from pimentolatch.decisions import engine_loads, log_budget, stage_plan
 from pimentolatch.gateway import process, request_log, settings
 from pimentolatch.protocol import beacons
@@ -152,7 +152,7 @@
 
 @behave.then('its explanation names "{cause}"')
 def explanation_names(context, cause):
-    told = explaining.explain(explaining.read_lines(context.texts, "r1"))
+    told = explanation.explain(explanation.read_lines(context.texts, "r1"))
     assert cause in told.splitlines()[-1], told
 
 
@@ -169,7 +169,7 @@
 
 @behave.then("only the lines of the one that was asked for are told, in order of time")
 def only_asked(context):
-    found = explaining.read_lines(context.texts, "r1")
+    found = explanation.read_lines(context.texts, "r1")
     assert [item.event for item in found] == ["placed", "answered"], found
 
 
@@ -231,8 +231,8 @@
     fields["quarantine"] = {"exempt": [text]}
     file = pathlib.Path(tempfile.mkdtemp()) / "settings.jsonc"
     file.write_text(json.dumps(fields), encoding="utf-8")
-    problems = checks.read_file(settings.GatewaySettings, file)
-    assert isinstance(problems, checks.Problems)
+    problems = validation.read_file(settings.GatewaySettings, file)
+    assert isinstance(problems, validation.Problems)
     assert "quarantine.exempt" in str(problems), str(problems)
 
 
--- a/tests/features/steps/waits_steps.py
+++ b/tests/features/steps/waits_steps.py
@@ -2,7 +2,7 @@
 
 import behave
 
-from pimentolatch import waits
+from pimentolatch import reusable_timeout
 
 SHORT_S = 0.001
 LIMIT_S = 0.05
@@ -12,16 +12,16 @@
 @behave.when("waits: {count:d} short waits are followed by one that never ends")
 def short_and_endless(context, count):
     async def work():
-        limits = waits.Waits()
+        limits = reusable_timeout.ReusableTimeout()
         ended = []
         for _ in range(count):
-            await limits.within(LIMIT_S, asyncio.sleep(SHORT_S))
+            await limits.wait_for(LIMIT_S, asyncio.sleep(SHORT_S))
             ended.append("in time")
         try:
-            await limits.within(LIMIT_S, asyncio.Event().wait())
+            await limits.wait_for(LIMIT_S, asyncio.Event().wait())
         except TimeoutError:
             ended.append("timeout")
-        ended.append(await limits.within(LIMIT_S, asyncio.sleep(SHORT_S, "again")))
+        ended.append(await limits.wait_for(LIMIT_S, asyncio.sleep(SHORT_S, "again")))
         limits.close()
         return ended
 
@@ -40,8 +40,8 @@
 @behave.when("waits: a task is cancelled while it waits within a limit")
 def cancelled(context):
     async def work():
-        limits = waits.Waits()
-        task = asyncio.create_task(limits.within(LONG_S, asyncio.Event().wait()))
+        limits = reusable_timeout.ReusableTimeout()
+        task = asyncio.create_task(limits.wait_for(LONG_S, asyncio.Event().wait()))
         await asyncio.sleep(SHORT_S)
         task.cancel()
         await asyncio.wait([task])
@@ -58,9 +58,9 @@
 @behave.when("waits: a wait within a short limit is followed by a longer one")
 def short_then_long(context):
     async def work():
-        limits = waits.Waits()
-        await limits.within(LIMIT_S, asyncio.sleep(SHORT_S))
-        return await limits.within(20 * LONG_S, asyncio.sleep(LONG_S, "ended"))
+        limits = reusable_timeout.ReusableTimeout()
+        await limits.wait_for(LIMIT_S, asyncio.sleep(SHORT_S))
+        return await limits.wait_for(20 * LONG_S, asyncio.sleep(LONG_S, "ended"))
 
     context.ended = asyncio.run(work())
 
--- a/tests/support/role_worlds.py
+++ b/tests/support/role_worlds.py
@@ -8,7 +8,7 @@
 import typing
 from collections import abc
 
-from pimentolatch import checks
+from pimentolatch import validation
 from pimentolatch.decisions import demand, engine_states, roles, serving_floor
 from pimentolatch.document import schema
 
@@ -54,7 +54,7 @@
 def policy(fleet: str) -> schema.RolePolicy:
     """Return the role policy of an example document."""
     path = _EXAMPLES / f"{fleet}-fleet.jsonc"
-    document = checks.read_file(schema.FleetDocument, path)
+    document = validation.read_file(schema.FleetDocument, path)
     assert isinstance(document, schema.FleetDocument), document
     return document.roles
 
--- a/tests/support/unsafe.py
+++ b/tests/support/unsafe.py
@@ -18,7 +18,7 @@
 )
 from pimentolatch.platform import (
     configuration,
-    entries,
+    server_entries,
 )
 
 __all__ = ["SAFEGUARDS", "main"]
@@ -44,14 +44,14 @@
 
 def _take_any_answer():
     """The id in an answer is not compared with the request's."""
-    read = dispatch.heads.read_answer
+    read = dispatch.http_headers.parse_response_headers
 
     def nameless(fields):
         head = read(fields)
         object.__setattr__(head, "request_id", "")
         return head
 
-    dispatch.heads.read_answer = nameless
+    dispatch.http_headers.parse_response_headers = nameless
 
 
 def _pass_every_event_on():
@@ -75,12 +75,12 @@
 
 def _send_to_leaving():
     """A server that leaves goes on getting requests."""
-    decode = entries.decode
+    decode = server_entries.decode
 
     def staying(name, spec):
         return decode(name, {**spec, "state": "ready"})
 
-    entries.decode = staying
+    server_entries.decode = staying
 
 
 def _take_no_configuration():
