--- a/src/pimentolatch/__init__.py
+++ b/src/pimentolatch/__init__.py
@@ -1,4 +1,4 @@
-"""Serves language models on a fixed fleet of engines under a shifting load."""
+"""Serves language models on a fixed fleet of engines under changing load."""
 
 __all__ = ["__version__"]
 
--- a/src/pimentolatch/__main__.py
+++ b/src/pimentolatch/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the command line as `python -m pimentolatch`."""
+"""Entry point for `python -m pimentolatch`."""
 
 from pimentolatch.cli import commands
 
--- a/src/pimentolatch/audit/__init__.py
+++ b/src/pimentolatch/audit/__init__.py
@@ -1,1 +1,1 @@
-"""The audit trail of changes, kept in the platform's store."""
+"""Audit trail of changes, in the platform's store."""
--- a/src/pimentolatch/audit/trail.py
+++ b/src/pimentolatch/audit/trail.py
@@ -1,9 +1,9 @@
 """Writes and reads the audit trail.
 
-Records are kept in pages, one object each, and a head object names the newest page,
-so a batch of records costs one write. The number of pages is bounded: the oldest is
-removed as a new one begins. Several instances may write; each write is conditional,
-and one that loses the race reads the page again and appends to what it found.
+Records are stored in pages of one object each, so a batch of records costs one write; a
+head object names the newest page. The number of pages is bounded: starting a page
+deletes the oldest. Several instances may write: each write is conditional, and after a
+version conflict the page is read again and the records are appended to its new content.
 """
 
 import asyncio
@@ -20,12 +20,12 @@
 
 HEAD_KIND = "audit-heads"
 PAGE_KIND = "audit-pages"
-# 100 records of some 300 bytes stay far under the megabyte of a value; 64 pages of a
-# failure domain hold about a day of its share of 3,700 changes and their steps.
+# 100 records of about 300 bytes are far below the store's limit of 1 MB per value. 64
+# pages hold about a day of a failure domain's share of 3,700 changes and their steps.
 RECORDS_PER_PAGE = 100
 PAGES = 64
-# A record more than this is dropped, oldest first: a long outage of the platform must
-# not fill the instance's memory.
+# Beyond this the oldest records are dropped, so that a long outage of the platform does
+# not exhaust the instance's memory.
 MAX_PENDING = 2000
 _ATTEMPTS = 4
 _BATCH_INTERVAL = datetime.timedelta(seconds=2)
@@ -35,17 +35,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """One change.
+    """Audit record of one change.
 
     Attributes:
         at: Wall time in UTC, ISO 8601.
-        instance: Incarnation that acted.
+        instance: Incarnation that made the change.
         document: Number of the document that the change belongs to.
         action: What was done, such as `order` or `return to service`.
-        subject: Whom it was done to: a backend server or a failure domain.
-        outcome: What came of it.
+        subject: Backend server or failure domain that was changed.
+        outcome: Result of the action.
         detail: Order id, target or reason.
-        record_id: Tells a record written twice after a lost answer from two records.
+        record_id: Unique id, to detect a record that was written twice after a lost
+            response.
     """
 
     at: str
@@ -58,12 +59,12 @@
     record_id: str = dataclasses.field(default_factory=identity.new_id)
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Return the stored form."""
+        """Return the record as it is stored."""
         return dataclasses.asdict(self)
 
     @classmethod
     def from_json(cls, value: dict[str, typing.Any]) -> "Record":
-        """Return the record that a stored value describes."""
+        """Return the record of a stored value."""
         return cls(**value)
 
 
@@ -75,11 +76,11 @@
 
 
 class AuditTrail:
-    """Collects records and writes them in batches.
+    """Buffers records and writes them in batches.
 
     Args:
-        name: Name of the trail, a failure domain's name or another fixed word; each
-            has pages of its own.
+        name: Name of the trail: a failure domain or another fixed word. Each trail
+            has its own pages.
     """
 
     def __init__(
@@ -94,29 +95,32 @@
 
     @property
     def pending(self) -> int:
-        """Records not yet in the store."""
+        """Number of records not yet in the store."""
         return len(self._pending)
 
     def add(
         self, document: int, action: str, subject: str, outcome: str, detail: str = ""
     ) -> None:
-        """Add a record; it is written with the next batch."""
+        """Queue a record for the next batch."""
         at = self._clock.now().isoformat(timespec="milliseconds")
         self._pending.append(
             Record(at, self._instance, document, action, subject, outcome, detail)
         )
         if len(self._pending) > MAX_PENDING:
-            _log.warn("audit record dropped", record=self._pending[0].record_id)
+            _log.warn(
+                "audit record dropped: too many pending",
+                record=self._pending[0].record_id,
+            )
             del self._pending[0]
 
     async def run(self) -> None:
-        """Write batches for ever."""
+        """Write pending records in batches; never returns."""
         while True:
             await self._clock.sleep(_BATCH_INTERVAL)
             await self.flush()
 
     async def flush(self) -> bool:
-        """Write what waits; False if some of it still waits."""
+        """Write the pending records; False if some are still pending."""
         async with self._write_lock:
             for _ in range(_ATTEMPTS):
                 if not self._pending:
@@ -124,8 +128,8 @@
                 page = await self._newest_page()
                 if isinstance(page, store.Unavailable):
                     return False
-                # After a lost answer some of the records may have got in; the page
-                # is read again and shows them by their ids.
+                # After a lost response some pending records may be stored already: the
+                # page that was just read contains their ids.
                 self._drop_written(page.records)
                 if len(page.records) >= RECORDS_PER_PAGE:
                     await self._start_next_page(page)
@@ -189,13 +193,13 @@
 
 
 class AuditReader:
-    """Reads the trail of every book."""
+    """Reads all audit trails."""
 
     def __init__(self, objects: store.Store) -> None:
         self._store = objects
 
     async def trail_names(self) -> tuple[str, ...] | store.Unavailable:
-        """Return the names of the books."""
+        """Return the names of all trails."""
         listing = await self._store.list_objects(HEAD_KIND)
         if isinstance(listing, store.Unavailable):
             return listing
@@ -204,7 +208,7 @@
     async def latest_across_trails(
         self, count: int
     ) -> tuple[Record, ...] | store.Unavailable:
-        """Return the newest records over all books, oldest first."""
+        """Return the newest records of all trails together, oldest first."""
         trail_names = await self.trail_names()
         if isinstance(trail_names, store.Unavailable):
             return trail_names
@@ -219,7 +223,7 @@
     async def latest(
         self, name: str, count: int = RECORDS_PER_PAGE
     ) -> tuple[Record, ...] | store.Unavailable:
-        """Return the newest records of a book, oldest first."""
+        """Return the newest records of a trail, oldest first."""
         head = await self._store.get(HEAD_KIND, name)
         if isinstance(head, store.Unavailable):
             return head
@@ -234,7 +238,8 @@
             elif records:
                 break
             number -= 1
-        # A record whose page filled up while its answer was lost can stand on two.
+        # A record can be on two pages if the response to its write was lost and the
+        # page filled up meanwhile.
         unique = {record.record_id: record for record in records}
         return tuple(unique.values())[-count:]
 
--- a/src/pimentolatch/backoff.py
+++ b/src/pimentolatch/backoff.py
@@ -1,4 +1,4 @@
-"""Pauses between attempts: exponential, with full jitter."""
+"""Exponential backoff with full jitter."""
 
 import datetime
 import random
@@ -7,15 +7,15 @@
 
 
 class Backoff:
-    """Pauses that grow while attempts fail.
+    """Pauses between failed attempts.
 
-    Each pause is drawn evenly from zero to a bound that doubles. With a fixed pause,
-    all instances that lost the platform at one moment would call it again at one
-    moment; drawn from the whole range, their calls are spread evenly over it.
+    Each pause is drawn uniformly from zero to a bound that doubles per failure. With
+    fixed pauses, all instances that lost the platform at the same time would retry at
+    the same time; full jitter spreads their calls evenly.
 
     Args:
-        initial: Bound of the first pause.
-        maximum: Bound that the others grow to.
+        initial: Upper bound of the first pause.
+        maximum: Limit of the upper bound.
     """
 
     def __init__(
@@ -30,11 +30,11 @@
         self._bound = initial
 
     def next_pause(self) -> datetime.timedelta:
-        """Return the pause after one more failure."""
+        """Return the pause before the next attempt and double the bound."""
         pause = self._bound * self._rng.random()
         self._bound = min(self._maximum, self._bound * 2)
         return pause
 
     def reset(self) -> None:
-        """Start again after a success."""
+        """Return to the initial bound, after a success."""
         self._bound = self._initial
--- a/src/pimentolatch/call_budget.py
+++ b/src/pimentolatch/call_budget.py
@@ -1,8 +1,8 @@
-"""Keeps an instance within its budget of calls of the platform.
+"""Rate limit for the platform calls of an instance.
 
-The platform counts every call, a waiting watch as one, and its limits grow more slowly
-than the fleet. Without a budget one instance in a retry loop, or all of them after an
-outage, would take the calls that orders and claims need.
+The platform counts every call, a pending watch as one, and its limits grow more slowly
+than the fleet. Without a budget, one instance in a retry loop, or all instances after
+an outage, would use up the calls that orders and claims need.
 """
 
 import datetime
@@ -12,7 +12,7 @@
 
 __all__ = ["BudgetedStore", "CallBudget"]
 
-# A call waits so long for its turn, then fails without having been made.
+# A call that would be delayed longer fails without being made.
 _MAX_WAIT = datetime.timedelta(seconds=1)
 _BURST = datetime.timedelta(seconds=2)
 _MIN_BURST = 4.0
@@ -20,7 +20,7 @@
 
 
 class CallBudget:
-    """A token bucket whose calls queue for a bounded time.
+    """A token bucket; calls wait for a token for at most `_MAX_WAIT`.
 
     Args:
         calls_per_second: Sustained rate.
@@ -34,12 +34,12 @@
         self._refilled_at = self._clock.monotonic()
 
     async def take(self) -> bool:
-        """Take one call from the budget; False if its turn is too far off."""
+        """Take a token, waiting for it if needed; False if the wait is too long."""
         self._refill()
         wait = datetime.timedelta(seconds=max(0.0, (1.0 - self._tokens) / self._rate))
         if wait > _MAX_WAIT:
             return False
-        # Taken before the wait: whoever comes next waits behind this call.
+        # Taken before the wait, so that later calls wait behind this one.
         self._tokens -= 1.0
         if wait:
             await self._clock.sleep(wait)
@@ -53,7 +53,7 @@
 
 
 class BudgetedStore:
-    """`store.Store` that stays within a budget and counts its calls."""
+    """`store.Store` that keeps within a call budget and counts its calls."""
 
     def __init__(
         self,
@@ -116,7 +116,7 @@
 
     def _over_budget(self, call: str) -> store.Unavailable:
         self._calls.labels(call, "over budget").inc()
-        return store.Unavailable("call budget", False, _MAX_WAIT)
+        return store.Unavailable("call budget exhausted", False, _MAX_WAIT)
 
     def _count(self, call: str, outcome: _Outcome) -> _Outcome:
         name = "ok" if isinstance(outcome, tuple) else type(outcome).__name__.lower()
--- a/src/pimentolatch/cli/__init__.py
+++ b/src/pimentolatch/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""Command line of `pimentolatch`."""
--- a/src/pimentolatch/cli/commands.py
+++ b/src/pimentolatch/cli/commands.py
@@ -40,7 +40,7 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command-line application."""
     application()
 
 
@@ -62,7 +62,7 @@
     try:
         asyncio.run(process.run_until_signal(chosen))
     except OSError as error:
-        _fail(EXIT_INVALID_INPUT, f"could not start: {error}")
+        _fail(EXIT_INVALID_INPUT, f"could not start the entry instance: {error}")
 
 
 @application.command
@@ -97,10 +97,10 @@
 
 @application.command
 def explain(request_id: str, *logs: pathlib.Path) -> None:
-    """Tell what became of a request on the operator's routes.
+    """Explain the outcome of a request on the operator's routes.
 
     Args:
-        request_id: The request's id, as its client sent it.
+        request_id: Id of the request, as its client sent it.
         logs: Log files of instances; standard input if none is given.
     """
     try:
@@ -134,15 +134,15 @@
     dry_run: DryRunOption = False,
     json_output: JsonOption = False,
 ) -> None:
-    """Put a fleet document in force.
+    """Submit a fleet document and put it in force.
 
     Args:
         document: Fleet document, JSON with comments.
         entry: Operators' URL of any instance.
         operator: Name for the audit trail.
-        expected: Number of the document that this one is to replace; the one in
-            force at the instance if none is given.
-        dry_run: Only show what it would change.
+        expected: Number of the document that this one is to replace; by default the
+            one in force at the instance.
+        dry_run: Only show what the document would change.
         json_output: Print JSON.
     """
     checked = _document(document)
@@ -150,8 +150,8 @@
         _show_changes(entry, checked, json_output)
         return
     if expected is None:
-        # Without it a try that was held up could land after the operator was told
-        # that another document won, and undo that one.
+        # Without an expected number, a delayed attempt could take effect after the
+        # operator was told that another document won, and revert that document.
         found = _answer_or_fail(operator_client.status(entry), json_output)
         expected = (found["configuration"] or {"number": 0})["number"]
     answer = operator_client.submit(
@@ -178,7 +178,7 @@
 def status(
     *, entry: EntryOption = DEFAULT_ENTRY, json_output: JsonOption = False
 ) -> None:
-    """Show what an instance knows.
+    """Show the status of an instance.
 
     Args:
         entry: Operators' URL of any instance.
@@ -196,11 +196,11 @@
     count: int = 100,
     json_output: JsonOption = False,
 ) -> None:
-    """Show who changed what: documents, orders, drains and their outcomes.
+    """Show the audit trail: documents, orders, drains and their outcomes.
 
     Args:
         entry: Operators' URL of any instance.
-        count: How many of the newest records.
+        count: Number of the newest records to show.
         json_output: Print JSON.
     """
     body = _answer_or_fail(operator_client.audit(entry, count), json_output)
--- a/src/pimentolatch/cli/explanation.py
+++ b/src/pimentolatch/cli/explanation.py
@@ -1,4 +1,4 @@
-"""Explains one request by the log lines of one or more instances."""
+"""Explains the outcome of a request from the log lines of instances."""
 
 import dataclasses
 import json
@@ -16,7 +16,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Line:
-    """One log line of a request."""
+    """A log line of a request."""
 
     time: str
     instance: str
@@ -29,10 +29,10 @@
 
 
 def read_lines(texts: abc.Iterable[str], request_id: str) -> list[Line]:
-    """Return the lines of a request in order of time.
+    """Return the log lines of a request, ordered by time.
 
-    What stands before the JSON of a line, such as a collector's own stamp, is ignored,
-    and so are lines that are no JSON.
+    Text before the JSON of a line, such as a log collector's timestamp, is ignored, and
+    so are lines without valid JSON.
     """
     found = []
     for text in texts:
@@ -57,7 +57,7 @@
 
 
 def explain(lines: abc.Sequence[Line]) -> str:
-    """Return the lines of a request with its likely cause as the last one."""
+    """Return the lines of a request, followed by the likely cause of its outcome."""
     if not lines:
         return _NOT_FOUND
     return "\n".join([*map(str, lines), f"likely cause: {_cause(lines)}"])
@@ -66,19 +66,19 @@
 def _cause(lines: abc.Sequence[Line]) -> str:
     answers = [line for line in lines if line.event == request_log.ANSWERED]
     if not answers:
-        return "no answer was written: the instance ended while it held the request"
+        return "no response was logged: the instance terminated during the request"
     answer = answers[-1].fields
     outcome, status = str(answer.get("outcome", "")), answer.get("status", 0)
     bad = _last_bad_sending(lines)
     if outcome == "client left":
-        return "the client left before its answer was whole" + _while(lines, bad)
+        return "the client left before its response was complete" + _while(lines, bad)
     if outcome == "passed on" and 200 <= status < 300:
-        return "none: the answer was passed on whole" + _late(lines)
+        return "none: the response was forwarded completely" + _late(lines)
     if outcome == "passed on":
         return f"the server answered {status} itself" + _while(lines, bad)
     if outcome == results.ResultCode.QUARANTINED.name.lower():
         digest = answer.get("digest")
-        return f"quarantine: servers ended under earlier attempts, digest {digest}"
+        return f"quarantine: servers crashed under earlier attempts, digest {digest}"
     waited = [line for line in lines if line.fields.get("in_vain")]
     if waited and status == 503:
         return f"no engine took requests for {waited[-1].fields['ms']} ms"
@@ -107,7 +107,7 @@
     placed = [line for line in lines if line.event == request_log.PLACED]
     if placed and not sent:
         expected = placed[-1].fields.get("expected_ms")
-        return f", waiting for its prompt to be read (expected in {expected} ms)"
+        return f", waiting for its prompt to be prefilled (expected in {expected} ms)"
     return ""
 
 
--- a/src/pimentolatch/cli/operator_client.py
+++ b/src/pimentolatch/cli/operator_client.py
@@ -1,4 +1,4 @@
-"""Calls of an instance's operators' face, for the command line."""
+"""Client of an instance's operator API, for the command line."""
 
 import asyncio
 import dataclasses
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """An instance's answer."""
+    """HTTP response of an instance."""
 
     status: int
     body: dict[str, typing.Any]
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unreachable:
-    """No answer came."""
+    """The instance did not respond."""
 
     reason: str
 
@@ -31,7 +31,7 @@
 def submit(
     entry: str, document: str, operator: str, submission: str, expected: int | None
 ) -> Response | Unreachable:
-    """Submit a document's JSON text under a submission id."""
+    """Submit the JSON text of a document with a submission id."""
     query = {"operator": operator, "submission": submission}
     if expected is not None:
         query["expected"] = str(expected)
@@ -40,17 +40,17 @@
 
 
 def status(entry: str) -> Response | Unreachable:
-    """Ask for an instance's status."""
+    """Get the status of an instance."""
     return asyncio.run(_call(entry, "GET", "/v1/status"))
 
 
 def document(entry: str) -> Response | Unreachable:
-    """Ask for the document in force."""
+    """Get the document in force."""
     return asyncio.run(_call(entry, "GET", "/v1/document"))
 
 
 def audit(entry: str, count: int) -> Response | Unreachable:
-    """Ask for the newest records of the audit trail."""
+    """Get the newest records of the audit trail."""
     return asyncio.run(_call(entry, "GET", f"/v1/audit?count={count}"))
 
 
--- a/src/pimentolatch/clock.py
+++ b/src/pimentolatch/clock.py
@@ -1,8 +1,8 @@
-"""Clocks, passed in so that every decision can be tested without waiting.
+"""Clocks, injected so that time-dependent code can be tested without waiting.
 
-`Clock.monotonic` goes on while a process is stopped or its machine suspended, so a
-process that wakes after a freeze sees at once how long it was away. Wall time is only
-for records that people read and for deadlines that cross a process border.
+`Clock.monotonic` advances while the process is stopped or the machine suspended, so a
+process that resumes sees at once how long it was frozen. Wall time is only for records
+that people read and for deadlines passed between processes.
 """
 
 import asyncio
@@ -16,20 +16,20 @@
 
 
 class Clock(typing.Protocol):
-    """Source of time for everything that waits, expires or is recorded."""
+    """Source of time."""
 
     def now(self) -> datetime.datetime:
-        """Return the wall time, in UTC."""
+        """Return the wall-clock time in UTC."""
 
     def monotonic(self) -> datetime.timedelta:
-        """Return the time since an arbitrary start; it never goes back."""
+        """Return the time since an arbitrary origin; it never decreases."""
 
     async def sleep(self, duration: datetime.timedelta) -> None:
         """Wait until `monotonic` has advanced by `duration`."""
 
 
 class SystemClock:
-    """The clock of the machine."""
+    """Clock of the operating system."""
 
     def now(self) -> datetime.datetime:
         """See `Clock.now`."""
@@ -45,7 +45,7 @@
 
 
 class ManualClock:
-    """A clock that moves only when `advance` is called."""
+    """Clock for tests that advances only when `advance` is called."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         await future
 
     def advance(self, duration: datetime.timedelta) -> None:
-        """Move time on and wake the sleepers that are due, earliest first."""
+        """Advance the time and wake the sleepers that are due, earliest first."""
         self._elapsed += duration
         while self._sleepers and self._sleepers[0][0] <= self._elapsed:
             _, _, future = heapq.heappop(self._sleepers)
--- a/src/pimentolatch/document_index.py
+++ b/src/pimentolatch/document_index.py
@@ -1,6 +1,6 @@
-"""Look-ups in the document in force, built once for each configuration.
+"""Lookup tables for the document in force, built once per configuration.
 
-A fleet of 4,900 callers would otherwise be walked for every request.
+Without them each request would scan the list of callers, up to 4,900 in a fleet.
 """
 
 import dataclasses
@@ -12,13 +12,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Index:
-    """One document, by what requests name.
+    """Lookup tables of one document.
 
     Attributes:
-        callers: Callers by the SHA-256 of their key.
-        operations: Operations by service and name.
+        callers: Callers by the SHA-256 of their API key.
+        operations: Operations by service name and operation name.
         models: Models by name.
-        plain_servers: Servers of plain services by service.
+        plain_servers: Servers of plain services by service name.
     """
 
     document: schema.FleetDocument
@@ -29,13 +29,13 @@
 
 
 class IndexCache:
-    """Holds the index of the document asked for last."""
+    """Caches the index of the latest document."""
 
     def __init__(self) -> None:
         self._latest: Index | None = None
 
     def get(self, document: schema.FleetDocument) -> Index:
-        """Return a document's index; constant time unless the document changed."""
+        """Return the index of a document; built only if the document changed."""
         if self._latest is None or self._latest.document is not document:
             self._latest = _build(document)
         return self._latest
--- a/src/pimentolatch/fleet.py
+++ b/src/pimentolatch/fleet.py
@@ -1,6 +1,7 @@
-"""What this instance knows of the fleet: the document in force and withdrawals.
+"""Fleet state of an entry instance: the document in force and withdrawn servers.
 
-One task at a time changes it; readers take a snapshot and never see half a change.
+Only one task at a time updates it. Readers take immutable snapshots, so they never see
+a partial update.
 """
 
 import asyncio
@@ -14,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """A document with its place in the order of all documents."""
+    """A fleet document with its sequence number and hash."""
 
     number: int
     content_hash: str
@@ -26,9 +27,9 @@
     """A snapshot of the fleet.
 
     Attributes:
-        configuration: The document in force, or None before the first one.
-        withdrawn: Backend servers that take no new work here, by name.
-        roles: Roles that differ from the document's, by engine.
+        configuration: Document in force; None before the first one.
+        withdrawn: Names of backend servers that get no new work from this instance.
+        roles: (engine, role) pairs for roles that differ from the document's.
     """
 
     configuration: Configuration | None = None
@@ -37,12 +38,12 @@
 
     @property
     def document(self) -> schema.FleetDocument | None:
-        """The document in force, or None."""
+        """The document in force; None before the first one."""
         return None if self.configuration is None else self.configuration.document
 
 
 class Fleet:
-    """Holds the current view and wakes those who wait for a change."""
+    """Holds the current view and notifies waiting tasks of changes."""
 
     def __init__(self) -> None:
         self._view = View()
@@ -57,12 +58,14 @@
         return self._view
 
     def adopt(self, configuration: Configuration) -> bool:
-        """Put a document in force unless a later one already is.
+        """Apply a document unless the current one is the same or newer.
 
-        An instance that was frozen or cut off may be handed old documents by its
-        peers; without this check the configuration would go back for its callers.
-        Numbers come from one conditionally updated object, so a higher number is
-        always the later decision.
+        Peers may send outdated documents to an instance that was frozen or partitioned;
+        without this check the configuration would revert for its callers. Numbers come
+        from one conditionally updated object, so a higher number is always newer.
+
+        Returns:
+            Whether the document was applied.
         """
         current = self._view.configuration
         if current is not None and configuration.number <= current.number:
@@ -71,22 +74,22 @@
         return True
 
     def adopt_view(self, view: views.DomainView) -> None:
-        """Route by a domain view; the caller hands over only later ones."""
+        """Apply the view of a failure domain; the caller passes only newer views."""
         self._domain_views[view.failure_domain] = view
         self._merge_views()
 
     def set_leaving(self, servers: frozenset[str]) -> None:
-        """Set the backend servers that the platform's list shows as leaving."""
+        """Set the backend servers that are leaving by the platform's instance list."""
         self._leaving = servers
         self._merge_views()
 
     def withdraw(self, servers: frozenset[str]) -> None:
-        """Set backend servers that take no new work for a reason of this instance."""
+        """Set the backend servers that this instance itself withdraws."""
         self._withdrawn_locally = servers
         self._merge_views()
 
     async def wait_for_change(self) -> View:
-        """Return the view after its next change."""
+        """Wait for the next change and return the new view."""
         await self._changed.wait()
         return self._view
 
--- a/src/pimentolatch/logs.py
+++ b/src/pimentolatch/logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines that never hold the process up."""
+"""Non-blocking logging as JSON lines."""
 
 import collections
 import datetime
@@ -11,20 +11,20 @@
 __all__ = ["BoundedStream", "JsonLinesHandler", "set_up"]
 
 _STANDARD_OUTPUT = 1
-# Lines that wait for a reader; some seconds of a busy instance.
+# Lines that the pipe has not taken yet; some seconds of a busy instance.
 _MAX_BUFFERED_BYTES = 262_144
 
 
 class BoundedStream:
-    """Writes lines to a file descriptor without ever waiting for its reader.
+    """Writes lines to a file descriptor without blocking.
 
-    With a plain stream, a log collector that stops reading stops the process: the pipe
-    fills and the next line blocks the event loop, requests included. Here what the pipe
-    does not take waits in a bounded buffer, and what that does not hold is dropped and
-    counted; the count is written as soon as there is room again.
+    With an ordinary stream, a log collector that stops reading stops the process: the
+    pipe fills up, and the next line blocks the event loop with all requests. Here lines
+    that the pipe does not take are buffered. When the buffer is full, lines are dropped
+    and counted; the count is logged once the buffer has been written out.
 
     Args:
-        descriptor: Where to write; it is made non-blocking.
+        descriptor: File descriptor to write to; it is made non-blocking.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -35,7 +35,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
-        """Take a line."""
+        """Write or buffer a line; drop it if the buffer is full."""
         data = text.encode()
         if self._buffered_bytes + len(data) > _MAX_BUFFERED_BYTES:
             self.dropped += 1
@@ -44,7 +44,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Hand on what the reader takes now."""
+        """Write as much of the buffer as possible without blocking."""
         while self._buffer:
             data = self._buffer[0]
             try:
@@ -52,7 +52,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody will ever read it.
+                # The reader is gone for good.
                 self._buffer.clear()
                 self._buffered_bytes = 0
                 return
@@ -75,14 +75,14 @@
 
 
 class JsonLinesHandler(logbook.StreamHandler):
-    """Writes each record as one JSON object; extra fields stand beside the message."""
+    """Writes each record as a JSON object; extra fields are added at the top level."""
 
     def __init__(self, stream: typing.Any, level: int, instance: str) -> None:
         super().__init__(stream, level=level, bubble=False)
         self._instance = instance
 
     def format(self, record: logbook.LogRecord) -> str:
-        """Return the record as a JSON line without its end."""
+        """Return the record as JSON, without a newline."""
         fields: dict[str, typing.Any] = {
             "time": _format_time(record.time),
             "level": record.level_name.lower(),
@@ -101,7 +101,7 @@
 
 
 def set_up(level: str, instance: str) -> None:
-    """Send the records of this process to standard output as JSON lines."""
+    """Write the log records of this process to standard output as JSON lines."""
     logbook.set_datetime_format("utc")
     number = logbook.lookup_level(level)
     stream = BoundedStream(_STANDARD_OUTPUT)
--- a/src/pimentolatch/metrics.py
+++ b/src/pimentolatch/metrics.py
@@ -1,17 +1,18 @@
-"""Metrics of one entry instance, with conventional names."""
+"""Prometheus metrics of an entry instance."""
 
 import prometheus_client
 
 __all__ = ["Metrics"]
 
-# The buckets are dense around the users' bounds: 1.9 s and 71 ms.
+# The buckets are dense around the latency targets: 1.9 s to the first token and 71 ms
+# between tokens.
 _FIRST_TOKEN_BUCKETS = (0.05, 0.1, 0.25, 0.5, 1.0, 1.5, 1.9, 2.5, 5.0, 10.0, 30.0)
 _TOKEN_GAP_BUCKETS = (0.005, 0.01, 0.02, 0.035, 0.05, 0.071, 0.1, 0.2, 0.5, 1.0, 5.0)
 _PREFIX = "pimentolatch_"
 
 
 class Metrics:
-    """The metrics, in a registry of their own so that tests can hold several."""
+    """Metrics in a registry of their own, so that a test can have several."""
 
     def __init__(self) -> None:
         self.registry = prometheus_client.CollectorRegistry()
@@ -57,5 +58,5 @@
         )
 
     def text(self) -> bytes:
-        """Return the metrics in the text format of Prometheus."""
+        """Return the metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
--- a/src/pimentolatch/platform/__init__.py
+++ b/src/pimentolatch/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's object API and instance list, as the system uses them."""
+"""Clients and data formats of the platform's interfaces."""
--- a/src/pimentolatch/platform/configuration.py
+++ b/src/pimentolatch/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Reads the operator's configuration out of the platform's object `config/main`."""
+"""Decodes the operator's configuration, the platform's object `config/main`."""
 
 import datetime
 import typing
@@ -11,17 +11,17 @@
 CONFIGURATION_KIND = "config"
 CONFIGURATION_NAME = "main"
 
-# What `decode` raises for what is not a configuration.
+# Exceptions that `decode` raises for an invalid spec.
 DECODE_ERRORS = (AttributeError, LookupError, OverflowError, TypeError, ValueError)
 
 _Fields = abc.Mapping[str, typing.Any]
 
 
 def decode(spec: _Fields) -> table.Configuration:
-    """Return the configuration that a spec holds.
+    """Decode a spec into a configuration.
 
     Raises:
-        One of `DECODE_ERRORS`: The spec is not a configuration.
+        One of `DECODE_ERRORS`: The spec is not a valid configuration.
     """
     services = (_service(fields) for fields in spec["services"])
     return table.Configuration(
@@ -45,8 +45,8 @@
         pause_target=_milliseconds(fields.get("gap_target_ms", 0)),
         rank=int(fields.get("priority", 0)),
         most_servers=int(fields.get("max_attempts", 1)),
-        # The platform's name speaks of sessions; what it says is that the requests
-        # name the parts of a prompt.
+        # Despite the platform's name, this doesn't refer to sticky sessions: requests
+        # of the route list the parts of their prompts.
         carries_prompt=bool(fields.get("sticky", False)),
         resumable=bool(fields.get("resumable", False)),
         public=bool(fields.get("public", False)),
@@ -82,8 +82,8 @@
 def _customers(
     listed: abc.Iterable[_Fields] | None,
 ) -> customers.Customers | None:
-    # The platform calls customers tenants. A configuration without the list asks for
-    # no keys; one with an empty list lets nobody in.
+    # The platform calls customers tenants. Without the list no API keys are required;
+    # with an empty list every request is rejected.
     if listed is None:
         return None
     return customers.Customers(_keyed_customer(fields) for fields in listed)
@@ -92,12 +92,14 @@
 def _keyed_customer(fields: _Fields) -> customers.KeyedCustomer:
     name, keys, rank = fields["name"], fields["api_keys"], fields.get("priority")
     if not isinstance(name, str):
-        raise ValueError("a customer's name is no text")
-    # The errors name the customer and never the key: they are logged.
+        raise ValueError("a customer's name is not a string")
+    # Errors are logged, so they contain the customer's name but never a key.
     if not isinstance(keys, list) or not all(isinstance(key, str) for key in keys):
-        raise ValueError(f"the keys of customer {name!r} are no list of texts")
+        raise ValueError(f"the keys of customer {name!r} are not a list of strings")
     if rank is not None and (not isinstance(rank, int) or rank < 0):
-        raise ValueError(f"the priority of customer {name!r} is no number from 0 on")
+        raise ValueError(
+            f"the priority of customer {name!r} is not a whole number >= 0"
+        )
     encoded = tuple(key.encode() for key in keys)
     return customers.KeyedCustomer(customers.Customer(name, rank), encoded)
 
--- a/src/pimentolatch/platform/control_api.py
+++ b/src/pimentolatch/platform/control_api.py
@@ -1,6 +1,7 @@
-"""Client of the platform's interface for reports and orders of one holder.
+"""Client of the platform's control API: usage reports and orders of servers.
 
-The platform calls them duties of the `cloud`.
+Only one instance at a time, the lease holder, makes these calls. The platform calls
+them duties of the `cloud`.
 """
 
 import asyncio
@@ -32,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Holder:
-    """Who calls, and by which tenure."""
+    """The calling instance and the fencing token of its lease."""
 
     name: str
     fence: int
@@ -40,10 +41,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerOrder:
-    """How many servers of a service a failure domain is to have.
+    """Number of servers of a service that a failure domain should have.
 
     Attributes:
-        spot: Servers that cost less and may be taken back.
+        spot: Whether they are spot servers, which cost less and may be preempted.
     """
 
     service: str
@@ -54,36 +55,36 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """The call was carried out."""
+    """The call took effect."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FencedOff:
-    """Refused: a higher fence was seen."""
+    """Refused: the platform has seen a higher fencing token."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """Refused: what is ordered is not to be had at the moment."""
+    """Refused: the ordered servers are not available now, or the token is outdated."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotNow:
-    """Refused, and nothing was done."""
+    """Refused for now without any effect; a later call may succeed."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unanswered:
-    """It may have been carried out, or may be yet.
+    """Outcome unknown: the call may have taken effect or may still do so.
 
     Attributes:
-        reached: The platform was connected to.
+        reached: Whether a connection to the platform was established.
     """
 
     reason: str
@@ -94,10 +95,10 @@
 
 
 class ControlApi:
-    """Each call is made once and never repeated by itself.
+    """Client of the control API; it never retries a call.
 
     Args:
-        address: Address of the interface.
+        address: Address of the control API.
     """
 
     def __init__(self, address: settings.Address, time: clock.Clock) -> None:
@@ -108,15 +109,15 @@
     async def report_usage(
         self, holder: Holder, window: int, counts: abc.Mapping[str, int]
     ) -> Outcome:
-        """Report what began in a window, by customer."""
+        """Report the number of requests that started in a window, by customer."""
         body = {"window": window, "counts": dict(counts)}
         return await self._call(_USAGE, holder, body, FencedOff)
 
     async def order_servers(self, holder: Holder, order: ServerOrder) -> Outcome:
         """Order a number of servers.
 
-        The platform answers alike if they are not to be had and if the holder has been
-        followed by another one.
+        The platform's response is the same if the servers are not available and if
+        another holder has taken over.
         """
         body: dict[str, typing.Any] = {
             "service": order.service,
@@ -128,7 +129,7 @@
         return await self._call(_SCALE, holder, body, Refused)
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the pooled connections."""
         self._pool.close()
 
     async def _call(
@@ -138,7 +139,8 @@
         body: dict[str, typing.Any],
         conflict: type[FencedOff] | type[Refused],
     ) -> Outcome:
-        # A call never goes out on a connection that may have died unseen.
+        # Never use an idle connection: the peer may have closed it unnoticed, and then
+        # it would be unknown whether the call took effect.
         try:
             link = await self._pool.take(
                 "control",
--- a/src/pimentolatch/platform/engines.py
+++ b/src/pimentolatch/platform/engines.py
@@ -1,4 +1,4 @@
-"""Calls of the model engines' own interface."""
+"""Messages of the model engines' own interface."""
 
 import dataclasses
 import json
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PrefillResult:
-    """A prompt that an engine has read and keeps for another one."""
+    """Result of a prefill whose KV cache an engine holds for another engine."""
 
     handle: str
     tokens: int
@@ -35,15 +35,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StageOrder:
-    """Tells an engine to change its stage.
+    """Order to an engine to change its stage.
 
     Attributes:
-        stage: The new stage, as the platform spells it.
-        holder: The instance that orders.
+        stage: New stage, as the platform spells it.
+        holder: Instance that gives the order.
         fence: Fencing token of the holder's lease.
-        orders: Orders that the engine has accepted so far. If it has accepted another
-            one when this one is carried out, this one has no effect: an order that was
-            held up on the way can't undo a newer one.
+        orders: Number of orders that the engine has accepted so far. The order has no
+            effect if the engine has accepted another one since, so a delayed order
+            can't revert a newer one.
     """
 
     stage: str
@@ -53,16 +53,16 @@
 
 
 def decode_prefill_result(body: bytes) -> PrefillResult:
-    """Decode the answer to a request that was only read; raises `ValueError`."""
+    """Decode the response to a prefill-only request; raises `ValueError`."""
     try:
         fields = json.loads(body)
         return PrefillResult(str(fields["kv_handle"]), int(fields["tokens"]))
     except (LookupError, OverflowError, RecursionError, TypeError) as error:
-        raise ValueError(f"not a handle: {body[:60]!r}") from error
+        raise ValueError(f"response has no valid KV handle: {body[:60]!r}") from error
 
 
 def encode_stage_order(order: StageOrder) -> bytes:
-    """Return the body of an order."""
+    """Return the request body of an order."""
     fields: dict[str, typing.Any] = {
         "op": "stage",
         "stage": order.stage,
@@ -76,7 +76,7 @@
 
 
 def order_fields(server_id: str) -> tuple[tuple[bytes, bytes], ...]:
-    """Return the header of an order that only one server may carry out."""
+    """Return the header fields of an order for this server only."""
     return (
         (b"content-type", b"application/json"),
         (b"x-expect-instance", server_id.encode("latin-1")),
@@ -84,18 +84,18 @@
 
 
 def decode_report(body: bytes) -> reports.EngineReport | None:
-    """Decode an engine's report; None if it is not understood."""
+    """Decode an engine's report; logs an invalid one and returns None."""
     try:
         fields = json.loads(body)
         return reports.EngineReport(
             servers.Stage(fields["stage"]),
-            # Busy with an order; it says nothing of requests.
+            # Whether an order is being carried out; unrelated to requests.
             bool(fields["busy"]),
-            # Counts accepted orders of this life.
+            # Number of orders accepted in this incarnation.
             int(fields["sequence"]),
             int(fields.get("queued", 0)),
             int(fields.get("running", 0)),
-            # Each run is a row of id, tokens in memory, events made and priority.
+            # Each running request is a row: id, tokens in KV cache, events, priority.
             frozenset(str(row[0]) for row in fields.get("runs", ())),
             _checked_born(fields.get("born")),
         )
@@ -106,16 +106,16 @@
         TypeError,
         ValueError,
     ) as error:
-        _log.error("report not understood", reason=repr(error))
+        _log.error("invalid engine report ignored", reason=repr(error))
         return None
 
 
 def _checked_born(value: typing.Any) -> int | None:
     if value is None or (isinstance(value, int) and not isinstance(value, bool)):
         return value
-    raise ValueError(f"born {value!r:.60} is no whole number")
+    raise ValueError(f"born {value!r:.60} is not a whole number")
 
 
 def release_target(handle: str) -> bytes:
-    """Return the target of the call that frees a kept prompt."""
+    """Return the request target that frees the KV cache of a prefilled prompt."""
     return f"/v1/kv-handle/{handle}".encode()
--- a/src/pimentolatch/platform/http_headers.py
+++ b/src/pimentolatch/platform/http_headers.py
@@ -1,4 +1,4 @@
-"""The header fields of requests and answers, decoded once into typed values."""
+"""Parses the header fields of HTTP requests and responses into typed values."""
 
 import dataclasses
 import datetime
@@ -18,7 +18,7 @@
     "without_api_keys",
 ]
 
-# Environment variable with the path of a process's settings file.
+# Environment variable that contains the path of the settings file.
 SETTINGS_VARIABLE = "PIMENTOLATCH_BOOT"
 
 Fields = abc.Sequence[tuple[bytes, bytes]]
@@ -41,8 +41,8 @@
 _SEAL = b"x-response-seal"
 _PREFILL_ONLY = b"prefill"
 
-# Only we set these: a client that sends one would claim memory, another request's
-# prompt, another place in the queue or another customer's name for itself.
+# Only instances may set these fields. A client that sets one could claim KV cache
+# memory, another request's prompt, another priority or another customer's name.
 _RESERVED_FIELDS = frozenset(
     {
         _DEADLINE,
@@ -61,7 +61,7 @@
         _SEAL,
     }
 )
-# These concern one connection, not the request.
+# Hop-by-hop fields: they concern one connection, not the request.
 _CONNECTION_FIELDS = frozenset(
     {
         b"connection",
@@ -81,13 +81,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientHeaders:
-    """What the header of a client's request says.
+    """Header of a client's request.
 
     Attributes:
-        api_keys: Every key that the header holds, an empty one included.
-        time_left: How long the client will wait from now on; None if it does not say.
-        last_event: Number of the last event that the client holds; 0 for none.
-        prompt: What is to be read and written, for model requests.
+        api_keys: All API keys in the header, including empty ones.
+        time_left: How long the client will wait from now on; None if not given.
+        last_event: Number of the last event that the client has received; 0 for none.
+        prompt: Prompt and expected output of a model request; None for other requests.
     """
 
     host: str
@@ -100,17 +100,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DispatchOptions:
-    """What we tell a server about a request that is sent to it.
+    """Options for dispatching a request to a server, sent as header fields.
 
     Attributes:
-        server_id: The only server that may run it.
-        time_left: After this time the server stops working on it.
+        server_id: The only server that may run the request.
+        time_left: Time after which the server stops processing the request.
         urgency: 0 is served first, 9 last; None leaves it to the server.
-        prefill_only: Only read the prompt and keep it for another server.
-        prefill_source: Server and handle of a prompt that was read there.
-        last_event: Go on after this event; None leaves the client's own field.
-        kv_source: Server that keeps parts of the prompt, to be fetched from there.
-        customer: Whose request it is.
+        prefill_only: Only prefill the prompt and hold its KV cache for another server.
+        prefill_source: Server that has prefilled the prompt, and the handle of its KV
+            cache.
+        last_event: Resume after this event; None leaves the client's own field.
+        kv_source: Server that has cached parts of the prompt, for a KV transfer.
+        customer: Name of the customer who sent the request.
     """
 
     server_id: str
@@ -125,14 +126,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResponseHeaders:
-    """What the header of a server's answer says.
+    """Header of a server's response.
 
     Attributes:
-        request_id: The request that it answers; empty if it names none.
-        not_run: The server states that it did not run the request.
-        sealed: The answer bears the server's proof of origin.
-        encoded: The body was recoded on the way, so it is not the server's.
-        fields: What is passed on to the client.
+        request_id: Id of the request; empty if the response contains none.
+        not_run: Whether the server states that it did not run the request.
+        sealed: Whether the response carries the server's proof of origin.
+        encoded: Whether the body has a content encoding. Servers send none, so the body
+            was changed on the way.
+        fields: Header fields to forward to the client.
     """
 
     request_id: str
@@ -143,10 +145,10 @@
 
 
 def parse_client_headers(fields: Fields) -> ClientHeaders:
-    """Decode the header of a client's request.
+    """Parse the header of a client's request.
 
     Raises:
-        ValueError: A field that we must understand is malformed.
+        ValueError: A required field is malformed.
     """
     found = {name.lower(): value for name, value in fields}
     time_left = found.get(_DEADLINE)
@@ -189,14 +191,14 @@
 
 
 def without_api_keys(fields: Fields) -> Fields:
-    """Return a header without what proves whose request it is."""
+    """Return the header fields without API keys."""
     return [(name, value) for name, value in fields if name.lower() != _API_KEY]
 
 
 def request_fields(
     fields: Fields, options: DispatchOptions
 ) -> list[tuple[bytes, bytes]]:
-    """Return the header that a server receives, without its body's length."""
+    """Return the header fields for the server, without the content length."""
     dropped = _CONNECTION_FIELDS | _RESERVED_FIELDS | _named_by_connection(fields)
     if options.last_event is not None:
         dropped |= {_LAST_EVENT}
@@ -227,14 +229,14 @@
     for name, value in fields:
         if name.lower() == b"connection":
             named.update(token.strip().lower() for token in value.split(b","))
-    # A client can't have us drop what the request consists of.
+    # A client must not be able to have essential fields dropped.
     return frozenset(
         named - {_REQUEST_ID, _MODEL, _TOKEN_COUNTS, _PROMPT_PARTS, b"host"}
     )
 
 
 def parse_response_headers(fields: Fields) -> ResponseHeaders:
-    """Decode the header of a server's answer."""
+    """Parse the header of a server's response."""
     found = {name.lower(): value for name, value in fields}
     dropped = (_CONNECTION_FIELDS - {b"content-length"}) | _named_by_connection(fields)
     dropped |= {_NOT_RUN, b"x-instance-id"}
--- a/src/pimentolatch/platform/objects.py
+++ b/src/pimentolatch/platform/objects.py
@@ -16,11 +16,11 @@
 
 
 class ObjectStore:
-    """Calls of the store; each is made once and never repeated by itself.
+    """HTTP client of the object store; it never retries a call.
 
     Args:
-        address: The store's address.
-        call_timeout: How long a call may take; a watch takes its wait besides.
+        address: Address of the store.
+        call_timeout: Time limit of a call; for a watch its wait is added.
     """
 
     def __init__(
@@ -48,8 +48,8 @@
                 return response
             body = response.body
             found += [_object(item) for item in body["items"]]
-            # A page of a later revision may lack what moved to an earlier page, so
-            # changes are followed from the first page's revision.
+            # Between two pages, an object can move from a later page to an earlier one
+            # and be missed. So changes are watched from the first page's revision.
             revision = revision or int(body["as_of"])
             if not body["has_more"] or not body["items"]:
                 kept = (item for item in found if item.name.startswith(prefix))
@@ -144,7 +144,8 @@
         data = b"" if body is None else json.dumps(body).encode()
         host = f"{self._address.host}:{self._address.port}".encode()
         try:
-            # A write never goes out on a connection that may have died unseen.
+            # Never write on an idle connection: the peer may have closed it unnoticed,
+            # and then it would be unknown whether the write took effect.
             link = await self._pool.take(
                 "store",
                 self._address,
@@ -158,7 +159,7 @@
                 link.send(method, target.encode(), [(b"host", host), *_JSON], data)
                 start = await link.start()
                 content = await link.read_whole()
-            # One object's bytes that are no UTF-8 must not hide all the others.
+            # Invalid UTF-8 in one object must not make all others unreadable.
             text = content.decode("utf-8", "replace")
             parsed = json.loads(text) if text else None
         except (
@@ -176,7 +177,7 @@
         return _check_status(start, parsed, is_write)
 
     def close(self) -> None:
-        """Close the kept connections."""
+        """Close the pooled connections."""
         self._pool.close()
 
 
@@ -195,14 +196,14 @@
     for name, value in start.fields:
         if name == b"retry-after":
             retry_after = datetime.timedelta(seconds=float(value))
-    # 503 and 429 promise that nothing was done.
+    # Statuses 429 and 503 guarantee that the call had no effect.
     unknown = is_write and start.status not in (429, 503)
     return store.Unavailable(f"status {start.status}", unknown, retry_after)
 
 
 def _object(item: typing.Any) -> store.Found:
     metadata = item["metadata"]
-    # Another writer may have left the value out; whoever reads it finds no table then.
+    # Another writer may have omitted the spec; decoders then reject the None.
     return store.Found(metadata["name"], int(metadata["revision"]), item.get("spec"))
 
 
--- a/src/pimentolatch/platform/server_entries.py
+++ b/src/pimentolatch/platform/server_entries.py
@@ -1,10 +1,10 @@
-"""Reads the entries of servers in the platform's store.
+"""Decodes the entries of servers in the platform's store.
 
-Servers write about themselves, and others may write beside them. An entry that is not
-wholly what the platform's page says names no server: taken half, its address may be
-anybody's. So every field is checked, and what is wrong is returned, not raised: a
-raised error of a kind that nobody foresaw would end the watch, and with it all news of
-every other server.
+Servers write their own entries, but others may write to the store too. An entry that
+deviates from the platform's specification is rejected as a whole: if it were used in
+part, its address could be that of any process. Every field is checked. Errors are
+returned rather than raised, because an unforeseen exception would end the watch and
+with it the updates about all other servers.
 """
 
 import dataclasses
@@ -18,10 +18,10 @@
 
 SERVER_KIND = "servers"
 _STATES = {"ready": False, "draining": True}
-# Longest name, address or version that is taken; real ones have some ten characters.
+# Longest accepted name, address or version; real ones have about ten characters.
 _MAX_TEXT_LENGTH = 200
-# Bounds of whole numbers. A server has tens to thousands of slots; an hour of slowness
-# after a start is past any real one.
+# Upper bounds of integers. Real servers have tens to thousands of slots and warm up
+# in less than an hour.
 _MAX_SLOTS = 1_000_000
 _MAX_COLD_MS = 3_600_000
 _MAX_NUMBER = 2**63
@@ -29,19 +29,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InvalidEntry:
-    """An entry that names no server to use."""
+    """An entry that does not describe a usable server."""
 
     reason: str
 
 
 class _WrongFieldError(Exception):
-    """A field is missing or holds something else than the platform says."""
+    """A field is missing or violates the platform's specification."""
 
 
 def decode(name: object, spec: object) -> servers.Server | InvalidEntry:
-    """Return the server that an entry describes."""
+    """Decode an entry; returns `InvalidEntry` if any field is invalid."""
     if not isinstance(spec, dict):
-        return InvalidEntry(f"not a table but {type(spec).__name__}")
+        return InvalidEntry(f"not a JSON object but {type(spec).__name__}")
     try:
         return _server(_checked_text("name", name), spec)
     except _WrongFieldError as error:
@@ -49,7 +49,7 @@
 
 
 def _server(name: str, spec: dict[typing.Any, typing.Any]) -> servers.Server:
-    # Not used here, but an entry without them is not a server's own.
+    # Unused, but an entry without them was not written by a server.
     _text(spec, "version")
     _integer(spec, "sequence", 0, _MAX_NUMBER)
     state = _text(spec, "state")
@@ -64,14 +64,14 @@
         stage=_stage(spec.get("stage")),
         slots=_integer(spec, "slots", 1, _MAX_SLOTS),
         cold=datetime.timedelta(milliseconds=_milliseconds(spec)),
-        # Absent where servers never start again under their id.
+        # Absent if servers never restart under the same id.
         born=_integer(spec, "born", 0, _MAX_NUMBER) if "born" in spec else None,
         spot=spec.get("spot") is True,
     )
 
 
 def _stage(value: object) -> servers.Stage | None:
-    """Return an engine's stage; other servers have none."""
+    """Return the stage of an engine; None for other servers."""
     if value is None:
         return None
     for stage in servers.Stage:
@@ -84,16 +84,16 @@
     try:
         return settings.Address.from_text(text)
     except ValueError:
-        raise _WrongFieldError(f"address {text!r:.60} is no IP:PORT") from None
+        raise _WrongFieldError(f"address {text!r:.60} is not IP:PORT") from None
 
 
 def _milliseconds(spec: dict[typing.Any, typing.Any]) -> float:
     value = spec.get("cold_remaining_ms")
     if not isinstance(value, int | float) or isinstance(value, bool):
-        raise _WrongFieldError(f"cold_remaining_ms {value!r:.60} is no number")
-    # Comparing, unlike converting, can take whole numbers of any size.
+        raise _WrongFieldError(f"cold_remaining_ms {value!r:.60} is not a number")
+    # Compared before the conversion, which fails for very large integers.
     if not 0 <= value <= _MAX_COLD_MS:
-        raise _WrongFieldError(f"cold_remaining_ms {value!r:.60} is no span of time")
+        raise _WrongFieldError(f"cold_remaining_ms {value!r:.60} is out of bounds")
     return float(value)
 
 
@@ -102,7 +102,7 @@
 ) -> int:
     value = spec.get(field)
     if not isinstance(value, int) or isinstance(value, bool):
-        raise _WrongFieldError(f"{field} {value!r:.60} is no whole number")
+        raise _WrongFieldError(f"{field} {value!r:.60} is not a whole number")
     if not minimum <= value <= maximum:
         raise _WrongFieldError(f"{field} {value!r:.60} is out of bounds")
     return value
@@ -113,9 +113,9 @@
 
 
 def _checked_text(field: str, value: object) -> str:
-    """Return a text that can be passed on, logged and put into a header."""
+    """Return a string that is safe to forward, to log and to use in a header."""
     if not isinstance(value, str) or not 0 < len(value) <= _MAX_TEXT_LENGTH:
-        raise _WrongFieldError(f"{field} {value!r:.60} is no short text")
+        raise _WrongFieldError(f"{field} {value!r:.60} is not a short string")
     if not (value.isascii() and value.isprintable()):
-        raise _WrongFieldError(f"{field} {value!r:.60} is no plain text")
+        raise _WrongFieldError(f"{field} {value!r:.60} is not printable ASCII")
     return value
--- a/src/pimentolatch/results.py
+++ b/src/pimentolatch/results.py
@@ -1,8 +1,8 @@
-"""Numbered result codes and the outcomes that carry them.
+"""Numbered result codes and the refusals that carry them.
 
-Every answer that is not a plain success states whether the request ran, because a
-caller may repeat it only when it did not. docs/RESULT-CODES.md holds the same table
-and a scenario checks that the two agree.
+Every response other than a success states whether the request ran, because a caller
+may retry an unsafe request only if it did not. docs/RESULT-CODES.md holds the same
+table; a scenario checks that the two agree.
 """
 
 import dataclasses
@@ -18,12 +18,12 @@
     "quarantined",
 ]
 
-# Tells a refusal of the instance from an answer of the service.
+# Set on refusals by the instance, to distinguish them from responses of the service.
 RESULT_HEADER = "x-result-code"
 
 
 class Execution(enum.StrEnum):
-    """What is known about whether a request ran at a backend server."""
+    """Whether a request ran at a backend server."""
 
     NOT_RUN = "not run"
     RAN = "ran"
@@ -31,7 +31,7 @@
 
 
 class ResultCode(enum.IntEnum):
-    """Numbers that stay the same for ever; one is never given a second meaning."""
+    """Stable numbers: a code is never changed or reused with another meaning."""
 
     OK = 0
     INVALID_REQUEST = 100
@@ -95,13 +95,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """A final answer other than success.
+    """A final response other than success.
 
     Attributes:
-        code: Number from the table of result codes.
+        code: Result code.
         message: One sentence for the caller's log.
-        execution: Whether the request ran. `NOT_RUN` is a promise, not a guess.
-        retry_after: When a retry has a chance, or None if it has none.
+        execution: Whether the request ran. `NOT_RUN` is guaranteed, not an estimate.
+        retry_after: Delay after which a retry may succeed; None if none will.
     """
 
     code: ResultCode
@@ -111,11 +111,11 @@
 
     @property
     def http_status(self) -> int:
-        """Status code of the HTTP answer."""
+        """Status code of the HTTP response."""
         return HTTP_STATUS[self.code]
 
     def to_json(self) -> dict[str, object]:
-        """Return the error body that callers receive."""
+        """Return the error body of the HTTP response."""
         body: dict[str, object] = {
             "code": int(self.code),
             "type": self.code.name.lower(),
@@ -128,15 +128,15 @@
 
 
 def invalid(message: str) -> Refusal:
-    """Return the refusal of a request that is wrong in itself."""
+    """Return the refusal of an invalid request."""
     return Refusal(ResultCode.INVALID_REQUEST, message, Execution.NOT_RUN)
 
 
 def quarantined(remaining: datetime.timedelta) -> Refusal:
-    """Refuse what has ended servers, for as long as it is kept from them."""
+    """Return the refusal of a request that crashed servers and is quarantined."""
     return Refusal(
         ResultCode.QUARANTINED,
-        "servers ended while they ran this request",
+        "request is quarantined: servers crashed while running it",
         Execution.NOT_RUN,
         remaining,
     )
--- a/src/pimentolatch/reusable_timeout.py
+++ b/src/pimentolatch/reusable_timeout.py
@@ -1,4 +1,4 @@
-"""Bounds many short waits of one stream with few timers."""
+"""Timeouts for the many short waits of a stream, with few timers."""
 
 import asyncio
 import typing
@@ -9,12 +9,12 @@
 
 
 class ReusableTimeout:
-    """Time limits on waits that follow one another, one at a time.
+    """Timeout for consecutive waits, one at a time, that reuses one timer.
 
-    A stream waits twice for each token, for the engine and for the caller. A timer set
-    and cancelled for each wait is a fifth of what a token costs an instance. Here a
-    timer is left alone while waits end in time: when it fires it looks at the wait of
-    that moment, ends it if it is over its limit, and is set anew otherwise.
+    A stream waits twice per token, for the engine and for the caller. Setting and
+    cancelling a timer for each wait takes a fifth of an instance's cost per token.
+    Here the timer keeps running while waits end in time: when it fires, it cancels the
+    current wait if that is past its deadline, and is set again otherwise.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
     async def wait_for(
         self, seconds: float, awaitable: typing.Awaitable[_Result]
     ) -> _Result:
-        """Return what is waited for; raises `TimeoutError` past the limit."""
+        """Await with a time limit in seconds; raises `TimeoutError` past it."""
         task = asyncio.current_task()
         assert task is not None
         cancelling = task.cancelling()
@@ -38,8 +38,8 @@
         try:
             return await awaitable
         except asyncio.CancelledError:
-            # The cancellation may be ours, somebody else's, or both; only ours alone
-            # may be turned into a timeout.
+            # This timeout, other code or both may have cancelled the task; only a
+            # cancellation by this timeout alone becomes a `TimeoutError`.
             if self._expired and task.uncancel() <= cancelling:
                 raise TimeoutError from None
             raise
@@ -48,7 +48,7 @@
             self._expired = False
 
     def close(self) -> None:
-        """Drop the timer; the last wait has ended."""
+        """Cancel the timer, after the last wait."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/src/pimentolatch/settings.py
+++ b/src/pimentolatch/settings.py
@@ -1,6 +1,6 @@
 """Settings of one process: its addresses, its failure domain and the platform.
 
-What the fleet should serve is not here: that is the fleet document.
+What the fleet serves is configured in the fleet document instead.
 """
 
 import ipaddress
@@ -23,7 +23,7 @@
     try:
         return str(ipaddress.ip_address(value))
     except ValueError:
-        raise ValueError("must be an IP number, such as 192.0.2.7") from None
+        raise ValueError("must be an IP address, such as 192.0.2.7") from None
 
 
 IpAddress = typing.Annotated[str, pydantic.AfterValidator(_ip_address)]
@@ -41,7 +41,7 @@
 
     @classmethod
     def from_text(cls, text: str) -> typing.Self:
-        """Return the address written as `HOST:PORT`; raises `ValueError`."""
+        """Parse `HOST:PORT`; raises `ValueError` if the text is malformed."""
         host, _, port = text.rpartition(":")
         return cls(host=host, port=int(port))
 
@@ -64,13 +64,13 @@
 
 
 class PlatformSettings(validation.CheckedModel):
-    """Where the platform is and how much of it this instance may use.
+    """The platform's address and the call limits of this instance.
 
     Attributes:
         address: Address of the object API and the instance list.
-        calls_per_second: Budget of calls for this instance, waiting watches included.
-            The platform's limit divided by the instances is a safe figure.
-        call_timeout_s: How long a call may take before its outcome is unknown.
+        calls_per_second: Call budget of this instance, pending watches included. The
+            platform's limit divided by the number of instances is a safe value.
+        call_timeout_s: Time after which the outcome of a call counts as unknown.
     """
 
     address: Address
@@ -82,16 +82,15 @@
     """Links to the other entry instances.
 
     Attributes:
-        address: Where this instance listens for peers.
-        advertised: Where peers reach this instance, if that differs.
-        seeds: Peers to ask first; the instance list adds to them.
+        address: Address on which this instance listens for peers.
+        advertised: Address that peers connect to, if it differs from `address`.
+        seeds: Peers to contact first; the instance list adds others.
         heartbeat_interval_s: Time between heartbeats on a link.
-        suspect_after_s: Silence after which a peer is suspected.
-        list_interval_s: Time between two reads of the platform's instance list in
-            this failure domain; its instances take turns.
-        list_lag_bound_s: How late that list may be at most. It is the platform's
-            promise: a process that it no longer names this long after its start has
-            ended.
+        suspect_after_s: Time without messages after which a peer is suspected.
+        list_interval_s: Time between reads of the platform's instance list in this
+            failure domain; its instances take turns.
+        list_lag_bound_s: Maximum lag of that list, guaranteed by the platform: a
+            process that is not listed this long after its start has terminated.
     """
 
     address: Address
@@ -104,12 +103,12 @@
 
     @property
     def dial_address(self) -> Address:
-        """Address that peers dial."""
+        """Address that peers connect to."""
         return self.advertised or self.address
 
 
 class LogSettings(validation.CheckedModel):
-    """What is logged."""
+    """Settings of the log."""
 
     level: typing.Literal["DEBUG", "INFO", "NOTICE", "WARNING", "ERROR"] = "INFO"
 
@@ -119,15 +118,15 @@
 
     Attributes:
         instance: Name of this instance, unique in the fleet.
-        failure_domain: Failure domain the instance stands in.
+        failure_domain: Failure domain of this instance.
         region: Region of the failure domain.
-        callers: Where callers' requests arrive.
-        operators: Where `submit`, `status` and the metrics are answered.
+        callers: Address for callers' requests.
+        operators: Address for `submit`, `status` and the metrics.
         peers: Links to the other entry instances.
         platform: The platform's services.
         stop_grace_s: How long a graceful shutdown waits for requests in flight.
-        max_body_bytes: Largest request body that is read.
-        body_timeout_s: Longest time a caller may take to send its body.
+        max_body_bytes: Largest accepted request body.
+        body_timeout_s: Time limit for receiving a request body.
     """
 
     instance: Name
--- a/src/pimentolatch/store.py
+++ b/src/pimentolatch/store.py
@@ -1,9 +1,9 @@
-"""Interface of the platform's store and the outcomes of its calls.
+"""Interface of the platform's object store and the outcomes of its calls.
 
-A conditional write has four outcomes that callers must tell apart: written, not
-written because somebody else was first, certainly not written, and *unknown*. The
-last one comes from a lost answer; the write may have taken effect, so it is settled
-by reading the object back, never by assuming either way.
+A conditional write has four outcomes that callers must distinguish: written, version
+conflict, certainly not written, and *unknown*. The outcome is unknown if the response
+was lost: the write may have taken effect. The caller must then read the object back
+and must not assume either.
 """
 
 import dataclasses
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Found:
-    """An object as it stands. `version` grows with each write of the object."""
+    """An object as it is stored. `version` grows with each write of the object."""
 
     name: str
     version: int
@@ -37,14 +37,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Absent:
-    """There is no such object."""
+    """The object does not exist."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Written:
-    """The write took effect and the object now has this version."""
+    """The write took effect; the object now has this version."""
 
     version: int
 
@@ -61,9 +61,9 @@
     """The call failed.
 
     Attributes:
-        reason: What was seen, for the log.
-        effect_unknown: Whether a write may have taken effect all the same.
-        retry_after: When the platform asks to be called again, if it says so.
+        reason: What went wrong, for the log.
+        effect_unknown: Whether a write may have taken effect nevertheless.
+        retry_after: Delay that the platform asked for before a retry, if any.
     """
 
     reason: str
@@ -73,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Listing:
-    """Objects of a kind, with the revision up to which the listing is complete."""
+    """Objects of a kind; the listing is complete up to `revision`."""
 
     revision: int
     objects: tuple[Found, ...]
@@ -81,7 +81,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """What changed in a kind up to a revision of the store; the newest of each name."""
+    """Changes of a kind up to a revision of the store, the latest per object."""
 
     revision: int
     changed: tuple[Found, ...]
@@ -90,17 +90,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HistoryGone:
-    """The changes after the asked revision are no longer known; list anew."""
+    """The changes after the requested revision are no longer known; list again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Instance:
-    """An entry of the platform's lagging instance list.
+    """An entry of the platform's instance list, which lags behind the fleet.
 
     Attributes:
         kind: `entry`, `engine` or `plain`.
         state: `live` or `leaving`.
-        ended: Names of earlier incarnations that the platform has ended for good.
+        ended: Names of earlier incarnations that the platform has terminated.
     """
 
     name: str
@@ -113,7 +113,7 @@
 
 
 class Store(typing.Protocol):
-    """The calls of the platform that the system uses."""
+    """The platform calls that the system uses."""
 
     async def get(self, kind: str, name: str) -> Found | Absent | Unavailable:
         """Read an object."""
@@ -121,23 +121,23 @@
     async def put(
         self, kind: str, name: str, value: Json, *, if_version: int
     ) -> Written | Conflict | Unavailable:
-        """Write an object if its version is `if_version`; 0 means it is absent."""
+        """Write an object if its version is `if_version`; 0 creates it."""
 
     async def delete(
         self, kind: str, name: str, *, if_version: int
     ) -> Written | Absent | Conflict | Unavailable:
-        """Remove an object if its version is `if_version`."""
+        """Delete an object if its version is `if_version`."""
 
     async def list_objects(self, kind: str, prefix: str = "") -> Listing | Unavailable:
-        """List the objects of a kind whose names begin with `prefix`."""
+        """List the objects of a kind whose names start with `prefix`."""
 
     async def watch(
         self, kind: str, *, after: int, wait: datetime.timedelta
     ) -> Changes | HistoryGone | Unavailable:
-        """Return changes of a kind after a revision; waits until there is one.
+        """Return the changes of a kind after a revision; waits until there are any.
 
-        The answer may be empty when `wait` has passed.
+        The result may be empty after `wait`.
         """
 
     async def instances(self) -> tuple[Instance, ...] | Unavailable:
-        """Read the lagging list of live and leaving instances."""
+        """Read the list of live and leaving instances, which lags."""
--- a/src/pimentolatch/tasks.py
+++ b/src/pimentolatch/tasks.py
@@ -1,4 +1,4 @@
-"""Long-lived tasks that go on after a fault in them."""
+"""Background tasks that are restarted after an exception."""
 
 import datetime
 import typing
@@ -19,12 +19,12 @@
     work: typing.Callable[[], abc.Coroutine[typing.Any, typing.Any, None]],
     time: clock.Clock,
 ) -> None:
-    """Run work that should never end; start it again when it fails.
+    """Run work that should never end; restart it whenever it fails or returns.
 
-    A task that ends by an exception ends silently. The instance would go on serving and
-    never learn of a document, a view or a leaving server again. Started again it does
-    its work as soon as what it stumbled over (an object that it can't read, say) is
-    gone, and the log shows the reason until then.
+    An exception ends an asyncio task silently: the instance would go on serving but
+    never again receive a document, a view or notice of a leaving server. With restarts,
+    the work resumes once the cause (such as an unreadable object) is gone; until then
+    each failure is logged.
     """
     while True:
         try:
--- a/src/pimentolatch/validation.py
+++ b/src/pimentolatch/validation.py
@@ -1,4 +1,4 @@
-"""Reads JSON with comments and checks it against a model, with helpful errors."""
+"""Parses JSON with comments and validates it against a model."""
 
 import dataclasses
 import pathlib
@@ -20,7 +20,7 @@
 
 
 class CheckedModel(pydantic.BaseModel):
-    """Base of all checked input: immutable, and strict about unknown fields."""
+    """Base of models for validated input: immutable, rejects unknown fields."""
 
     model_config = pydantic.ConfigDict(frozen=True, extra="forbid")
 
@@ -30,11 +30,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InputProblem:
-    """One thing wrong with an input.
+    """One validation error.
 
     Attributes:
         field: Path of the field, such as `backend_servers.3.port`.
-        value: The value found, shortened for display.
+        value: Invalid value, shortened for display.
         advice: What is allowed instead.
     """
 
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problems:
-    """The outcome of a check that failed; at least one problem."""
+    """Result of a failed validation: at least one error."""
 
     problems: tuple[InputProblem, ...]
 
@@ -64,14 +64,14 @@
 
 
 def check_value(model: type[ModelT], value: object) -> ModelT | Problems:
-    """Check parsed input against a model.
+    """Validate parsed input against a model.
 
     Args:
-        model: The model the input must satisfy.
+        model: Model that the input must satisfy.
         value: Parsed JSON.
 
     Returns:
-        The checked model, or every problem found.
+        The validated model, or every error found.
     """
     try:
         return model.model_validate(value)
@@ -90,7 +90,7 @@
 
 
 def check_text(model: type[ModelT], text: str) -> ModelT | Problems:
-    """Parse JSON with comments and check it against a model."""
+    """Parse JSON with comments and validate it against a model."""
     try:
         value = jsonc.loads(text)
     except (ValueError, RecursionError) as error:
@@ -102,7 +102,7 @@
 
 
 def read_file(model: type[ModelT], path: pathlib.Path) -> ModelT | Problems:
-    """Read and check a file; a file that can't be read is a problem too."""
+    """Read and validate a file; a file that can't be read gives `Problems` too."""
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/tests/features/product.feature
+++ b/tests/features/product.feature
@@ -21,7 +21,7 @@
       | fleet                         | "Not Ok!" | fleet                          | Not Ok!   |
       | roles.change_cost_s           | -3        | roles.change_cost_s            | -3        |
       | backend_servers.0.address.port | 99999    | backend_servers.0.engine.address.port | 99999 |
-      | backend_servers.0.address.host | "box-7"  | IP number                      | box-7     |
+      | backend_servers.0.address.host | "box-7"  | IP address                     | box-7     |
       | backend_servers.0.models      | ["ghost"] | names the model                | ghost     |
       | no_such_field                 | 1         | no_such_field                  | 1         |
 
--- a/tests/features/routes_operations.feature
+++ b/tests/features/routes_operations.feature
@@ -24,7 +24,7 @@
       | happened                        | cause                          |
       | was refused in overload         | overload                       |
       | waited in vain                  | no engine took requests for 1800 ms |
-      | is in quarantine                | quarantine: servers ended under earlier attempts, digest 00a1b2c3d4e5 |
+      | is in quarantine                | quarantine: servers crashed under earlier attempts, digest 00a1b2c3d4e5 |
       | broke midway                    | server d1 broke off            |
       | was left by its client          | the client left                |
       | was answered by a failing server | the server answered 500       |
