--- a/src/pimentolatch/platform/control_api.py
+++ b/src/pimentolatch/platform/control_api.py
@@ -1,6 +1,6 @@
 """Client of the platform's control API: usage reports and orders of servers.
 
-Only one instance at a time, the lease holder, makes these calls. The platform calls
+Only one instance at a time, the leader, makes these calls. The platform calls
 them duties of the `cloud`.
 """
 
