--- a/src/pimentolatch/cli/commands.py
+++ b/src/pimentolatch/cli/commands.py
@@ -10,13 +10,24 @@
 
 import cyclopts
 
-from pimentolatch import checks, settings
-from pimentolatch import logs as process_logs
-from pimentolatch.cli import explaining, operator_client
-from pimentolatch.document import document_diff, schema
+from pimentolatch import (
+    logs as process_logs,
+)
+from pimentolatch import (
+    settings,
+    validation,
+)
+from pimentolatch.cli import (
+    explanation,
+    operator_client,
+)
+from pimentolatch.document import (
+    document_diff,
+    schema,
+)
 from pimentolatch.entry import process
 from pimentolatch.gateway import daemon
-from pimentolatch.platform import heads
+from pimentolatch.platform import http_headers
 
 __all__ = ["application", "main"]
 
@@ -40,7 +51,7 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command-line application."""
     application()
 
 
@@ -55,21 +66,21 @@
     Args:
         settings_file: Settings of this instance, JSON with comments.
     """
-    chosen = checks.read_file(settings.EntrySettings, settings_file)
-    if isinstance(chosen, checks.Problems):
+    chosen = validation.read_file(settings.EntrySettings, settings_file)
+    if isinstance(chosen, validation.Problems):
         _fail(EXIT_INVALID_INPUT, str(chosen))
     process_logs.set_up(chosen.logs.level, chosen.instance)
     try:
         asyncio.run(process.run_until_signal(chosen))
     except OSError as error:
-        _fail(EXIT_INVALID_INPUT, f"could not start: {error}")
+        _fail(EXIT_INVALID_INPUT, f"could not start the entry instance: {error}")
 
 
 @application.command
 def gateway(
     settings_file: typing.Annotated[
         pathlib.Path,
-        cyclopts.Parameter(name="--settings", env_var=heads.SETTINGS_VARIABLE),
+        cyclopts.Parameter(name="--settings", env_var=http_headers.SETTINGS_VARIABLE),
     ],
 ) -> None:
     """Serve the operator's routes until SIGTERM.
@@ -97,10 +108,10 @@
 
 @application.command
 def explain(request_id: str, *logs: pathlib.Path) -> None:
-    """Tell what became of a request on the operator's routes.
+    """Explain the outcome of a request on the operator's routes.
 
     Args:
-        request_id: The request's id, as its client sent it.
+        request_id: Id of the request, as its client sent it.
         logs: Log files of instances; standard input if none is given.
     """
     try:
@@ -108,7 +119,7 @@
     except OSError as error:
         _fail(EXIT_INVALID_INPUT, f"{error.filename}: must be a readable log file")
     lines = itertools.chain.from_iterable(texts) if logs else sys.stdin
-    print(explaining.explain(explaining.read_lines(lines, request_id)))
+    print(explanation.explain(explanation.read_lines(lines, request_id)))
 
 
 @application.command
@@ -118,8 +129,8 @@
     Args:
         settings_file: Settings of an instance, JSON with comments.
     """
-    chosen = checks.read_file(settings.EntrySettings, settings_file)
-    if isinstance(chosen, checks.Problems):
+    chosen = validation.read_file(settings.EntrySettings, settings_file)
+    if isinstance(chosen, validation.Problems):
         _fail(EXIT_INVALID_INPUT, str(chosen))
     print(f"{settings_file}: valid settings of {chosen.instance}")
 
@@ -134,15 +145,15 @@
     dry_run: DryRunOption = False,
     json_output: JsonOption = False,
 ) -> None:
-    """Put a fleet document in force.
+    """Submit a fleet document and put it in force.
 
     Args:
         document: Fleet document, JSON with comments.
         entry: Operators' URL of any instance.
         operator: Name for the audit trail.
-        expected: Number of the document that this one is to replace; the one in
-            force at the instance if none is given.
-        dry_run: Only show what it would change.
+        expected: Number of the document that this one is to replace; by default the
+            one in force at the instance.
+        dry_run: Only show what the document would change.
         json_output: Print JSON.
     """
     checked = _document(document)
@@ -150,8 +161,8 @@
         _show_changes(entry, checked, json_output)
         return
     if expected is None:
-        # Without it a try that was held up could land after the operator was told
-        # that another document won, and undo that one.
+        # Without an expected number, a delayed attempt could take effect after the
+        # operator was told that another document won, and revert that document.
         found = _answer_or_fail(operator_client.status(entry), json_output)
         expected = (found["configuration"] or {"number": 0})["number"]
     answer = operator_client.submit(
@@ -178,7 +189,7 @@
 def status(
     *, entry: EntryOption = DEFAULT_ENTRY, json_output: JsonOption = False
 ) -> None:
-    """Show what an instance knows.
+    """Show the status of an instance.
 
     Args:
         entry: Operators' URL of any instance.
@@ -196,11 +207,11 @@
     count: int = 100,
     json_output: JsonOption = False,
 ) -> None:
-    """Show who changed what: documents, orders, drains and their outcomes.
+    """Show the audit trail: documents, orders, drains and their outcomes.
 
     Args:
         entry: Operators' URL of any instance.
-        count: How many of the newest records.
+        count: Number of the newest records to show.
         json_output: Print JSON.
     """
     body = _answer_or_fail(operator_client.audit(entry, count), json_output)
@@ -217,14 +228,14 @@
 
 
 def _document(path: pathlib.Path) -> schema.FleetDocument:
-    checked = checks.read_file(schema.FleetDocument, path)
-    if isinstance(checked, checks.Problems):
+    checked = validation.read_file(schema.FleetDocument, path)
+    if isinstance(checked, validation.Problems):
         _fail(EXIT_INVALID_INPUT, str(checked))
     return checked
 
 
 def _answer_or_fail(
-    answer: operator_client.Answer | operator_client.Unreachable, json_output: bool
+    answer: operator_client.Response | operator_client.Unreachable, json_output: bool
 ) -> dict[str, typing.Any]:
     if isinstance(answer, operator_client.Unreachable):
         _fail(EXIT_UNREACHABLE, answer.reason)
--- a/src/pimentolatch/cli/operator_client.py
+++ b/src/pimentolatch/cli/operator_client.py
@@ -1,4 +1,4 @@
-"""Calls of an instance's operators' face, for the command line."""
+"""Client of an instance's operator API, for the command line."""
 
 import asyncio
 import dataclasses
@@ -10,12 +10,12 @@
 
 from pimentolatch.backend import connections
 
-__all__ = ["Answer", "Unreachable", "audit", "document", "status", "submit"]
+__all__ = ["Response", "Unreachable", "audit", "document", "status", "submit"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
-    """An instance's answer."""
+class Response:
+    """HTTP response of an instance."""
 
     status: int
     body: dict[str, typing.Any]
@@ -23,15 +23,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unreachable:
-    """No answer came."""
+    """The instance did not respond."""
 
     reason: str
 
 
 def submit(
     entry: str, document: str, operator: str, submission: str, expected: int | None
-) -> Answer | Unreachable:
-    """Submit a document's JSON text under a submission id."""
+) -> Response | Unreachable:
+    """Submit the JSON text of a document with a submission id."""
     query = {"operator": operator, "submission": submission}
     if expected is not None:
         query["expected"] = str(expected)
@@ -39,24 +39,24 @@
     return asyncio.run(_call(entry, "POST", path, document.encode()))
 
 
-def status(entry: str) -> Answer | Unreachable:
-    """Ask for an instance's status."""
+def status(entry: str) -> Response | Unreachable:
+    """Get the status of an instance."""
     return asyncio.run(_call(entry, "GET", "/v1/status"))
 
 
-def document(entry: str) -> Answer | Unreachable:
-    """Ask for the document in force."""
+def document(entry: str) -> Response | Unreachable:
+    """Get the document in force."""
     return asyncio.run(_call(entry, "GET", "/v1/document"))
 
 
-def audit(entry: str, count: int) -> Answer | Unreachable:
-    """Ask for the newest records of the audit trail."""
+def audit(entry: str, count: int) -> Response | Unreachable:
+    """Get the newest records of the audit trail."""
     return asyncio.run(_call(entry, "GET", f"/v1/audit?count={count}"))
 
 
 async def _call(
     entry: str, method: str, path: str, data: bytes | None = None
-) -> Answer | Unreachable:
+) -> Response | Unreachable:
     async with aiosonic.HTTPClient() as client:
         try:
             response = await client.request(
@@ -65,6 +65,6 @@
                 data=data,
                 headers={"content-type": "application/json"},
             )
-            return Answer(response.status_code, json.loads(await response.content()))
+            return Response(response.status_code, json.loads(await response.content()))
         except connections.ANSWER_FAILURES as error:
             return Unreachable(f"{entry}: {error!r}")
--- a/src/pimentolatch/control/local_document.py
+++ b/src/pimentolatch/control/local_document.py
@@ -7,8 +7,16 @@
 
 import logbook
 
-from pimentolatch import checks, clock, fleet
-from pimentolatch.control import configuration, heads, parts
+from pimentolatch import (
+    clock,
+    fleet,
+    validation,
+)
+from pimentolatch.control import (
+    configuration,
+    heads,
+    parts,
+)
 from pimentolatch.document import schema
 
 __all__ = ["Adopted", "LocalDocument", "Stale", "Unreadable"]
@@ -128,8 +136,8 @@
             return Unreadable("the parts do not match the content hash of the head")
         # Stored documents are plain JSON; searching a large one for comments to strip
         # would take noticeable time.
-        document = checks.check_value(schema.FleetDocument, json.loads(text))
-        if isinstance(document, checks.Problems):
+        document = validation.check_value(schema.FleetDocument, json.loads(text))
+        if isinstance(document, validation.Problems):
             return Unreadable(str(document))
         return self._accept(head, present, document)
 
--- a/src/pimentolatch/control/step_executor.py
+++ b/src/pimentolatch/control/step_executor.py
@@ -6,7 +6,11 @@
 import logbook
 
 from pimentolatch.audit import trail
-from pimentolatch.control import orders, reconciler, slots
+from pimentolatch.control import (
+    orders,
+    reconciler,
+    slots,
+)
 
 __all__ = ["StepExecutor"]
 
@@ -55,7 +59,7 @@
         """Update a slot and record the outcome in the audit trail."""
         outcome = await self._slots.update(slot)
         result = "done" if isinstance(outcome, slots.Slot) else str(outcome)
-        self._audit.note(document, action, slot.engine, result, detail)
+        self._audit.add(document, action, slot.engine, result, detail)
         _log.info(action, engine=slot.engine, outcome=result, detail=detail)
 
     def start_order(self, request: orders.OrderRequest) -> None:
@@ -68,7 +72,7 @@
         outcome = await self._order_sender.settle(step.slot, step.state)
         result = "done" if isinstance(outcome, slots.Slot) else str(outcome)
         detail = str(step.slot.order)
-        self._audit.note(document, "settle", step.slot.engine, result, detail)
+        self._audit.add(document, "settle", step.slot.engine, result, detail)
 
     async def _send(self, request: orders.OrderRequest) -> None:
         superseded = request.slot.order if _is_pending(request.slot) else None
@@ -76,11 +80,11 @@
         engine = request.engine.name
         # Written before the order is sent. After a crash in between, the intended order
         # is on record, and the next leader records its outcome.
-        self._audit.note(request.document, "order", engine, "intended", detail)
+        self._audit.add(request.document, "order", engine, "intended", detail)
         await self._audit.flush()
         outcome = await self._order_sender.send(request)
         result = type(outcome).__name__
-        self._audit.note(request.document, "order", engine, result, str(outcome))
+        self._audit.add(request.document, "order", engine, result, str(outcome))
         _log.info("order", engine=engine, outcome=result)
 
 
--- a/src/pimentolatch/control/view_publisher.py
+++ b/src/pimentolatch/control/view_publisher.py
@@ -5,9 +5,16 @@
 
 import logbook
 
-from pimentolatch import fleet, store
+from pimentolatch import (
+    fleet,
+    store,
+)
 from pimentolatch.audit import trail
-from pimentolatch.control import drain, slot_cache, slots
+from pimentolatch.control import (
+    drain,
+    slot_cache,
+    slots,
+)
 from pimentolatch.membership import views
 
 __all__ = ["ViewPublisher"]
@@ -85,7 +92,7 @@
                 self._withdrawals[slot.engine] = withdrawal
         summary = f"number {written.number}: withdrawn {sorted(written.withdrawn)}"
         domain = written.failure_domain
-        self._audit.note(configuration.number, "view", domain, "written", summary)
+        self._audit.add(configuration.number, "view", domain, "written", summary)
         _log.info("view written", number=written.number)
         return written
 
--- a/src/pimentolatch/document/schema.py
+++ b/src/pimentolatch/document/schema.py
@@ -6,7 +6,10 @@
 
 import pydantic
 
-from pimentolatch import checks, settings
+from pimentolatch import (
+    settings,
+    validation,
+)
 
 __all__ = [
     "AdmissionPolicy",
@@ -25,7 +28,7 @@
 Name = settings.Name
 
 
-class Model(checks.CheckedModel):
+class Model(validation.CheckedModel):
     """A model that callers may request.
 
     Attributes:
@@ -41,7 +44,7 @@
     context_tokens: int = pydantic.Field(default=131_072, gt=0)
 
 
-class Engine(checks.CheckedModel):
+class Engine(validation.CheckedModel):
     """A backend server that runs a model.
 
     Attributes:
@@ -74,7 +77,7 @@
     serving: typing.Literal["active", "withdrawn"] = "active"
 
 
-class PlainServer(checks.CheckedModel):
+class PlainServer(validation.CheckedModel):
     """A backend server of plain services.
 
     Attributes:
@@ -97,7 +100,7 @@
 ]
 
 
-class Operation(checks.CheckedModel):
+class Operation(validation.CheckedModel):
     """An operation of a plain service.
 
     Attributes:
@@ -108,14 +111,14 @@
     repeatable: bool
 
 
-class Service(checks.CheckedModel):
+class Service(validation.CheckedModel):
     """A service that is not served by model engines."""
 
     name: Name
     operations: tuple[Operation, ...] = pydantic.Field(min_length=1)
 
 
-class Caller(checks.CheckedModel):
+class Caller(validation.CheckedModel):
     """A customer of the fleet.
 
     Attributes:
@@ -133,7 +136,7 @@
     burst_tokens: float = pydantic.Field(default=500_000.0, gt=0)
 
 
-class AdmissionPolicy(checks.CheckedModel):
+class AdmissionPolicy(validation.CheckedModel):
     """Admission control.
 
     Attributes:
@@ -145,7 +148,7 @@
     queue_wait_limit_s: float = pydantic.Field(default=10.0, gt=0, le=600)
 
 
-class RoutingPolicy(checks.CheckedModel):
+class RoutingPolicy(validation.CheckedModel):
     """Routing of requests.
 
     Attributes:
@@ -162,7 +165,7 @@
     kv_bytes_per_s: float = pydantic.Field(default=2.5e9, gt=0)
 
 
-class RolePolicy(checks.CheckedModel):
+class RolePolicy(validation.CheckedModel):
     """Limits and costs of role changes.
 
     Attributes:
@@ -182,14 +185,14 @@
     least_serving_share: float = pydantic.Field(default=0.5, ge=0, le=1)
 
 
-class FailureDomain(checks.CheckedModel):
+class FailureDomain(validation.CheckedModel):
     """A group of machines that can fail or be partitioned off together."""
 
     name: Name
     region: Name
 
 
-class FleetDocument(checks.CheckedModel):
+class FleetDocument(validation.CheckedModel):
     """The complete intended configuration of a fleet."""
 
     fleet: Name
--- a/src/pimentolatch/entry/caller_front_end.py
+++ b/src/pimentolatch/entry/caller_front_end.py
@@ -18,8 +18,8 @@
 
 from pimentolatch import (
     clock,
+    document_index,
     fleet,
-    index,
     metrics,
     results,
     settings,
@@ -102,7 +102,7 @@
         self._shutdown = shutdown
         self._clock = time
         self._metrics = measured
-        self._indexes = index.Indexes()
+        self._indexes = document_index.IndexCache()
         self._limits = request_parsing.BodyLimits(
             chosen.max_body_bytes, datetime.timedelta(seconds=chosen.body_timeout_s)
         )
@@ -243,7 +243,7 @@
             return _ANONYMOUS
         scheme, _, key = request.headers.get("authorization", "").partition(" ")
         digest = hashlib.sha256(key.encode()).hexdigest()
-        known = self._indexes.of(document).callers.get(digest)
+        known = self._indexes.get(document).callers.get(digest)
         if known is not None and scheme.lower() == "bearer":
             return known.name
         return results.Refusal(
--- a/src/pimentolatch/entry/http_responses.py
+++ b/src/pimentolatch/entry/http_responses.py
@@ -14,7 +14,7 @@
     clock,
     metrics,
     results,
-    waits,
+    reusable_timeout,
 )
 from pimentolatch.backend import instance_client
 from pimentolatch.entry import bounded_http
@@ -153,19 +153,19 @@
             (instance_client.REQUEST_ID_HEADER.encode(), request_id.encode()),
         ]
         await send({"type": "http.response.start", "status": 200, "headers": headers})
-        timeouts = waits.Waits()
+        timeouts = reusable_timeout.ReusableTimeout()
         prefix = f'data: {{"id": "{request_id}", "choices": [{{"index": 0, "text": '
         try:
             while isinstance(event, completion_stream.Delta):
                 text = (
                     f'{prefix}{json.dumps(event.text)}, "finish_reason": null}}]}}\n\n'
                 )
-                await timeouts.within(_SEND_TIMEOUT_SECONDS, _send_body(send, text))
+                await timeouts.wait_for(_SEND_TIMEOUT_SECONDS, _send_body(send, text))
                 waiting_since = self._clock.monotonic()
                 event = await anext(self._events)
                 self._metrics.token_gap.observe(self._seconds_since(waiting_since))
             ending = _send_body(send, self._final_events(event), last=True)
-            await timeouts.within(_SEND_TIMEOUT_SECONDS, ending)
+            await timeouts.wait_for(_SEND_TIMEOUT_SECONDS, ending)
         except TimeoutError:
             _log.warn("caller stopped reading; response aborted", request=request_id)
             scope["extensions"][bounded_http.ABORT_EXTENSION]["call"]()
--- a/src/pimentolatch/entry/operator_front_end.py
+++ b/src/pimentolatch/entry/operator_front_end.py
@@ -13,13 +13,13 @@
 )
 
 from pimentolatch import (
-    checks,
     clock,
     fleet,
     metrics,
     results,
     settings,
     store,
+    validation,
 )
 from pimentolatch.audit import trail
 from pimentolatch.control import (
@@ -197,7 +197,7 @@
             number = outcome.head.number
         detail = f"submission {submission.submission_id} by {submission.operator}"
         fleet_name = submission.document.fleet
-        self._trail.note(
+        self._trail.add(
             number, "submit document", fleet_name, type(outcome).__name__, detail
         )
         # The response to the submission must not depend on the audit trail; records
@@ -213,7 +213,7 @@
             )
             return _refusal_response(results.invalid(message))
         reader = trail.AuditReader(self._control.store)
-        records = await reader.latest_of_all(int(text))
+        records = await reader.latest_across_trails(int(text))
         if isinstance(records, store.Unavailable):
             return _refusal_response(
                 results.Refusal(
@@ -229,8 +229,10 @@
     def _parse_submission(
         self, request: requests.Request, raw: bytes
     ) -> configuration.Submission | results.Refusal:
-        document = checks.check_text(schema.FleetDocument, raw.decode(errors="replace"))
-        if isinstance(document, checks.Problems):
+        document = validation.check_text(
+            schema.FleetDocument, raw.decode(errors="replace")
+        )
+        if isinstance(document, validation.Problems):
             return results.Refusal(
                 results.ResultCode.DOCUMENT_INVALID,
                 str(document),
--- a/src/pimentolatch/entry/request_parsing.py
+++ b/src/pimentolatch/entry/request_parsing.py
@@ -9,7 +9,10 @@
 import pydantic
 from starlette import requests
 
-from pimentolatch import checks, results
+from pimentolatch import (
+    results,
+    validation,
+)
 
 __all__ = [
     "CompletionBody",
@@ -30,10 +33,10 @@
 _DEFAULT_URGENCY = 3
 _LEAST_URGENCY = 7
 
-ModelT = typing.TypeVar("ModelT", bound=checks.CheckedModel)
+ModelT = typing.TypeVar("ModelT", bound=validation.CheckedModel)
 
 
-class CompletionBody(checks.CheckedModel):
+class CompletionBody(validation.CheckedModel):
     """The body of `POST /v1/completions`.
 
     Unknown fields are ignored: client libraries send parameters of other servers of
@@ -48,7 +51,7 @@
     stream: bool = False
 
 
-class TicketsBody(checks.CheckedModel):
+class TicketsBody(validation.CheckedModel):
     """The body of `POST /v1/tickets`."""
 
     count: int = pydantic.Field(default=1, ge=1, le=TICKETS_LIMIT)
@@ -136,8 +139,8 @@
         return results.invalid(
             "request body is not valid JSON or is nested too deeply; send a JSON object"
         )
-    checked = checks.check_value(model, value)
-    if isinstance(checked, checks.Problems):
+    checked = validation.check_value(model, value)
+    if isinstance(checked, validation.Problems):
         return results.invalid(str(checked))
     return checked
 
--- a/src/pimentolatch/platform/heads.py
+++ b/src/pimentolatch/platform/http_headers.py
@@ -1,4 +1,4 @@
-"""The header fields of requests and answers, decoded once into typed values."""
+"""Parses the header fields of HTTP requests and responses into typed values."""
 
 import dataclasses
 import datetime
@@ -8,23 +8,23 @@
 from pimentolatch.requests import prompts
 
 __all__ = [
-    "AnswerHead",
-    "ClientHead",
-    "Delivery",
+    "ResponseHeaders",
+    "ClientHeaders",
+    "DispatchOptions",
     "SETTINGS_VARIABLE",
-    "read_answer",
-    "read_client",
+    "parse_response_headers",
+    "parse_client_headers",
     "request_fields",
-    "without_keys",
+    "without_api_keys",
 ]
 
-# Environment variable with the path of a process's settings file.
+# Environment variable that contains the path of the settings file.
 SETTINGS_VARIABLE = "PIMENTOLATCH_BOOT"
 
 Fields = abc.Sequence[tuple[bytes, bytes]]
 
 _REQUEST_ID = b"x-request-id"
-_CALLER_KEY = b"api-key"
+_API_KEY = b"api-key"
 _DEADLINE = b"x-deadline-ms"
 _MODEL = b"x-model"
 _TOKEN_COUNTS = b"x-token-counts"
@@ -35,22 +35,22 @@
 _CUSTOMER = b"x-tenant"
 _URGENCY = b"x-request-urgency"
 _STAGE = b"x-stage"
-_CACHE_SOURCE = b"x-kv-source"
-_CACHE_FETCH = b"kv-fetch"
+_KV_SOURCE = b"x-kv-source"
+_KV_FETCH = b"kv-fetch"
 _NOT_RUN = b"x-not-executed"
 _SEAL = b"x-response-seal"
-_READ_ONLY = b"prefill"
+_PREFILL_ONLY = b"prefill"
 
-# Only we set these: a client that sends one would claim memory, another request's
-# prompt, another place in the queue or another customer's name for itself.
-_OURS = frozenset(
+# Only instances may set these fields. A client that sets one could claim KV cache
+# memory, another request's prompt, another priority or another customer's name.
+_RESERVED_FIELDS = frozenset(
     {
         _DEADLINE,
         _EXPECTED_SERVER,
         _URGENCY,
         _STAGE,
-        _CACHE_SOURCE,
-        _CACHE_FETCH,
+        _KV_SOURCE,
+        _KV_FETCH,
         _CUSTOMER,
         b"x-expect-version",
         b"x-pin-ms",
@@ -61,7 +61,7 @@
         _SEAL,
     }
 )
-# These concern one connection, not the request.
+# Hop-by-hop fields: they concern one connection, not the request.
 _CONNECTION_FIELDS = frozenset(
     {
         b"connection",
@@ -80,18 +80,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClientHead:
-    """What the header of a client's request says.
+class ClientHeaders:
+    """Header of a client's request.
 
     Attributes:
-        keys: Every key that the header holds, an empty one included.
-        time_left: How long the client will wait from now on; None if it does not say.
-        last_event: Number of the last event that the client holds; 0 for none.
-        prompt: What is to be read and written, for model requests.
+        api_keys: All API keys in the header, including empty ones.
+        time_left: How long the client will wait from now on; None if not given.
+        last_event: Number of the last event that the client has received; 0 for none.
+        prompt: Prompt and expected output of a model request; None for other requests.
     """
 
     host: str
-    keys: tuple[bytes, ...] = dataclasses.field(repr=False)
+    api_keys: tuple[bytes, ...] = dataclasses.field(repr=False)
     request_id: str
     time_left: datetime.timedelta | None
     last_event: int
@@ -99,40 +99,42 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Delivery:
-    """What we tell a server about a request that is sent to it.
+class DispatchOptions:
+    """Options for dispatching a request to a server, sent as header fields.
 
     Attributes:
-        server_id: The only server that may run it.
-        time_left: After this time the server stops working on it.
+        server_id: The only server that may run the request.
+        time_left: Time after which the server stops processing the request.
         urgency: 0 is served first, 9 last; None leaves it to the server.
-        only_read: Only read the prompt and keep it for another server.
-        source: Server and handle of a prompt that was read there.
-        last_event: Go on after this event; None leaves the client's own field.
-        donor: Server that keeps parts of the prompt, to be fetched from there.
-        customer: Whose request it is.
+        prefill_only: Only prefill the prompt and hold its KV cache for another server.
+        prefill_source: Server that has prefilled the prompt, and the handle of its KV
+            cache.
+        last_event: Resume after this event; None leaves the client's own field.
+        kv_source: Server that has cached parts of the prompt, for a KV transfer.
+        customer: Name of the customer who sent the request.
     """
 
     server_id: str
     time_left: datetime.timedelta
     urgency: int | None = None
-    only_read: bool = False
-    source: tuple[settings.Address, str] | None = None
+    prefill_only: bool = False
+    prefill_source: tuple[settings.Address, str] | None = None
     last_event: int | None = None
-    donor: settings.Address | None = None
+    kv_source: settings.Address | None = None
     customer: str | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerHead:
-    """What the header of a server's answer says.
+class ResponseHeaders:
+    """Header of a server's response.
 
     Attributes:
-        request_id: The request that it answers; empty if it names none.
-        not_run: The server states that it did not run the request.
-        sealed: The answer bears the server's proof of origin.
-        encoded: The body was recoded on the way, so it is not the server's.
-        fields: What is passed on to the client.
+        request_id: Id of the request; empty if the response contains none.
+        not_run: Whether the server states that it did not run the request.
+        sealed: Whether the response carries the server's proof of origin.
+        encoded: Whether the body has a content encoding. Servers send none, so the body
+            was changed on the way.
+        fields: Header fields to forward to the client.
     """
 
     request_id: str
@@ -142,17 +144,17 @@
     fields: tuple[tuple[bytes, bytes], ...]
 
 
-def read_client(fields: Fields) -> ClientHead:
-    """Decode the header of a client's request.
+def parse_client_headers(fields: Fields) -> ClientHeaders:
+    """Parse the header of a client's request.
 
     Raises:
-        ValueError: A field that we must understand is malformed.
+        ValueError: A required field is malformed.
     """
     found = {name.lower(): value for name, value in fields}
     time_left = found.get(_DEADLINE)
-    return ClientHead(
+    return ClientHeaders(
         host=found.get(b"host", b"").decode("latin-1"),
-        keys=tuple(v.strip() for name, v in fields if name.lower() == _CALLER_KEY),
+        api_keys=tuple(v.strip() for name, v in fields if name.lower() == _API_KEY),
         request_id=found.get(_REQUEST_ID, b"").decode("latin-1"),
         time_left=None if time_left is None else _milliseconds(time_left),
         last_event=int(found.get(_LAST_EVENT, b"0") or b"0"),
@@ -188,35 +190,37 @@
     return tuple(parts)
 
 
-def without_keys(fields: Fields) -> Fields:
-    """Return a header without what proves whose request it is."""
-    return [(name, value) for name, value in fields if name.lower() != _CALLER_KEY]
+def without_api_keys(fields: Fields) -> Fields:
+    """Return the header fields without API keys."""
+    return [(name, value) for name, value in fields if name.lower() != _API_KEY]
 
 
-def request_fields(fields: Fields, delivery: Delivery) -> list[tuple[bytes, bytes]]:
-    """Return the header that a server receives, without its body's length."""
-    dropped = _CONNECTION_FIELDS | _OURS | _named_by_connection(fields)
-    if delivery.last_event is not None:
+def request_fields(
+    fields: Fields, options: DispatchOptions
+) -> list[tuple[bytes, bytes]]:
+    """Return the header fields for the server, without the content length."""
+    dropped = _CONNECTION_FIELDS | _RESERVED_FIELDS | _named_by_connection(fields)
+    if options.last_event is not None:
         dropped |= {_LAST_EVENT}
     kept = [(name, value) for name, value in fields if name.lower() not in dropped]
-    left = max(1, int(delivery.time_left / datetime.timedelta(milliseconds=1)))
+    left = max(1, int(options.time_left / datetime.timedelta(milliseconds=1)))
     kept.append((_DEADLINE, b"%d" % left))
-    kept.append((_EXPECTED_SERVER, delivery.server_id.encode("latin-1")))
-    if delivery.customer is not None:
-        kept.append((_CUSTOMER, delivery.customer.encode()))
-    if delivery.urgency is not None:
-        kept.append((_URGENCY, b"%d" % delivery.urgency))
-    if delivery.only_read:
-        kept.append((_STAGE, _READ_ONLY))
-    if delivery.source is not None:
-        address, handle = delivery.source
+    kept.append((_EXPECTED_SERVER, options.server_id.encode("latin-1")))
+    if options.customer is not None:
+        kept.append((_CUSTOMER, options.customer.encode()))
+    if options.urgency is not None:
+        kept.append((_URGENCY, b"%d" % options.urgency))
+    if options.prefill_only:
+        kept.append((_STAGE, _PREFILL_ONLY))
+    if options.prefill_source is not None:
+        address, handle = options.prefill_source
         text = f"{address.host}:{address.port}/{handle}"
-        kept.append((_CACHE_SOURCE, text.encode("latin-1")))
-    if delivery.donor is not None:
-        text = f"{delivery.donor.host}:{delivery.donor.port}"
-        kept.append((_CACHE_FETCH, text.encode("latin-1")))
-    if delivery.last_event is not None:
-        kept.append((_LAST_EVENT, b"%d" % delivery.last_event))
+        kept.append((_KV_SOURCE, text.encode("latin-1")))
+    if options.kv_source is not None:
+        text = f"{options.kv_source.host}:{options.kv_source.port}"
+        kept.append((_KV_FETCH, text.encode("latin-1")))
+    if options.last_event is not None:
+        kept.append((_LAST_EVENT, b"%d" % options.last_event))
     return kept
 
 
@@ -225,18 +229,18 @@
     for name, value in fields:
         if name.lower() == b"connection":
             named.update(token.strip().lower() for token in value.split(b","))
-    # A client can't have us drop what the request consists of.
+    # A client must not be able to have essential fields dropped.
     return frozenset(
         named - {_REQUEST_ID, _MODEL, _TOKEN_COUNTS, _PROMPT_PARTS, b"host"}
     )
 
 
-def read_answer(fields: Fields) -> AnswerHead:
-    """Decode the header of a server's answer."""
+def parse_response_headers(fields: Fields) -> ResponseHeaders:
+    """Parse the header of a server's response."""
     found = {name.lower(): value for name, value in fields}
     dropped = (_CONNECTION_FIELDS - {b"content-length"}) | _named_by_connection(fields)
     dropped |= {_NOT_RUN, b"x-instance-id"}
-    return AnswerHead(
+    return ResponseHeaders(
         request_id=found.get(_REQUEST_ID, b"").decode("latin-1"),
         not_run=_NOT_RUN in found,
         sealed=_SEAL in found,
--- a/src/pimentolatch/requests/completion_stream.py
+++ b/src/pimentolatch/requests/completion_stream.py
@@ -9,10 +9,24 @@
 
 import logbook
 
-from pimentolatch import backoff, clock, results, settings, waits
-from pimentolatch.backend import engine_client, outcomes
+from pimentolatch import (
+    backoff,
+    clock,
+    results,
+    reusable_timeout,
+    settings,
+)
+from pimentolatch.backend import (
+    engine_client,
+    outcomes,
+)
 from pimentolatch.document import schema
-from pimentolatch.requests import digests, identity, kv_transfer, suspect_completions
+from pimentolatch.requests import (
+    digests,
+    identity,
+    kv_transfer,
+    suspect_completions,
+)
 
 __all__ = [
     "Completion",
@@ -248,7 +262,7 @@
         self, completion: Completion, engine: schema.Engine, offset: int
     ) -> abc.AsyncGenerator[outcomes.EngineEvent, None]:
         final: outcomes.EngineEvent | None = None
-        limits = waits.Waits()
+        limits = reusable_timeout.ReusableTimeout()
         self._choice.dispatched(completion, engine)
         try:
             dispatch = engine_client.Dispatch(
@@ -302,7 +316,7 @@
 
     async def _next_event(
         self,
-        limits: waits.Waits,
+        limits: reusable_timeout.ReusableTimeout,
         events: abc.AsyncGenerator[outcomes.EngineEvent, None],
         completion: Completion,
         timeout: float,
@@ -316,7 +330,7 @@
         """
         limit = min(timeout, self._time_left(completion))
         try:
-            return await limits.within(limit, anext(events))
+            return await limits.wait_for(limit, anext(events))
         except TimeoutError:
             return outcomes.OutcomeUnknown(f"no token for {limit:.3g} s")
         except StopAsyncIteration:
--- a/src/pimentolatch/requests/service_call.py
+++ b/src/pimentolatch/requests/service_call.py
@@ -4,11 +4,26 @@
 import datetime
 import typing
 
-from pimentolatch import clock, fleet, index, results, settings
-from pimentolatch.backend import outcomes, plain_client
-from pimentolatch.decisions import outstanding_work, plain_routing
+from pimentolatch import (
+    clock,
+    document_index,
+    fleet,
+    results,
+    settings,
+)
+from pimentolatch.backend import (
+    outcomes,
+    plain_client,
+)
+from pimentolatch.decisions import (
+    outstanding_work,
+    plain_routing,
+)
 from pimentolatch.document import schema
-from pimentolatch.requests import idempotency_keys, identity
+from pimentolatch.requests import (
+    idempotency_keys,
+    identity,
+)
 
 __all__ = [
     "KeyedCallRunner",
@@ -79,8 +94,8 @@
         self._work = work
         self._clock = time
         self._router = plain_routing.PlainRouter(own_domain, work)
-        self._indexes = index.Indexes()
-        self._latest_index: index.Index | None = None
+        self._indexes = document_index.IndexCache()
+        self._latest_index: document_index.Index | None = None
 
     async def send(
         self,
@@ -138,7 +153,7 @@
         view = self._fleet.view
         if view.document is None:
             return None
-        latest = self._indexes.of(view.document)
+        latest = self._indexes.get(view.document)
         if latest is not self._latest_index:
             self._latest_index = latest
             self._router.forget({s.name for s in view.document.plain_servers})
@@ -182,7 +197,7 @@
         self._fleet = own_fleet
         self._sender = sender
         self._keyed = keyed
-        self._indexes = index.Indexes()
+        self._indexes = document_index.IndexCache()
 
     async def run(self, call: ServiceCall) -> idempotency_keys.Outcome:
         """Return the service's answer or a refusal."""
@@ -194,7 +209,7 @@
                 results.Execution.NOT_RUN,
                 _RETRY_AFTER,
             )
-        operations = self._indexes.of(document).operations
+        operations = self._indexes.get(document).operations
         operation = operations.get((call.service, call.operation))
         if operation is None:
             return results.Refusal(
--- a/src/pimentolatch/settings.py
+++ b/src/pimentolatch/settings.py
@@ -1,6 +1,6 @@
 """Settings of one process: its addresses, its failure domain and the platform.
 
-What the fleet should serve is not here: that is the fleet document.
+What the fleet serves is configured in the fleet document instead.
 """
 
 import ipaddress
@@ -8,7 +8,7 @@
 
 import pydantic
 
-from pimentolatch import checks
+from pimentolatch import validation
 
 __all__ = [
     "Address",
@@ -19,29 +19,29 @@
 ]
 
 
-def _ip_number(value: str) -> str:
+def _ip_address(value: str) -> str:
     try:
         return str(ipaddress.ip_address(value))
     except ValueError:
-        raise ValueError("must be an IP number, such as 192.0.2.7") from None
+        raise ValueError("must be an IP address, such as 192.0.2.7") from None
 
 
-IpNumber = typing.Annotated[str, pydantic.AfterValidator(_ip_number)]
+IpAddress = typing.Annotated[str, pydantic.AfterValidator(_ip_address)]
 PortNumber = typing.Annotated[int, pydantic.Field(ge=1, le=65535)]
 Name = typing.Annotated[
     str, pydantic.Field(pattern=r"^[a-z0-9][a-z0-9-]{0,62}$", max_length=63)
 ]
 
 
-class Address(checks.CheckedModel):
+class Address(validation.CheckedModel):
     """A TCP address."""
 
-    host: IpNumber
+    host: IpAddress
     port: PortNumber
 
     @classmethod
     def from_text(cls, text: str) -> typing.Self:
-        """Return the address written as `HOST:PORT`; raises `ValueError`."""
+        """Parse `HOST:PORT`; raises `ValueError` if the text is malformed."""
         host, _, port = text.rpartition(":")
         return cls(host=host, port=int(port))
 
@@ -63,14 +63,14 @@
 AddressText = typing.Annotated[Address, pydantic.BeforeValidator(_address_from_text)]
 
 
-class PlatformSettings(checks.CheckedModel):
-    """Where the platform is and how much of it this instance may use.
+class PlatformSettings(validation.CheckedModel):
+    """The platform's address and the call limits of this instance.
 
     Attributes:
         address: Address of the object API and the instance list.
-        calls_per_second: Budget of calls for this instance, waiting watches included.
-            The platform's limit divided by the instances is a safe figure.
-        call_timeout_s: How long a call may take before its outcome is unknown.
+        calls_per_second: Call budget of this instance, pending watches included. The
+            platform's limit divided by the number of instances is a safe value.
+        call_timeout_s: Time after which the outcome of a call counts as unknown.
     """
 
     address: Address
@@ -78,20 +78,19 @@
     call_timeout_s: float = pydantic.Field(default=2.0, gt=0, le=60)
 
 
-class PeerSettings(checks.CheckedModel):
+class PeerSettings(validation.CheckedModel):
     """Links to the other entry instances.
 
     Attributes:
-        address: Where this instance listens for peers.
-        advertised: Where peers reach this instance, if that differs.
-        seeds: Peers to ask first; the instance list adds to them.
+        address: Address on which this instance listens for peers.
+        advertised: Address that peers connect to, if it differs from `address`.
+        seeds: Peers to contact first; the instance list adds others.
         heartbeat_interval_s: Time between heartbeats on a link.
-        suspect_after_s: Silence after which a peer is suspected.
-        list_interval_s: Time between two reads of the platform's instance list in
-            this failure domain; its instances take turns.
-        list_lag_bound_s: How late that list may be at most. It is the platform's
-            promise: a process that it no longer names this long after its start has
-            ended.
+        suspect_after_s: Time without messages after which a peer is suspected.
+        list_interval_s: Time between reads of the platform's instance list in this
+            failure domain; its instances take turns.
+        list_lag_bound_s: Maximum lag of that list, guaranteed by the platform: a
+            process that is not listed this long after its start has terminated.
     """
 
     address: Address
@@ -103,31 +102,31 @@
     list_lag_bound_s: float = pydantic.Field(default=30.0, gt=0, le=3600)
 
     @property
-    def reached_at(self) -> Address:
-        """Address that peers dial."""
+    def dial_address(self) -> Address:
+        """Address that peers connect to."""
         return self.advertised or self.address
 
 
-class LogSettings(checks.CheckedModel):
-    """What is logged."""
+class LogSettings(validation.CheckedModel):
+    """Settings of the log."""
 
     level: typing.Literal["DEBUG", "INFO", "NOTICE", "WARNING", "ERROR"] = "INFO"
 
 
-class EntrySettings(checks.CheckedModel):
+class EntrySettings(validation.CheckedModel):
     """Settings of one entry instance.
 
     Attributes:
         instance: Name of this instance, unique in the fleet.
-        failure_domain: Failure domain the instance stands in.
+        failure_domain: Failure domain of this instance.
         region: Region of the failure domain.
-        callers: Where callers' requests arrive.
-        operators: Where `submit`, `status` and the metrics are answered.
+        callers: Address for callers' requests.
+        operators: Address for `submit`, `status` and the metrics.
         peers: Links to the other entry instances.
         platform: The platform's services.
         stop_grace_s: How long a graceful shutdown waits for requests in flight.
-        max_body_bytes: Largest request body that is read.
-        body_timeout_s: Longest time a caller may take to send its body.
+        max_body_bytes: Largest accepted request body.
+        body_timeout_s: Time limit for receiving a request body.
     """
 
     instance: Name
