--- a/src/pimentolatch/platform/engines.py
+++ b/src/pimentolatch/platform/engines.py
@@ -109,7 +109,7 @@
         TypeError,
         ValueError,
     ) as error:
-        _log.error("invalid engine report ignored", reason=repr(error))
+        _log.error("report not understood", reason=repr(error))
         return None
 
 
