--- a/benchmarks/comparison.py
+++ b/benchmarks/comparison.py
@@ -5,11 +5,11 @@
 import statistics
 from collections import abc
 
-from benchmarks import plays
+from benchmarks import trials
 
 __all__ = ["Difference", "Row", "compare"]
 
-Results = abc.Mapping[plays.Play, plays.Result]
+Results = abc.Mapping[trials.Trial, trials.Result]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
 
     variant: str
     site: str
-    plays: int
+    trials: int
     worth: float
     against_base: Difference
     served: float
@@ -48,35 +48,37 @@
 
 def compare(variant: str, site: str, results: Results, base: Results) -> Row:
     """Return how a variant did on a site, against the base on the same plays."""
-    played = sorted(
-        (play for play in results if play.site == site),
-        key=lambda play: (play.day, play.seed or 0),
+    trials_of_site = sorted(
+        (trial for trial in results if trial.site == site),
+        key=lambda trial: (trial.day, trial.seed or 0),
     )
-    chosen = [results[play] for play in played]
+    selected = [results[trial] for trial in trials_of_site]
     days = {
-        play.day: statistics.fmean(
-            results[p].worth for p in played if p.day == play.day
+        trial.day: statistics.fmean(
+            results[p].worth for p in trials_of_site if p.day == trial.day
         )
-        for play in played
+        for trial in trials_of_site
     }
     kinds = {
-        kind: statistics.fmean(result.kinds[kind] for result in chosen)
-        for kind in chosen[0].kinds
+        kind: statistics.fmean(result.kinds[kind] for result in selected)
+        for kind in selected[0].kinds
     }
-    causes = {name for result in chosen for name in result.losses}
+    causes = {name for result in selected for name in result.losses}
     losses = {
-        cause: statistics.fmean(result.losses.get(cause, 0.0) for result in chosen)
+        cause: statistics.fmean(result.losses.get(cause, 0.0) for result in selected)
         for cause in causes
     }
     return Row(
         variant,
         site,
-        len(played),
-        statistics.fmean(result.worth for result in chosen),
-        _difference([results[p].worth - base[p].worth for p in played if p in base]),
-        statistics.fmean(result.served for result in chosen),
-        statistics.fmean(result.orders for result in chosen),
-        sum(bool(result.broken) for result in chosen),
+        len(trials_of_site),
+        statistics.fmean(result.worth for result in selected),
+        _difference(
+            [results[p].worth - base[p].worth for p in trials_of_site if p in base]
+        ),
+        statistics.fmean(result.served for result in selected),
+        statistics.fmean(result.orders for result in selected),
+        sum(bool(result.broken) for result in selected),
         min(days.items(), key=lambda item: item[1]),
         min(kinds.items(), key=lambda item: item[1], default=("none", 0.0)),
         tuple(sorted(losses.items(), key=lambda item: -item[1])),
--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -27,17 +27,17 @@
 import rich.progress
 import rich.table
 
-from benchmarks import comparison, plays, variants
+from benchmarks import comparison, trials, variants
 
-__all__ = ["ROOT", "app", "play_all", "run"]
+__all__ = ["ROOT", "app", "run", "run_trials"]
 
 ROOT = pathlib.Path(__file__).parent.parent
 _BASE = "base"
 # Half of the processors: the rest is left for whoever works here.
-_AT_ONCE = max(1, (os.cpu_count() or 2) // 2)
+_DEFAULT_JOBS = max(1, (os.cpu_count() or 2) // 2)
 _LOSSES_SHOWN = 8
 
-Results = dict[plays.Play, plays.Result]
+Results = dict[trials.Trial, trials.Result]
 app = cyclopts.App(
     help=__doc__, default_parameter=cyclopts.Parameter(consume_multiple=True)
 )
@@ -54,7 +54,7 @@
     ] = None,
     bench: pathlib.Path | None = None,
     why: str = "experiment",
-    jobs: int = _AT_ONCE,
+    jobs: int = _DEFAULT_JOBS,
     plot: pathlib.Path | None = None,
     losses: bool = False,
 ) -> int:
@@ -71,23 +71,28 @@
         plot: Where to draw worth by second, for each variant.
         losses: Also print what was lost, by cause.
     """
-    named = [variants.Variant(_BASE), *map(variants.parse, variants_ or [])]
-    asked = [
-        plays.Play(str(_absolute(site, bench)), day, seed)
+    chosen_variants = [variants.Variant(_BASE), *map(variants.parse, variants_ or [])]
+    requested_trials = [
+        trials.Trial(str(_absolute(site, bench)), day, seed)
         for site, day, seed in itertools.product(sites, days, seeds or (None,))
     ]
-    found = play_all(named, asked, bench, why, jobs)
+    results_by_variant = run_trials(chosen_variants, requested_trials, bench, why, jobs)
     rows = [
-        comparison.compare(variant.name, site, found[variant.name], found[_BASE])
-        for site in dict.fromkeys(play.site for play in asked)
-        for variant in named
+        comparison.compare(
+            variant.name,
+            site,
+            results_by_variant[variant.name],
+            results_by_variant[_BASE],
+        )
+        for site in dict.fromkeys(trial.site for trial in requested_trials)
+        for variant in chosen_variants
     ]
     console = rich.console.Console(width=150)
     console.print(_table(rows))
     if losses:
         console.print(_losses_table(rows))
     if plot is not None:
-        _draw(found, plot)
+        _draw(results_by_variant, plot)
     return 1 if any(row.broken for row in rows) else 0
 
 
@@ -95,23 +100,25 @@
     return site if bench is None else pathlib.Path(site).resolve()
 
 
-def play_all(
-    named: abc.Sequence[variants.Variant],
-    asked: abc.Sequence[plays.Play],
+def run_trials(
+    chosen_variants: abc.Sequence[variants.Variant],
+    requested_trials: abc.Sequence[trials.Trial],
     bench: pathlib.Path | None,
     why: str,
     jobs: int,
 ) -> dict[str, Results]:
     """Return the results of each variant; see `run` for the arguments."""
-    found: dict[str, Results] = {variant.name: {} for variant in named}
+    results_by_variant: dict[str, Results] = {
+        variant.name: {} for variant in chosen_variants
+    }
     # The bench needs each tree beside the checkout: a folder for temporary files is
     # private to each of the processes that it starts.
-    place = ROOT.parent / f"experiment-{os.getpid()}"
-    place.mkdir()
+    folder = ROOT.parent / f"experiment-{os.getpid()}"
+    folder.mkdir()
     try:
         trees = {}
-        for number, variant in enumerate(named):
-            trees[variant.name] = place / str(number)
+        for number, variant in enumerate(chosen_variants):
+            trees[variant.name] = folder / str(number)
             built = bench is not None
             variants.copy_tree(ROOT, variant, trees[variant.name], built=built)
         _warm_up(bench, trees.values(), jobs)
@@ -121,22 +128,28 @@
                 console=rich.console.Console(stderr=True)
             ) as progress,
         ):
-            task = progress.add_task("plays", total=len(named) * len(asked))
-            waiting = {
+            task = progress.add_task(
+                "plays", total=len(chosen_variants) * len(requested_trials)
+            )
+            pending = {
                 pool.submit(
-                    _play, bench, trees[variant.name], play, f"{why}: {variant.name}"
-                ): (variant.name, play)
-                for play in asked
-                for variant in named
+                    _run_trial,
+                    bench,
+                    trees[variant.name],
+                    trial,
+                    f"{why}: {variant.name}",
+                ): (variant.name, trial)
+                for trial in requested_trials
+                for variant in chosen_variants
             }
-            for done in concurrent.futures.as_completed(waiting):
-                name, play = waiting[done]
-                found[name][play] = done.result()
+            for done in concurrent.futures.as_completed(pending):
+                name, trial = pending[done]
+                results_by_variant[name][trial] = done.result()
                 progress.advance(task)
-        _keep_journals(trees.values())
+        _copy_journals(trees.values())
     finally:
-        shutil.rmtree(place)
-    return found
+        shutil.rmtree(folder)
+    return results_by_variant
 
 
 def _warm_up(
@@ -146,25 +159,25 @@
     if bench is None:
         return
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        list(pool.map(functools.partial(plays.build, bench), trees))
+        list(pool.map(functools.partial(trials.build, bench), trees))
 
 
-def _play(
-    bench: pathlib.Path | None, tree: pathlib.Path, play: plays.Play, why: str
-) -> plays.Result:
+def _run_trial(
+    bench: pathlib.Path | None, tree: pathlib.Path, trial: trials.Trial, why: str
+) -> trials.Result:
     if bench is None:
-        return plays.play_emulator(tree, play, sys.executable)
-    return plays.play_bench(bench.resolve(), tree, play, why)
+        return trials.run_on_emulator(tree, trial, sys.executable)
+    return trials.run_on_bench(bench.resolve(), tree, trial, why)
 
 
-def _keep_journals(trees: abc.Iterable[pathlib.Path]) -> None:
+def _copy_journals(trees: abc.Iterable[pathlib.Path]) -> None:
     """Keep the bench's entries of all plays with those of the checkout."""
-    kept = ROOT / "journal"
+    journal = ROOT / "journal"
     for entry in itertools.chain.from_iterable(
         tree.glob("journal/*.json") for tree in trees
     ):
-        kept.mkdir(exist_ok=True)
-        shutil.copy2(entry, kept / entry.name)
+        journal.mkdir(exist_ok=True)
+        shutil.copy2(entry, journal / entry.name)
 
 
 def _table(rows: abc.Iterable[comparison.Row]) -> rich.table.Table:
@@ -179,7 +192,7 @@
         table.add_row(
             pathlib.Path(row.site).stem,
             row.variant,
-            str(row.plays),
+            str(row.trials),
             f"{row.worth:.3f}",
             str(row.against_base),
             f"{row.served:.3f}",
@@ -203,10 +216,10 @@
     return table
 
 
-def _draw(found: abc.Mapping[str, Results], path: pathlib.Path) -> None:
+def _draw(results_by_variant: abc.Mapping[str, Results], path: pathlib.Path) -> None:
     figure = matplotlib.figure.Figure(figsize=(9, 3.5), layout="constrained")
     axes: typing.Any = figure.subplots()
-    for name, results in found.items():
+    for name, results in results_by_variant.items():
         sums: dict[float, list[float]] = {}
         for result in results.values():
             for second, worth in result.by_second.items():
--- a/benchmarks/fakes.py
+++ b/benchmarks/fakes.py
@@ -16,12 +16,12 @@
 __all__ = ["FakeEngine", "Job", "StepTimes"]
 
 _FIXED_STEP_SHARE = 0.4
-_PIECE_TOKENS: dict[schema.Role, int] = {"prefill": 2048, "mixed": 256, "decode": 64}
-_PIECE_OVERHEAD_S = 0.012
+_CHUNK_TOKENS: dict[schema.Role, int] = {"prefill": 2048, "mixed": 256, "decode": 64}
+_CHUNK_OVERHEAD_S = 0.012
 _CACHED_PREFIXES = 24
 _BINS = 400
 _BIN_S = 0.001
-_ALMOST = 1e-9
+_TOLERANCE = 1e-9
 
 
 @dataclasses.dataclass(slots=True)
@@ -44,8 +44,8 @@
     entry: int
     first_token: float = -1.0
     delivered: int = 0
-    reader: str = ""
-    writer: str = ""
+    prefill_engine: str = ""
+    decode_engine: str = ""
     transferring: bool = False
     counted_prompt: float = 0.0
 
@@ -84,27 +84,27 @@
         self.serving = True
         self._times = times
         self._now = 0.0
-        self._steps = 0.0
+        self._steps_done = 0.0
         self._streams: list[tuple[float, int, float, Job]] = []
-        self._waiting: collections.deque[Job] = collections.deque()
-        self._reading: collections.deque[Job] = collections.deque()
-        self._unread = 0.0
+        self._decode_queue: collections.deque[Job] = collections.deque()
+        self._prefill_queue: collections.deque[Job] = collections.deque()
+        self._prefill_left = 0.0
         self._cache: collections.OrderedDict[int, None] = collections.OrderedDict()
         self._step_s = 0.0
-        self._read_rate = 0.0
+        self._prefill_rate = 0.0
 
     @property
     def idle(self) -> bool:
         """Whether no request is here."""
-        return not (self._streams or self._waiting or self._reading)
+        return not (self._streams or self._decode_queue or self._prefill_queue)
 
     def next_event(self) -> float:
         """Return when the next prompt is read or answer written, in seconds."""
         when = math.inf
-        if self._reading:
-            when = self._now + max(0.0, self._unread) / self._read_rate
+        if self._prefill_queue:
+            when = self._now + max(0.0, self._prefill_left) / self._prefill_rate
         if self._streams:
-            left = self._streams[0][0] - self._steps
+            left = self._streams[0][0] - self._steps_done
             when = min(when, self._now + max(0.0, left) * self._step_s)
         return when
 
@@ -114,80 +114,83 @@
         if elapsed > 0.0:
             if self._streams:
                 steps = elapsed / self._step_s
-                self._steps += steps
+                self._steps_done += steps
                 self._times.add(self._step_s, steps * len(self._streams))
-            if self._reading:
-                self._unread -= elapsed * self._read_rate
+            if self._prefill_queue:
+                self._prefill_left -= elapsed * self._prefill_rate
         self._now = now
-        read: list[Job] = []
-        written: list[Job] = []
-        if self._reading and self._unread <= _ALMOST * self._read_rate + 1e-6:
-            read.append(self._reading.popleft())
-            self._begin_reading()
-        while self._streams and self._streams[0][0] - self._steps <= 1e-6:
+        prefilled: list[Job] = []
+        completed: list[Job] = []
+        if (
+            self._prefill_queue
+            and self._prefill_left <= _TOLERANCE * self._prefill_rate + 1e-6
+        ):
+            prefilled.append(self._prefill_queue.popleft())
+            self._begin_prefill()
+        while self._streams and self._streams[0][0] - self._steps_done <= 1e-6:
             job = heapq.heappop(self._streams)[3]
             job.delivered = job.output_tokens
-            written.append(job)
-        if written:
-            while self._waiting and len(self._streams) < self.engine.streams:
-                self._start(self._waiting.popleft())
-        if read or written:
-            self._pace()
-        return read, written
-
-    def read(self, job: Job) -> None:
+            completed.append(job)
+        if completed:
+            while self._decode_queue and len(self._streams) < self.engine.streams:
+                self._start(self._decode_queue.popleft())
+        if prefilled or completed:
+            self._update_step_time()
+        return prefilled, completed
+
+    def prefill(self, job: Job) -> None:
         """Queue a prompt for reading."""
-        self._reading.append(job)
-        if len(self._reading) == 1:
-            self._begin_reading()
-            self._pace()
+        self._prefill_queue.append(job)
+        if len(self._prefill_queue) == 1:
+            self._begin_prefill()
+            self._update_step_time()
 
-    def write(self, job: Job) -> None:
+    def decode(self, job: Job) -> None:
         """Put a prompt that is read into the batch, or in line for it."""
         if len(self._streams) < self.engine.streams:
             self._start(job)
-            self._pace()
+            self._update_step_time()
         else:
-            self._waiting.append(job)
+            self._decode_queue.append(job)
 
     def crash(self) -> list[Job]:
         """Lose everything; returns the jobs that were here."""
         for _, _, began, job in self._streams:
-            job.delivered += int(self._steps - began)
+            job.delivered += int(self._steps_done - began)
         jobs = [stream[3] for stream in self._streams]
-        jobs += [*self._waiting, *self._reading]
+        jobs += [*self._decode_queue, *self._prefill_queue]
         self._streams.clear()
-        self._waiting.clear()
-        self._reading.clear()
+        self._decode_queue.clear()
+        self._prefill_queue.clear()
         self._cache.clear()
-        self._pace()
+        self._update_step_time()
         return jobs
 
-    def take_role(self, role: schema.Role) -> None:
+    def set_role(self, role: schema.Role) -> None:
         """Change role; the prefix cache does not outlive it."""
         self.role = role
         self._cache.clear()
-        self._pace()
+        self._update_step_time()
 
     def _start(self, job: Job) -> None:
         if job.first_token < 0.0:
             job.first_token = self._now
-        end = self._steps + job.output_tokens - job.delivered
-        heapq.heappush(self._streams, (end, job.number, self._steps, job))
+        end = self._steps_done + job.output_tokens - job.delivered
+        heapq.heappush(self._streams, (end, job.number, self._steps_done, job))
 
-    def _begin_reading(self) -> None:
-        if not self._reading:
+    def _begin_prefill(self) -> None:
+        if not self._prefill_queue:
             return
-        job = self._reading[0]
-        held = job.prefix in self._cache
+        job = self._prefill_queue[0]
+        cached = job.prefix in self._cache
         self._cache[job.prefix] = None
         self._cache.move_to_end(job.prefix)
         if len(self._cache) > _CACHED_PREFIXES:
             self._cache.popitem(last=False)
         tokens = job.prompt_tokens + job.delivered
-        self._unread = float(tokens - (job.prefix_tokens if held else 0))
+        self._prefill_left = float(tokens - (job.prefix_tokens if cached else 0))
 
-    def _pace(self) -> None:
+    def _update_step_time(self) -> None:
         """Set the lengths of steps from what is being done."""
         engine = self.engine
         streams = len(self._streams)
@@ -196,10 +199,10 @@
             full = engine.streams / engine.decode_tokens_per_s
             share = streams / engine.streams
             step = full * (_FIXED_STEP_SHARE + (1.0 - _FIXED_STEP_SHARE) * share)
-        if not self._reading:
+        if not self._prefill_queue:
             self._step_s = step
             return
-        piece = _PIECE_TOKENS[self.role] if streams else _PIECE_TOKENS["prefill"]
-        step += piece / engine.prefill_tokens_per_s + _PIECE_OVERHEAD_S
+        chunk = _CHUNK_TOKENS[self.role] if streams else _CHUNK_TOKENS["prefill"]
+        step += chunk / engine.prefill_tokens_per_s + _CHUNK_OVERHEAD_S
         self._step_s = step
-        self._read_rate = piece / step
+        self._prefill_rate = chunk / step
--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -23,11 +23,11 @@
     residual: float
     largest: float
 
-    def at(self, size: float) -> float:
+    def value_at(self, size: float) -> float:
         """Return the value the line gives at a size."""
         return self.intercept + self.slope * size
 
-    def reach(self, size: float) -> float:
+    def extrapolation(self, size: float) -> float:
         """Return how far beyond the largest measured size another one lies."""
         return size / self.largest
 
@@ -37,7 +37,7 @@
     sizes = np.array([size for size, _ in points], dtype=float)
     values = np.array([value for _, value in points], dtype=float)
     slope, intercept = np.polyfit(sizes, values, 1)
-    distance = values - (slope * sizes + intercept)
+    residuals = values - (slope * sizes + intercept)
     mean = float(np.mean(np.abs(values))) or 1.0
-    residual = float(np.sqrt(np.mean(distance**2))) / mean
+    residual = float(np.sqrt(np.mean(residuals**2))) / mean
     return Fit(float(slope), float(intercept), residual, float(sizes.max()))
--- a/benchmarks/gateway_cost.py
+++ b/benchmarks/gateway_cost.py
@@ -33,15 +33,15 @@
 
 HOST = "127.0.0.1"
 # What an instance of a fleet of 84 has before it.
-READERS = 24
-WRITERS = 46
-REQUESTS_A_SECOND = 12.0
-BEACONS_A_SECOND = 40.0
-LOADS_TOLD = 40
-PARTS_TOLD = 24
+PREFILL_ENGINES = 24
+DECODE_ENGINES = 46
+REQUESTS_PER_S = 12.0
+BEACONS_PER_S = 40.0
+LOADS_PER_BEACON = 40
+PREFIXES_PER_BEACON = 24
 PROMPT_TOKENS = 4000
 BODY_BYTES = 4000
-PLAY_S = 12.0
+RUN_S = 12.0
 IDLE_S = 6.0
 START_S = 1.0
 
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Play:
+class RunCost:
     """What one play took."""
 
     requests: int
@@ -109,7 +109,7 @@
 
 
 async def _start_engines() -> list[route_server.RouteServer]:
-    stages = ["prefill"] * READERS + ["decode"] * WRITERS
+    stages = ["prefill"] * PREFILL_ENGINES + ["decode"] * DECODE_ENGINES
     found = [
         route_server.RouteServer(f"i-{number:010x}", "lm", "here", stage)
         for number, stage in enumerate(stages)
@@ -119,7 +119,7 @@
     return found
 
 
-async def _ask(port: int, number: int) -> bool:
+async def _send_request(port: int, number: int) -> bool:
     reader, writer = await asyncio.open_connection(HOST, port)
     session = f"{number % 40:08x}:3000,{number:08x}:{PROMPT_TOKENS - 3000}"
     head = (
@@ -138,20 +138,20 @@
     names = [servers.Incarnation(name) for name in engines]
     loads = tuple(
         beacons.Load(engine, (number % 7, 400, 0, 900), 3, 9000 + number)
-        for engine in names[:LOADS_TOLD]
+        for engine in names[:LOADS_PER_BEACON]
     )
     parts = tuple(
-        beacons.CachedPrefix(names[n], (number * PARTS_TOLD + n) % 2**32, 3000)
-        for n in range(PARTS_TOLD)
+        beacons.CachedPrefix(names[n], (number * PREFIXES_PER_BEACON + n) % 2**32, 3000)
+        for n in range(PREFIXES_PER_BEACON)
     )
     peer = f"peer-{number % 13}"
-    told = beacons.Beacon(
+    beacon = beacons.Beacon(
         peer, "here", "life", 1, 1, False, (), (), loads=loads, cached=parts
     )
-    return beacons.encode(told)
+    return beacons.encode(beacon)
 
 
-async def _surround(port: int, peers_port: int) -> None:
+async def _run_environment(port: int, peers_port: int) -> None:
     """Be the engines, the clients and the peers of an instance; told by lines."""
     engines = await _start_engines()
     print(json.dumps({e.server_id: e.entry() for e in engines}), flush=True)
@@ -160,17 +160,17 @@
     rate, seconds = json.loads(line)
     names = [engine.server_id for engine in engines]
     sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    begun = loop.time()
-    asked: list[asyncio.Task[bool]] = []
-    told = 0
-    while (passed := loop.time() - begun) < seconds:
-        while told < passed * BEACONS_A_SECOND:
-            sender.sendto(_beacon(told, names), (HOST, peers_port))
-            told += 1
-        while len(asked) < passed * rate:
-            asked.append(asyncio.create_task(_ask(port, len(asked))))
+    started = loop.time()
+    requests: list[asyncio.Task[bool]] = []
+    beacons_sent = 0
+    while (elapsed := loop.time() - started) < seconds:
+        while beacons_sent < elapsed * BEACONS_PER_S:
+            sender.sendto(_beacon(beacons_sent, names), (HOST, peers_port))
+            beacons_sent += 1
+        while len(requests) < elapsed * rate:
+            requests.append(asyncio.create_task(_send_request(port, len(requests))))
         await asyncio.sleep(0.005)
-    print(sum(await asyncio.gather(*asked)), flush=True)
+    print(sum(await asyncio.gather(*requests)), flush=True)
     for engine in engines:
         await engine.stop()
 
@@ -189,7 +189,7 @@
     )
 
 
-def _start_around(port: int, peers_port: int) -> subprocess.Popen[str]:
+def _start_environment(port: int, peers_port: int) -> subprocess.Popen[str]:
     command = [sys.executable, "-m", "benchmarks.gateway_cost", "--surround"]
     return subprocess.Popen(
         [*command, str(port), str(peers_port)],
@@ -200,39 +200,43 @@
     )
 
 
-async def _play(rate: float, seconds: float, profile: cProfile.Profile | None) -> Play:
+async def _run_instance(
+    rate: float, seconds: float, profile: cProfile.Profile | None
+) -> RunCost:
     port, peers_port = _port(), _port()
-    around = _start_around(port, peers_port)
-    assert around.stdin is not None and around.stdout is not None
+    environment = _start_environment(port, peers_port)
+    assert environment.stdin is not None and environment.stdout is not None
     loop = asyncio.get_running_loop()
-    listed = json.loads(await loop.run_in_executor(None, around.stdout.readline))
+    server_entries = json.loads(
+        await loop.run_in_executor(None, environment.stdout.readline)
+    )
     instance = process.GatewayInstance(_settings(port, peers_port), clock.SystemClock())
     spec = _spec()
     instance.fleet.configure(configuration.decode(spec), spec)
-    found = [entries.decode(name, entry) for name, entry in listed.items()]
+    found = [entries.decode(name, entry) for name, entry in server_entries.items()]
     instance.fleet.replace_servers(
         1, [s for s in found if isinstance(s, servers.Server)]
     )
     await instance.start()
     await asyncio.sleep(START_S)
-    around.stdin.write(json.dumps([rate, seconds]) + "\n")
-    around.stdin.flush()
+    environment.stdin.write(json.dumps([rate, seconds]) + "\n")
+    environment.stdin.flush()
     wall, used = time.monotonic(), time.process_time()
     if profile is not None:
         profile.enable()
-    answered = int(await loop.run_in_executor(None, around.stdout.readline))
+    answered = int(await loop.run_in_executor(None, environment.stdout.readline))
     if profile is not None:
         profile.disable()
-    play = Play(answered, time.process_time() - used, time.monotonic() - wall)
+    cost = RunCost(answered, time.process_time() - used, time.monotonic() - wall)
     await instance.abort()
-    around.wait()
-    return play
+    environment.wait()
+    return cost
 
 
 def _cause(file: str, function: str) -> str:
-    where = f"{file}:{function}".replace("\\", "/")
-    for cause, places in CAUSES:
-        if any(place in where for place in places):
+    location = f"{file}:{function}".replace("\\", "/")
+    for cause, patterns in CAUSES:
+        if any(pattern in location for pattern in patterns):
             return cause
     return OTHER
 
@@ -246,23 +250,23 @@
             continue
         cause = _cause(file, function)
         spent[cause] = spent.get(cause, 0.0) + own
-    whole = sum(spent.values())
-    return {cause: own / whole for cause, own in spent.items()}
+    total = sum(spent.values())
+    return {cause: own / total for cause, own in spent.items()}
 
 
 def main() -> None:
     """Print the figures and write them to `build/gateway-cost.json`."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--surround", nargs=2, type=int)
-    chosen = parser.parse_args()
-    if chosen.surround is not None:
-        asyncio.run(_surround(*chosen.surround))
+    options = parser.parse_args()
+    if options.surround is not None:
+        asyncio.run(_run_environment(*options.surround))
         return
     with logbook.NullHandler().applicationbound():
-        idle = asyncio.run(_play(0.0, IDLE_S, None))
-        busy = asyncio.run(_play(REQUESTS_A_SECOND, PLAY_S, None))
+        idle = asyncio.run(_run_instance(0.0, IDLE_S, None))
+        busy = asyncio.run(_run_instance(REQUESTS_PER_S, RUN_S, None))
         profile = cProfile.Profile()
-        asyncio.run(_play(REQUESTS_A_SECOND, PLAY_S, profile))
+        asyncio.run(_run_instance(REQUESTS_PER_S, RUN_S, profile))
     share = idle.processor_s / idle.wall_s
     extra = busy.processor_s - share * busy.wall_s
     found = [
--- a/benchmarks/load_cases.py
+++ b/benchmarks/load_cases.py
@@ -35,15 +35,15 @@
     load: float,
     callers: int,
     span: tuple[float, float],
-    draft_part: float = 0.5,
+    draft_share: float = 0.5,
     deadline_s: float = 15.0,
 ) -> load_patterns.Arrivals:
     found: load_patterns.Arrivals = []
     for number in range(callers):
         each = load * capacity / callers
         name = f"caller-{number}"
-        found += drafts(rng, name, each * draft_part, span, deadline_s)
-        found += briefings(rng, name, each * (1 - draft_part), span)
+        found += drafts(rng, name, each * draft_share, span, deadline_s)
+        found += briefings(rng, name, each * (1 - draft_share), span)
     return found
 
 
@@ -92,8 +92,8 @@
     per_request = 4000 + 60 * 8000 / 1200
     found: load_patterns.Arrivals = []
     for number in range(31):
-        part = 0.3 if number == 0 else 0.7 / 30
-        rate = 1.2 * part * capacity / per_request
+        share = 0.3 if number == 0 else 0.7 / 30
+        rate = 1.2 * share * capacity / per_request
         found += [
             Arrival(
                 at,
@@ -109,29 +109,29 @@
     return found
 
 
-def _anything(arrival: Arrival) -> bool:
+def _any_request(arrival: Arrival) -> bool:
     return True
 
 
-def _others(arrival: Arrival) -> bool:
+def _not_hot_caller(arrival: Arrival) -> bool:
     return arrival.caller != "hot"
 
 
 _DRAFTS = {"drafts": lambda arrival: arrival.kind == "draft"}
 _BRIEFINGS = {"briefings": lambda arrival: arrival.kind == "briefing"}
-_ALL = {"all": _anything}
+_ALL = {"all": _any_request}
 _SPAN = {"steady": (10.0, 50.0)}
 
 CASES = {
     "overload": Case(6, 3, 75, _overload, {"steady": (15.0, 60.0)}, _ALL),
-    "no hot caller": Case(4, 2, 65, _without_hot, _SPAN, {"others": _others}),
+    "no hot caller": Case(4, 2, 65, _without_hot, _SPAN, {"others": _not_hot_caller}),
     "hot caller": Case(
         4,
         2,
         65,
         _with_hot,
         _SPAN,
-        {"others": _others, "hot": lambda arrival: arrival.caller == "hot"},
+        {"others": _not_hot_caller, "hot": lambda arrival: arrival.caller == "hot"},
     ),
     "burst": Case(
         4, 2, 70, _burst, {"burst": (20.0, 28.0), "after": (30.0, 60.0)}, _ALL
@@ -155,7 +155,7 @@
         65,
         _hot_prefix,
         _SPAN,
-        {"hot file": lambda arrival: arrival.prefix == "file-0", "all": _anything},
+        {"hot file": lambda arrival: arrival.prefix == "file-0", "all": _any_request},
     ),
 }
 
@@ -172,10 +172,10 @@
     outcomes = load_fakes.run(fakes, arrivals, case.until, case.speeds)
     return {
         (span, group): load_patterns.summary(
-            outcomes, case.engines, case.spans[span], which
+            outcomes, case.engines, case.spans[span], selects
         )
         for span in case.spans
-        for group, which in case.groups.items()
+        for group, selects in case.groups.items()
     }
 
 
--- a/benchmarks/load_fakes.py
+++ b/benchmarks/load_fakes.py
@@ -28,11 +28,11 @@
 
 MODEL = "badge-draft"
 STEP_S = 0.02
-SHARES_EVERY_S = 1.0
+REPORT_INTERVAL_S = 1.0
 UNITS_PER_SECOND = 8000.0
-_WEIGHT = 8000.0 / 1200.0
+_OUTPUT_TOKEN_WORK = 8000.0 / 1200.0
 CACHED_PREFIXES = 12
-_LONE_STREAM_SPEED = 4.0
+_SINGLE_STREAM_SPEEDUP = 4.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
     @property
     def units(self) -> float:
         """Work in prompt tokens."""
-        return self.prompt_tokens + _WEIGHT * self.output_tokens
+        return self.prompt_tokens + _OUTPUT_TOKEN_WORK * self.output_tokens
 
 
 @dataclasses.dataclass(slots=True)
@@ -59,7 +59,7 @@
     """What a caller received for one try; times are seconds since it asked."""
 
     arrival: Arrival
-    asked: float
+    sent_at: float
     first_token: float | None = None
     finished: float | None = None
     refused: float | None = None
@@ -74,10 +74,10 @@
 @dataclasses.dataclass(slots=True)
 class _Stream:
     name: str
-    unread: float
-    left: int
-    written: float = 0.0
-    told: int = 0
+    prefill_left: float
+    output_tokens: int
+    generated: float = 0.0
+    emitted: int = 0
 
 
 class FakeEngine:
@@ -86,21 +86,21 @@
     def __init__(self, engine: schema.Engine) -> None:
         self.engine = engine
         self.speed = 1.0
-        self.read_tokens = 0.0
+        self.prefilled_tokens = 0.0
         self._batch: list[_Stream] = []
         self._waiting: collections.deque[_Stream] = collections.deque()
         self._cache: collections.OrderedDict[str, None] = collections.OrderedDict()
 
     def send(self, name: str, arrival: Arrival) -> None:
-        unread = float(arrival.prompt_tokens)
+        prefill_left = float(arrival.prompt_tokens)
         if arrival.prefix:
             if arrival.prefix in self._cache:
-                unread = max(1.0, unread - 0.9 * arrival.prompt_tokens)
+                prefill_left = max(1.0, prefill_left - 0.9 * arrival.prompt_tokens)
             self._cache[arrival.prefix] = None
             self._cache.move_to_end(arrival.prefix)
             if len(self._cache) > CACHED_PREFIXES:
                 self._cache.popitem(last=False)
-        self._waiting.append(_Stream(name, unread, arrival.output_tokens))
+        self._waiting.append(_Stream(name, prefill_left, arrival.output_tokens))
 
     def cancel(self, name: str) -> None:
         self._batch = [stream for stream in self._batch if stream.name != name]
@@ -111,39 +111,43 @@
         while self._waiting and len(self._batch) < self.engine.streams:
             self._batch.append(self._waiting.popleft())
         time = STEP_S * self.speed
-        writing = [stream for stream in self._batch if stream.unread <= 0]
-        time -= self._read(time / 2 if writing else time)
-        news = self._write(writing, time)
-        self._batch = [stream for stream in self._batch if stream.left > stream.told]
-        return news
-
-    def _read(self, time: float) -> float:
+        decoding = [stream for stream in self._batch if stream.prefill_left <= 0]
+        time -= self._prefill(time / 2 if decoding else time)
+        progress = self._decode(decoding, time)
+        self._batch = [
+            stream for stream in self._batch if stream.output_tokens > stream.emitted
+        ]
+        return progress
+
+    def _prefill(self, time: float) -> float:
         rate = self.engine.prefill_tokens_per_s
         budget = time * rate
         for stream in self._batch:
-            if stream.unread > 0:
-                done = min(stream.unread, budget)
-                stream.unread -= done
+            if stream.prefill_left > 0:
+                done = min(stream.prefill_left, budget)
+                stream.prefill_left -= done
                 budget -= done
-                self.read_tokens += done
+                self.prefilled_tokens += done
         return time - budget / rate
 
-    def _write(
-        self, writing: list[_Stream], time: float
+    def _decode(
+        self, decoding: list[_Stream], time: float
     ) -> list[tuple[str, int, bool]]:
-        if not writing:
+        if not decoding:
             return []
         rate = self.engine.decode_tokens_per_s
-        alone = _LONE_STREAM_SPEED * rate / self.engine.streams
-        each = time * min(rate / len(writing), alone)
-        news = []
-        for stream in writing:
-            stream.written += each
-            new = min(int(stream.written), stream.left) - stream.told
+        single_stream_rate = _SINGLE_STREAM_SPEEDUP * rate / self.engine.streams
+        each = time * min(rate / len(decoding), single_stream_rate)
+        progress = []
+        for stream in decoding:
+            stream.generated += each
+            new = min(int(stream.generated), stream.output_tokens) - stream.emitted
             if new:
-                stream.told += new
-                news.append((stream.name, new, stream.told == stream.left))
-        return news
+                stream.emitted += new
+                progress.append(
+                    (stream.name, new, stream.emitted == stream.output_tokens)
+                )
+        return progress
 
 
 def document(
@@ -181,7 +185,7 @@
     ) -> results.Refusal | None:
         """Take a request, or refuse it."""
 
-    def move(
+    def schedule(
         self, now: datetime.timedelta
     ) -> tuple[list[dispatcher.Start], list[dispatcher.Expired]]:
         """Return what starts now, and what is given up."""
@@ -209,7 +213,7 @@
         self._new.append(request.request_id)
         return None
 
-    def move(
+    def schedule(
         self, now: datetime.timedelta
     ) -> tuple[list[dispatcher.Start], list[dispatcher.Expired]]:
         """See `Policy.move`."""
@@ -250,7 +254,7 @@
         answer = self.decisions.arrive(self._view, request, now)
         return answer if isinstance(answer, results.Refusal) else None
 
-    def move(
+    def schedule(
         self, now: datetime.timedelta
     ) -> tuple[list[dispatcher.Start], list[dispatcher.Expired]]:
         """See `Policy.move`."""
@@ -281,18 +285,18 @@
         self.outcomes: list[Outcome] = []
         self._ids: dict[str, tuple[Outcome, typing.Any]] = {}
         self._placed: dict[str, str] = {}
-        self._shared = 0.0
+        self._last_exchange = 0.0
         if policy is Ours:
-            for own in self.policies:
-                own.decisions.set_instances(frozenset(names), instances)
+            for instance in self.policies:
+                instance.decisions.set_instances(frozenset(names), instances)
 
-    def ask(self, arrival: Arrival, now: float) -> list[Arrival]:
+    def submit(self, arrival: Arrival, now: float) -> list[Arrival]:
         """Let a caller ask; returns what it asks later because it was refused."""
         number = len(self.outcomes)
         name = f"r{number}"
         outcome = Outcome(arrival, now)
         self.outcomes.append(outcome)
-        own = self.policies[number % len(self.policies)]
+        instance = self.policies[number % len(self.policies)]
         start = arrival.prefix or name
         prompt = (start + "/").ljust(
             request_work.CHARACTERS_PER_TOKEN * arrival.prompt_tokens
@@ -302,69 +306,69 @@
         request = model_queues.Request(
             name, arrival.caller, MODEL, prompt, 1000, _time(now + arrival.deadline_s)
         )
-        self._ids[name] = outcome, own
-        refusal = own.arrive(request, _time(now))
-        return [] if refusal is None else self._refused(name, refusal, now)
+        self._ids[name] = outcome, instance
+        refusal = instance.arrive(request, _time(now))
+        return [] if refusal is None else self._record_refusal(name, refusal, now)
 
     def step(self, now: float) -> list[Arrival]:
         """Run everything for one step; returns what is asked again later."""
-        again: list[Arrival] = []
-        for own in self.policies:
-            started, expired = own.move(_time(now))
+        retries: list[Arrival] = []
+        for instance in self.policies:
+            started, expired = instance.schedule(_time(now))
             for item in expired:
-                again += self._refused(item.request_id, item.refusal, now)
+                retries += self._record_refusal(item.request_id, item.refusal, now)
             for item in started:
                 self._placed[item.request_id] = item.engine.name
                 outcome, _ = self._ids[item.request_id]
                 self.engines[item.engine.name].send(item.request_id, outcome.arrival)
         for engine in self.engines.values():
             for name, tokens, ended in engine.step():
-                self._told(name, tokens, ended, now + STEP_S)
-        again += self._given_up(now)
-        self._share(now)
-        return again
+                self._deliver(name, tokens, ended, now + STEP_S)
+        retries += self._expire(now)
+        self._exchange_reports(now)
+        return retries
 
-    def _told(self, name: str, tokens: int, ended: bool, now: float) -> None:
-        outcome, own = self._ids[name]
+    def _deliver(self, name: str, tokens: int, ended: bool, now: float) -> None:
+        outcome, instance = self._ids[name]
         if outcome.first_token is None:
-            outcome.first_token = now - outcome.asked
+            outcome.first_token = now - outcome.sent_at
         for _ in range(tokens):
-            own.token(name, _time(now))
+            instance.token(name, _time(now))
         if ended:
-            outcome.finished = now - outcome.asked
-            own.end(name, outcome.arrival.output_tokens, _time(now))
+            outcome.finished = now - outcome.sent_at
+            instance.end(name, outcome.arrival.output_tokens, _time(now))
             del self._ids[name]
 
-    def _refused(
+    def _record_refusal(
         self, name: str, refusal: results.Refusal, now: float
     ) -> list[Arrival]:
         outcome, _ = self._ids.pop(name)
-        outcome.refused, outcome.refusal = now - outcome.asked, refusal
+        outcome.refused, outcome.refusal = now - outcome.sent_at, refusal
         wait = refusal.retry_after
-        return [] if wait is None else _again(outcome, now + wait.total_seconds())
+        return [] if wait is None else _retry(outcome, now + wait.total_seconds())
 
-    def _given_up(self, now: float) -> list[Arrival]:
-        again: list[Arrival] = []
-        for name, (outcome, own) in list(self._ids.items()):
-            if now - outcome.asked > outcome.arrival.deadline_s:
+    def _expire(self, now: float) -> list[Arrival]:
+        retries: list[Arrival] = []
+        for name, (outcome, instance) in list(self._ids.items()):
+            if now - outcome.sent_at > outcome.arrival.deadline_s:
                 if name in self._placed:
                     self.engines[self._placed[name]].cancel(name)
-                own.end(name, None, _time(now))
+                instance.end(name, None, _time(now))
                 del self._ids[name]
-                again += _again(outcome, now)
-        return again
+                retries += _retry(outcome, now)
+        return retries
 
-    def _share(self, now: float) -> None:
-        if now - self._shared < SHARES_EVERY_S or not isinstance(
+    def _exchange_reports(self, now: float) -> None:
+        if now - self._last_exchange < REPORT_INTERVAL_S or not isinstance(
             self.policies[0], Ours
         ):
             return
-        self._shared = now
-        told = [own.decisions.shares(_time(now)) for own in self.policies]
-        for number, own in enumerate(self.policies):
-            for other, share in enumerate(told):
+        self._last_exchange = now
+        emitted = [instance.decisions.shares(_time(now)) for instance in self.policies]
+        for number, instance in enumerate(self.policies):
+            for other, share in enumerate(emitted):
                 if other != number:
-                    own.decisions.peers.update(f"entry-{other}", share, _time(now))
+                    instance.decisions.peers.update(f"entry-{other}", share, _time(now))
 
 
 def run(
@@ -376,15 +380,15 @@
     """Run a load to a time; `speeds` slows engines from the start."""
     for name, speed in (speeds or {}).items():
         fakes.engines[name].speed = speed
-    coming = sorted(arrivals, key=lambda arrival: arrival.at, reverse=True)
+    pending = sorted(arrivals, key=lambda arrival: arrival.at, reverse=True)
     for number in range(round(until / STEP_S)):
         now = number * STEP_S
-        again: list[Arrival] = []
-        while coming and coming[-1].at <= now:
-            again += fakes.ask(coming.pop(), now)
-        again += fakes.step(now)
-        if again:
-            coming = sorted(coming + again, key=lambda a: a.at, reverse=True)
+        retries: list[Arrival] = []
+        while pending and pending[-1].at <= now:
+            retries += fakes.submit(pending.pop(), now)
+        retries += fakes.step(now)
+        if retries:
+            pending = sorted(pending + retries, key=lambda a: a.at, reverse=True)
     return fakes.outcomes
 
 
@@ -397,7 +401,7 @@
     ]
 
 
-def _again(outcome: Outcome, at: float) -> list[Arrival]:
+def _retry(outcome: Outcome, at: float) -> list[Arrival]:
     arrival = outcome.arrival
     if arrival.retries <= 0:
         return []
--- a/benchmarks/load_patterns.py
+++ b/benchmarks/load_patterns.py
@@ -92,22 +92,23 @@
     outcomes: abc.Iterable[load_fakes.Outcome],
     engines: int,
     span: tuple[float, float],
-    which: abc.Callable[[load_fakes.Arrival], bool] = lambda arrival: True,
+    selects: abc.Callable[[load_fakes.Arrival], bool] = lambda arrival: True,
 ) -> Summary:
     """Summarise what was asked, and for goodput what ended, within a span."""
-    chosen = [outcome for outcome in outcomes if which(outcome.arrival)]
+    chosen = [outcome for outcome in outcomes if selects(outcome.arrival)]
     ended = sum(
         outcome.arrival.units
         for outcome in chosen
-        if outcome.good and span[0] <= outcome.asked + (outcome.finished or 0) < span[1]
+        if outcome.good
+        and span[0] <= outcome.sent_at + (outcome.finished or 0) < span[1]
     )
-    asked = [outcome for outcome in chosen if span[0] <= outcome.asked < span[1]]
-    waits = [o.first_token for o in asked if o.good and o.first_token is not None]
-    refused = [o.refused for o in asked if o.refused is not None]
+    requested = [outcome for outcome in chosen if span[0] <= outcome.sent_at < span[1]]
+    waits = [o.first_token for o in requested if o.good and o.first_token is not None]
+    refused = [o.refused for o in requested if o.refused is not None]
     return Summary(
-        len(asked),
+        len(requested),
         ended / (capacity(engines) * (span[1] - span[0])),
-        sum(outcome.good for outcome in asked) / max(1, len(asked)),
+        sum(outcome.good for outcome in requested) / max(1, len(requested)),
         (
             load_fakes.percentile(waits, 0.5),
             load_fakes.percentile(waits, 0.95),
@@ -115,7 +116,10 @@
         ),
         len(refused),
         sum(waited > load_fakes.STEP_S for waited in refused),
-        sum(outcome.finished is None and outcome.refused is None for outcome in asked),
+        sum(
+            outcome.finished is None and outcome.refused is None
+            for outcome in requested
+        ),
     )
 
 
--- a/benchmarks/mix.py
+++ b/benchmarks/mix.py
@@ -15,7 +15,15 @@
 import random
 import time
 
-from benchmarks import fakes, patterns, plots, policies, runs, scores, serving
+from benchmarks import (
+    fakes,
+    patterns,
+    plots,
+    policies,
+    scores,
+    simulation,
+    simulation_types,
+)
 from pimentolatch import checks
 from pimentolatch.decisions import roles
 from pimentolatch.document import schema
@@ -26,7 +34,7 @@
 REPORT_SEEDS = range(100, 130)
 # The ablation takes part of the seeds: it repeats each load ten times.
 ABLATION_SEEDS = range(100, 106)
-AT_ONCE = 4
+WORKERS = 4
 BUILD = pathlib.Path("build")
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
 # The best split for all patterns together on the tuning seeds, by size of the domain;
@@ -38,7 +46,7 @@
     4: ("PMMM", "PPMM", "MMMM"),
 }
 # Prices of a change in the search for schedules, in windows of a domain's answers.
-SCHEDULE_PRICES = (0.5, 2.0)
+SCHEDULE_COSTS = (0.5, 2.0)
 ABLATIONS = (
     "ours",
     "limit fixed",
@@ -94,26 +102,26 @@
 
     def __init__(self, case: Case) -> None:
         deployment = patterns.DEPLOYMENTS[case.deployment]
-        chance = random.Random(
+        rng = random.Random(
             f"{deployment.name}/{case.domain}/{case.pattern}/{case.seed}"
         )
         self._policy = _policy(deployment)
         self._jobs = tuple(
-            patterns.load(deployment, case.engines, case.pattern, chance)
+            patterns.generate_jobs(deployment, case.engines, case.pattern, rng)
         )
-        self._faults = patterns.mishaps(case.engines, chance)
+        self._faults = patterns.draw_faults(case.engines, rng)
 
-    def serve(
+    def simulate(
         self,
         split: str,
-        planner: runs.Planner,
-        options: runs.Options | None = None,
-    ) -> runs.Outcome:
+        planner: simulation_types.Planner,
+        options: simulation_types.Options | None = None,
+    ) -> simulation_types.Outcome:
         """Serve it from a first split."""
-        scenario = runs.Scenario(
+        scenario = simulation_types.Scenario(
             _engines(split), self._policy, self._jobs, self._faults
         )
-        return serving.serve(scenario, planner, options)
+        return simulation.simulate(scenario, planner, options)
 
 
 def measure(case: Case) -> dict[str, scores.Score]:
@@ -121,46 +129,46 @@
     load = Load(case)
     first = FIRST_SPLIT[case.engines]
     static = {
-        split: load.serve(split, policies.Static()) for split in SPLITS[case.engines]
+        split: load.simulate(split, policies.Static()) for split in SPLITS[case.engines]
     }
-    found = {
+    outcomes = {
         "static": static[first],
-        "reactive": load.serve(first, policies.Reactive()),
-        "ours": load.serve(first, policies.Ours()),
+        "reactive": load.simulate(first, policies.Reactive()),
+        "ours": load.simulate(first, policies.Ours()),
     }
-    candidates = [*static.values(), *found.values()]
-    for schedule in policies.best_schedules(static, SCHEDULE_PRICES):
+    candidates = [*static.values(), *outcomes.values()]
+    for schedule in policies.best_schedules(static, SCHEDULE_COSTS):
         if len(schedule) > 1:
             split = schedule[0][1]
-            candidates.append(load.serve(split, policies.Schedule(schedule)))
+            candidates.append(load.simulate(split, policies.Schedule(schedule)))
     # Whatever was really reached counts, so that foresight is never the worse.
-    found["oracle"] = max(candidates, key=lambda o: (o.good, -len(o.changes)))
-    return {name: scores.score(outcome) for name, outcome in found.items()}
+    outcomes["oracle"] = max(candidates, key=lambda o: (o.good, -len(o.changes)))
+    return {name: scores.score(outcome) for name, outcome in outcomes.items()}
 
 
 def ablate(case: Case) -> dict[str, scores.Score]:
     """Serve one load under our policy with each decision off in turn."""
     load = Load(case)
     first = FIRST_SPLIT[case.engines]
-    off = roles.Safeguards
+    safeguards = roles.Safeguards
     planners = {
-        "no price": off(cost_test=False),
-        "no dwell": off(dwell=False),
-        "no floor": off(floor=False),
-        "no wait before a rescue": off(rescue_wait=False),
+        "no price": safeguards(cost_test=False),
+        "no dwell": safeguards(dwell=False),
+        "no floor": safeguards(floor=False),
+        "no wait before a rescue": safeguards(rescue_wait=False),
     }
     options = {
-        "limit fixed": runs.Options(adaptive_limit=False),
-        "never prefill apart": runs.Options(apart=False),
-        "no prefix locality": runs.Options(prefix_locality=False),
-        "no admission": runs.Options(admission=False),
+        "limit fixed": simulation_types.Options(adaptive_limit=False),
+        "never prefill apart": simulation_types.Options(disaggregate=False),
+        "no prefix locality": simulation_types.Options(prefix_locality=False),
+        "no admission": simulation_types.Options(admission=False),
     }
     return {
         name: scores.score(
-            load.serve(
+            load.simulate(
                 first,
-                policies.Ours(planners.get(name, off())),
-                options.get(name, runs.Options()),
+                policies.Ours(planners.get(name, safeguards())),
+                options.get(name, simulation_types.Options()),
             )
         )
         for name in ABLATIONS
@@ -188,12 +196,12 @@
     print("\ntargets: goodput >= 95% of the oracle's, changes <= half of reactive's")
     for deployment in patterns.DEPLOYMENTS:
         for pattern in (*patterns.PATTERNS, None):
-            chosen = {
+            options = {
                 policy: scores.total(rows, deployment.name, pattern, policy)
                 for policy in ("reactive", "ours", "oracle")
             }
-            share = chosen["ours"].goodput / chosen["oracle"].goodput
-            ours, theirs = (chosen[p].role_changes for p in ("ours", "reactive"))
+            share = options["ours"].goodput / options["oracle"].goodput
+            ours, theirs = (options[p].role_changes for p in ("ours", "reactive"))
             met = "met" if share >= 0.95 and ours <= theirs / 2 else "MISSED"
             print(
                 f"{deployment.name:9} {pattern or 'all':6} goodput {share:.1%} of the "
@@ -205,31 +213,33 @@
     """Measure, print the tables, and write build/bench.json and the plots."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--tuning", action="store_true", help="use the tuning seeds")
-    chosen = parser.parse_args()
-    seeds = TUNING_SEEDS if chosen.tuning else REPORT_SEEDS
-    ablation_seeds = TUNING_SEEDS[:3] if chosen.tuning else ABLATION_SEEDS
-    began = time.monotonic()
+    options = parser.parse_args()
+    seeds = TUNING_SEEDS if options.tuning else REPORT_SEEDS
+    ablation_seeds = TUNING_SEEDS[:3] if options.tuning else ABLATION_SEEDS
+    started = time.monotonic()
     BUILD.mkdir(exist_ok=True)
-    with concurrent.futures.ProcessPoolExecutor(AT_ONCE) as pool:
+    with concurrent.futures.ProcessPoolExecutor(WORKERS) as pool:
         cases = _cases(seeds)
         measured = list(pool.map(measure, cases, chunksize=4))
-        part = _cases(ablation_seeds)
-        ablated = list(pool.map(ablate, part, chunksize=2))
+        ablation_cases = _cases(ablation_seeds)
+        ablated = list(pool.map(ablate, ablation_cases, chunksize=2))
     keys = [(patterns.DEPLOYMENTS[c.deployment].name, c.pattern) for c in cases]
     rows = scores.rows(keys, measured, list(seeds))
-    part_keys = [(patterns.DEPLOYMENTS[c.deployment].name, c.pattern) for c in part]
-    ablation = scores.rows(part_keys, ablated, list(ablation_seeds))
+    ablation_keys = [
+        (patterns.DEPLOYMENTS[c.deployment].name, c.pattern) for c in ablation_cases
+    ]
+    ablation = scores.rows(ablation_keys, ablated, list(ablation_seeds))
     _print(rows)
     _print_targets(rows)
     print(f"\nablation, seeds {ablation_seeds[0]} to {ablation_seeds[-1]}")
     _print(ablation)
-    name = "bench-tuning.json" if chosen.tuning else "bench.json"
+    name = "bench-tuning.json" if options.tuning else "bench.json"
     text = json.dumps([row.to_json() for row in rows], indent=1)
     (BUILD / name).write_text(text + "\n", encoding="utf-8")
     text = json.dumps([row.to_json() for row in ablation], indent=1)
     (BUILD / f"ablation-{name}").write_text(text + "\n", encoding="utf-8")
     plots.draw(rows, BUILD)
-    print(f"\n{fakes.__name__}: {time.monotonic() - began:.0f} s in all")
+    print(f"\n{fakes.__name__}: {time.monotonic() - started:.0f} s in all")
 
 
 if __name__ == "__main__":
--- a/benchmarks/one_load.py
+++ b/benchmarks/one_load.py
@@ -13,7 +13,7 @@
     domain, pattern, seed = sys.argv[1:4]
     engines = {"hakodate": 2, "sapporo-north": 3}[domain]
     load = mix.Load(mix.Case(0, domain, engines, pattern, int(seed)))
-    outcome = load.serve(mix.FIRST_SPLIT[engines], policies.Ours())
+    outcome = load.simulate(mix.FIRST_SPLIT[engines], policies.Ours())
     result = {
         "worth": outcome.good / outcome.offered,
         "served": 1 - outcome.refused / outcome.offered,
--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -2,7 +2,7 @@
 
 import time
 
-from benchmarks import peers_slope, rows
+from benchmarks import rows, slopes_membership
 from standins import processes
 
 __all__ = ["main", "measure"]
@@ -14,7 +14,7 @@
 AFTER_S = 15
 
 
-def _each_second(group: peers_slope.Group, seconds: int) -> list[int]:
+def _each_second(group: slopes_membership.Group, seconds: int) -> list[int]:
     counts = []
     last = group.calls
     for _ in range(seconds):
@@ -27,7 +27,7 @@
 
 def measure() -> dict[str, list[int]]:
     """Return the calls of each second before, during and after an outage."""
-    group = peers_slope.Group(SIZE, 10 * SETTLE_S, 1)
+    group = slopes_membership.Group(SIZE, 10 * SETTLE_S, 1)
     try:
         time.sleep(SETTLE_S)
         counts = {"before": _each_second(group, BEFORE_S)}
@@ -44,11 +44,11 @@
 def main() -> None:
     """Print the mean and the most calls of a second for each time."""
     for name, counts in measure().items():
-        mean, most = sum(counts) / len(counts), max(counts)
+        mean, peak = sum(counts) / len(counts), max(counts)
         rows.print_table(
             (
                 rows.Row(f"{SIZE} instances, {name} the outage: mean", mean, "/s"),
-                rows.Row(f"{SIZE} instances, {name} the outage: most", most, "/s"),
+                rows.Row(f"{SIZE} instances, {name} the outage: most", peak, "/s"),
             )
         )
 
--- a/benchmarks/patterns.py
+++ b/benchmarks/patterns.py
@@ -6,14 +6,22 @@
 
 from benchmarks import fakes
 
-__all__ = ["DEPLOYMENTS", "PATTERNS", "Deployment", "Fault", "Phase", "load", "mishaps"]
-
-LENGTH_S = 900.0
+__all__ = [
+    "DEPLOYMENTS",
+    "PATTERNS",
+    "Deployment",
+    "Fault",
+    "Phase",
+    "draw_faults",
+    "generate_jobs",
+]
+
+DURATION_S = 900.0
 PATTERNS = ("swing", "shift", "drift")
 CALLERS = 6
 # The letter's targets make the deadlines: first token, then time between tokens.
 FIRST_TOKEN_S = 1.9
-BETWEEN_TOKENS_S = 0.071
+INTER_TOKEN_S = 0.071
 _PREFILL_TOKENS_PER_S = 3000.0
 _DECODE_TOKENS_PER_S = 400.0
 _STEP_S = 15.0
@@ -80,89 +88,89 @@
     kind: str
 
 
-def phases(pattern: str, chance: random.Random) -> tuple[Phase, ...]:
+def phases(pattern: str, rng: random.Random) -> tuple[Phase, ...]:
     """Return the phases of a pattern."""
     if pattern == "swing":
-        return _swing(chance)
+        return _swing(rng)
     if pattern == "shift":
-        return _shift(chance)
-    return _drift(chance)
+        return _shift(rng)
+    return _drift(rng)
 
 
-def load(
-    deployment: Deployment, engines: int, pattern: str, chance: random.Random
+def generate_jobs(
+    deployment: Deployment, engines: int, pattern: str, rng: random.Random
 ) -> list[fakes.Job]:
     """Return the requests of one failure domain, in order of arrival."""
     found: list[fakes.Job] = []
-    for phase in phases(pattern, chance):
+    for phase in phases(pattern, rng):
         work = phase.utilization * engines
         for is_long in (False, True):
             share = phase.long_share if is_long else 1.0 - phase.long_share
             rate = work * share / _mean_work_s(deployment, is_long)
             now = phase.start
             while rate > 0.0:
-                now += chance.expovariate(rate)
+                now += rng.expovariate(rate)
                 if now >= phase.end:
                     break
-                found.append(_job(deployment, is_long, now, chance))
+                found.append(_job(deployment, is_long, now, rng))
     found.sort(key=lambda job: job.arrived)
     for number, job in enumerate(found):
         job.number = number
     return found
 
 
-def mishaps(engines: int, chance: random.Random) -> tuple[Fault, ...]:
+def draw_faults(engines: int, rng: random.Random) -> tuple[Fault, ...]:
     """Return one drain and one crash, and a withdrawal where three engines stand."""
-    drained = chance.uniform(0.15, 0.3) * LENGTH_S
-    crashed = chance.uniform(0.45, 0.6) * LENGTH_S
+    drained = rng.uniform(0.15, 0.3) * DURATION_S
+    crashed = rng.uniform(0.45, 0.6) * DURATION_S
     faults = [
-        Fault(drained, drained + 30.0, chance.randrange(engines), "drain"),
-        Fault(crashed, crashed + 20.0, chance.randrange(engines), "crash"),
+        Fault(drained, drained + 30.0, rng.randrange(engines), "drain"),
+        Fault(crashed, crashed + 20.0, rng.randrange(engines), "crash"),
     ]
     if engines > 2:
-        gone = chance.uniform(0.8, 0.85) * LENGTH_S
-        faults.append(Fault(gone, math.inf, chance.randrange(engines), "withdraw"))
+        withdrawn = rng.uniform(0.8, 0.85) * DURATION_S
+        faults.append(Fault(withdrawn, math.inf, rng.randrange(engines), "withdraw"))
     return tuple(faults)
 
 
-def _swing(chance: random.Random) -> tuple[Phase, ...]:
+def _swing(rng: random.Random) -> tuple[Phase, ...]:
     """A wave of long prompts, then a burst of short ones, within minutes."""
     found: list[Phase] = []
     now = 0.0
-    while now < LENGTH_S:
+    while now < DURATION_S:
         for long_share in (0.8, 0.1):
-            length = chance.uniform(15.0, 45.0)
-            end = min(LENGTH_S, now + length)
-            found.append(Phase(now, end, chance.uniform(0.65, 0.85), long_share))
+            length = rng.uniform(15.0, 45.0)
+            end = min(DURATION_S, now + length)
+            found.append(Phase(now, end, rng.uniform(0.65, 0.85), long_share))
             now = end
-            if now >= LENGTH_S:
+            if now >= DURATION_S:
                 break
     return tuple(found)
 
 
-def _shift(chance: random.Random) -> tuple[Phase, ...]:
+def _shift(rng: random.Random) -> tuple[Phase, ...]:
     """A mix that stays for minutes and then is another one."""
-    first = chance.uniform(0.3, 0.4) * LENGTH_S
-    second = first + chance.uniform(0.3, 0.4) * LENGTH_S
-    shares = (0.15, 0.85, 0.15) if chance.random() < 0.5 else (0.85, 0.15, 0.85)
-    borders = (0.0, first, second, LENGTH_S)
+    first = rng.uniform(0.3, 0.4) * DURATION_S
+    second = first + rng.uniform(0.3, 0.4) * DURATION_S
+    shares = (0.15, 0.85, 0.15) if rng.random() < 0.5 else (0.85, 0.15, 0.85)
+    borders = (0.0, first, second, DURATION_S)
     return tuple(
-        Phase(borders[i], borders[i + 1], chance.uniform(0.65, 0.85), shares[i])
+        Phase(borders[i], borders[i + 1], rng.uniform(0.65, 0.85), shares[i])
         for i in range(3)
     )
 
 
-def _drift(chance: random.Random) -> tuple[Phase, ...]:
+def _drift(rng: random.Random) -> tuple[Phase, ...]:
     """A share of long prompts that moves slowly, one way."""
-    low, high = chance.uniform(0.05, 0.2), chance.uniform(0.75, 0.9)
-    if chance.random() < 0.5:
+    low, high = rng.uniform(0.05, 0.2), rng.uniform(0.75, 0.9)
+    if rng.random() < 0.5:
         low, high = high, low
-    steps = int(LENGTH_S / _STEP_S)
+    steps = int(DURATION_S / _STEP_S)
     return tuple(
         Phase(
             i * _STEP_S,
             (i + 1) * _STEP_S,
-            chance.uniform(0.65, 0.85),
+            rng.uniform(0.65, 0.85),
             low + (high - low) * i / (steps - 1),
         )
         for i in range(steps)
@@ -172,32 +180,32 @@
 def _mean_work_s(deployment: Deployment, is_long: bool) -> float:
     prompt = deployment.long_prompt if is_long else deployment.short_prompt
     output = deployment.long_output if is_long else deployment.short_output
-    reading = sum(prompt) / 2 / _PREFILL_TOKENS_PER_S
-    return reading + sum(output) / 2 / _DECODE_TOKENS_PER_S
+    prefill_s = sum(prompt) / 2 / _PREFILL_TOKENS_PER_S
+    return prefill_s + sum(output) / 2 / _DECODE_TOKENS_PER_S
 
 
 def _job(
-    deployment: Deployment, is_long: bool, now: float, chance: random.Random
+    deployment: Deployment, is_long: bool, now: float, rng: random.Random
 ) -> fakes.Job:
-    prompt = chance.randint(
+    prompt = rng.randint(
         *(deployment.long_prompt if is_long else deployment.short_prompt)
     )
-    output = chance.randint(
+    output = rng.randint(
         *(deployment.long_output if is_long else deployment.short_output)
     )
     # Half of the requests come from one busy caller; drafts of one caller begin alike.
-    caller = 0 if chance.random() < 0.4 else chance.randrange(CALLERS)
+    caller = 0 if rng.random() < 0.4 else rng.randrange(CALLERS)
     prefix_tokens = 0 if is_long else 128
-    reading = 2.0 * prompt / _PREFILL_TOKENS_PER_S if is_long else 0.0
-    patience = FIRST_TOKEN_S + reading + output * BETWEEN_TOKENS_S
+    prefill_s = 2.0 * prompt / _PREFILL_TOKENS_PER_S if is_long else 0.0
+    time_to_deadline = FIRST_TOKEN_S + prefill_s + output * INTER_TOKEN_S
     return fakes.Job(
         number=0,
         arrived=now,
-        deadline=now + patience,
+        deadline=now + time_to_deadline,
         caller=caller,
         prompt_tokens=prompt,
         output_tokens=output,
-        prefix=caller if not is_long else -1 - chance.randrange(1_000_000),
+        prefix=caller if not is_long else -1 - rng.randrange(1_000_000),
         prefix_tokens=prefix_tokens,
-        entry=chance.randrange(2),
+        entry=rng.randrange(2),
     )
--- a/benchmarks/peer_member.py
+++ b/benchmarks/peer_member.py
@@ -41,22 +41,22 @@
 
 class _Work:
     def __init__(self) -> None:
-        self._chance = random.Random()
+        self._rng = random.Random()
 
     def __call__(self) -> work_reports.WorkReport:
-        chance = self._chance
+        rng = self._rng
         return work_reports.WorkReport(
             tuple(
                 work_reports.ServerWork(
                     f"engine-{number:04}",
-                    chance.randint(1, 32),
-                    chance.randint(0, 90_000),
-                    chance.randint(0, 30_000),
+                    rng.randint(1, 32),
+                    rng.randint(0, 90_000),
+                    rng.randint(0, 30_000),
                 )
                 for number in range(SERVERS)
             ),
             tuple(
-                work_reports.CallerWork(f"caller-{number:04}", chance.uniform(0, 5000))
+                work_reports.CallerWork(f"caller-{number:04}", rng.uniform(0, 5000))
                 for number in range(CALLERS)
             ),
         )
@@ -68,11 +68,11 @@
 
 
 async def _run(path: pathlib.Path, settle_s: float, measured_s: float) -> None:
-    chosen = checks.read_file(settings.EntrySettings, path)
-    if isinstance(chosen, checks.Problems):
-        raise SystemExit(str(chosen))
+    entry_settings = checks.read_file(settings.EntrySettings, path)
+    if isinstance(entry_settings, checks.Problems):
+        raise SystemExit(str(entry_settings))
     control = control_plane.ControlPlane(
-        chosen,
+        entry_settings,
         fleet.Fleet(),
         time=clock.SystemClock(),
         measured=metrics.Metrics(),
@@ -81,9 +81,9 @@
     await control.start()
     await asyncio.sleep(settle_s)
     before, used = control.status(), time.process_time()
-    began = time.perf_counter()
+    started = time.perf_counter()
     await asyncio.sleep(measured_s)
-    elapsed = time.perf_counter() - began
+    elapsed = time.perf_counter() - started
     after, spent = control.status(), time.process_time() - used
     usage = Usage(
         len(after["peers"]),
--- a/benchmarks/plots.py
+++ b/benchmarks/plots.py
@@ -22,17 +22,17 @@
 def _bars(
     rows: abc.Sequence[scores.Row], field: str, label: str, path: pathlib.Path
 ) -> None:
-    places = list(dict.fromkeys((row.deployment, row.pattern) for row in rows))
+    groups = list(dict.fromkeys((row.deployment, row.pattern) for row in rows))
     names = list(dict.fromkeys(row.policy for row in rows))
     figure = matplotlib.figure.Figure(figsize=(9, 3.5), layout="constrained")
     axes: typing.Any = figure.subplots()
     for number, policy in enumerate(names):
         chosen = [row for row in rows if row.policy == policy]
-        left = [place + number * _WIDTH for place in range(len(chosen))]
+        left = [group + number * _WIDTH for group in range(len(chosen))]
         heights = [getattr(row, field) for row in chosen]
         axes.bar(left, heights, width=_WIDTH, label=policy)
-    middles = [place + _WIDTH * (len(names) - 1) / 2 for place in range(len(places))]
-    axes.set_xticks(middles, [f"{name}\n{pattern}" for name, pattern in places])
+    middles = [group + _WIDTH * (len(names) - 1) / 2 for group in range(len(groups))]
+    axes.set_xticks(middles, [f"{name}\n{pattern}" for name, pattern in groups])
     axes.set_ylabel(label)
     axes.legend(ncols=len(names), loc="upper center", bbox_to_anchor=(0.5, 1.15))
     figure.savefig(path, dpi=80)
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -4,7 +4,7 @@
 import datetime
 from collections import abc
 
-from benchmarks import patterns, runs, serving
+from benchmarks import patterns, simulation, simulation_types
 from pimentolatch.decisions import demand, engine_states, roles
 from pimentolatch.document import schema
 
@@ -24,7 +24,7 @@
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> tuple[roles.RoleChange, ...]:
-        """See `runs.Planner.plan`."""
+        """See `simulation_types.Planner.plan`."""
         return ()
 
 
@@ -41,7 +41,7 @@
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> tuple[roles.RoleChange, ...]:
-        """See `runs.Planner.plan`."""
+        """See `simulation_types.Planner.plan`."""
         return roles.plan(now, engines, samples, policy, self.safeguards)
 
 
@@ -72,7 +72,7 @@
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> tuple[roles.RoleChange, ...]:
-        """See `runs.Planner.plan`."""
+        """See `simulation_types.Planner.plan`."""
         serving_now = [
             e for e in engines if e.condition is engine_states.Condition.SERVING
         ]
@@ -89,27 +89,29 @@
         engines: list[engine_states.EngineState],
         window: abc.Sequence[demand.Sample],
     ) -> tuple[roles.RoleChange, ...]:
-        readers = [e for e in engines if e.role == "prefill"]
-        writers = [e for e in engines if e.role != "prefill"]
+        prefill_engines = [e for e in engines if e.role == "prefill"]
+        decode_engines = [e for e in engines if e.role != "prefill"]
         one = engines[0].engine
-        reading = sum(s.long_prompts for s in window) / len(window)
-        reading /= one.prefill_tokens_per_s
-        writing = sum(s.output for s in window) / len(window)
-        writing /= one.decode_tokens_per_s
-        writing += (
+        prefill_load = sum(s.long_prompts for s in window) / len(window)
+        prefill_load /= one.prefill_tokens_per_s
+        decode_load = sum(s.output for s in window) / len(window)
+        decode_load /= one.decode_tokens_per_s
+        decode_load += (
             sum(s.short_prompts for s in window)
             / len(window)
             / one.prefill_tokens_per_s
         )
-        if not writers:
-            return (roles.RoleChange(readers[-1].engine.name, "mixed", "none left"),)
-        spare_reader = reading < self.busy * (len(readers) - 1)
-        spare_writer = writing < self.busy * (len(writers) - 1)
-        if reading > self.busy * len(readers) and spare_writer:
-            name = writers[-1].engine.name
+        if not decode_engines:
+            return (
+                roles.RoleChange(prefill_engines[-1].engine.name, "mixed", "none left"),
+            )
+        spare_prefill = prefill_load < self.busy * (len(prefill_engines) - 1)
+        spare_decode = decode_load < self.busy * (len(decode_engines) - 1)
+        if prefill_load > self.busy * len(prefill_engines) and spare_decode:
+            name = decode_engines[-1].engine.name
             return (roles.RoleChange(name, "prefill", "reading is busy"),)
-        if writing > self.busy * len(writers) and spare_reader:
-            name = readers[-1].engine.name
+        if decode_load > self.busy * len(decode_engines) and spare_prefill:
+            name = prefill_engines[-1].engine.name
             return (roles.RoleChange(name, "mixed", "writing is busy"),)
         return ()
 
@@ -131,7 +133,7 @@
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> tuple[roles.RoleChange, ...]:
-        """See `runs.Planner.plan`."""
+        """See `simulation_types.Planner.plan`."""
         moment = now.total_seconds()
         wanted = [split for at, split in self._splits if at <= moment][-1]
         missing = [ROLES[letter] for letter in wanted]
@@ -153,7 +155,7 @@
 
 
 def best_schedules(
-    outcomes: dict[str, runs.Outcome], cost_windows: abc.Iterable[float]
+    outcomes: dict[str, simulation_types.Outcome], cost_windows: abc.Iterable[float]
 ) -> list[list[tuple[float, str]]]:
     """Return schedules that are best by window, for several prices of a change.
 
@@ -162,19 +164,19 @@
     What a schedule really gives is then measured by serving the load with it.
     """
     names = sorted(outcomes)
-    count = int(patterns.LENGTH_S / serving.WINDOW_S)
+    count = int(patterns.DURATION_S / simulation.WINDOW_S)
     mean = max(o.good for o in outcomes.values()) / count
-    found = []
+    schedules = []
     for cost in cost_windows:
-        found.append(_best_path(names, outcomes, count, cost * mean))
-    return found
+        schedules.append(_best_path(names, outcomes, count, cost * mean))
+    return schedules
 
 
 def _best_path(
     names: list[str],
-    outcomes: dict[str, runs.Outcome],
+    outcomes: dict[str, simulation_types.Outcome],
     count: int,
-    price: float,
+    cost: float,
 ) -> list[tuple[float, str]]:
     scores = {name: 0.0 for name in names}
     origins: list[dict[str, str]] = []
@@ -183,12 +185,13 @@
         new = {}
         for name in names:
             gains = {
-                other: scores[other] - price * _moves(other, name) for other in names
+                other: scores[other] - cost * _change_count(other, name)
+                for other in names
             }
             origin[name] = max(names, key=gains.__getitem__)
-            gone = price * _moves(origin[name], name)
+            change_cost = cost * _change_count(origin[name], name)
             good = outcomes[name].good_by_window[window]
-            new[name] = scores[origin[name]] - gone + good
+            new[name] = scores[origin[name]] - change_cost + good
         origins.append(origin)
         scores = new
     at = max(names, key=lambda name: scores[name])
@@ -197,20 +200,20 @@
         at = origin[at]
         path.append(at)
     path.reverse()
-    return _joined(path)
+    return _merge_windows(path)
 
 
-def _joined(path: list[str]) -> list[tuple[float, str]]:
-    found: list[tuple[float, str]] = []
+def _merge_windows(path: list[str]) -> list[tuple[float, str]]:
+    schedules: list[tuple[float, str]] = []
     for window, name in enumerate(path):
-        if not found or found[-1][1] != name:
+        if not schedules or schedules[-1][1] != name:
             # Ordered ahead, so that the engine is back when the window begins.
-            at = max(0.0, window * serving.WINDOW_S - 10.0) if found else 0.0
-            found.append((at, name))
-    return found
+            at = max(0.0, window * simulation.WINDOW_S - 10.0) if schedules else 0.0
+            schedules.append((at, name))
+    return schedules
 
 
-def _moves(one: str, other: str) -> int:
+def _change_count(one: str, other: str) -> int:
     left = list(other)
     for letter in one:
         if letter in left:
--- a/benchmarks/scores.py
+++ b/benchmarks/scores.py
@@ -6,7 +6,7 @@
 import typing
 from collections import abc
 
-from benchmarks import patterns, runs
+from benchmarks import patterns, simulation_types
 
 __all__ = ["HEADER", "Row", "Score", "rows", "score", "total"]
 
@@ -72,7 +72,7 @@
         )
 
 
-def score(outcome: runs.Outcome) -> Score:
+def score(outcome: simulation_types.Outcome) -> Score:
     """Return what is kept of a run."""
     callers = range(patterns.CALLERS)
     return Score(
@@ -128,15 +128,17 @@
     offered = sum(one.offered for one in found)
     good = sum(one.good for one in found)
     first_tokens = sorted(time for one in found for time in one.first_tokens)
-    asked = _summed(s.offered_by_caller for s in found)
-    given = _summed(s.good_by_caller for s in found)
-    shares = [g / a for g, a in zip(given, asked, strict=True) if a]
+    offered_by_caller = _summed(s.offered_by_caller for s in found)
+    good_by_caller = _summed(s.good_by_caller for s in found)
+    shares = [
+        g / a for g, a in zip(good_by_caller, offered_by_caller, strict=True) if a
+    ]
     return Row(
         deployment,
         pattern,
         policy,
         seeds,
-        good / patterns.LENGTH_S / len(seeds),
+        good / patterns.DURATION_S / len(seeds),
         good / offered,
         sum(s.long_good for s in found) / sum(s.long_offered for s in found),
         sum(s.changes for s in found) / len(seeds),
@@ -152,10 +154,10 @@
 
 
 def _step_percentile(bins: list[float]) -> float:
-    wanted = _PERCENTILE * sum(bins)
+    target = _PERCENTILE * sum(bins)
     seen = 0.0
     for number, tokens in enumerate(bins):
         seen += tokens
-        if seen >= wanted:
+        if seen >= target:
             return (number + 1) / 1000.0
     return len(bins) / 1000.0
--- a/benchmarks/runs.py
+++ b/benchmarks/simulation_types.py
@@ -11,14 +11,14 @@
 from pimentolatch.decisions import demand, engine_states, roles
 from pimentolatch.document import schema
 
-__all__ = ["Counts", "Options", "Outcome", "Planner", "Scenario", "Slot"]
+__all__ = ["WorkCounts", "Options", "Outcome", "Planner", "Scenario", "EngineSlot"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Options:
     """Decisions that can be off, one at a time, for the ablation."""
 
-    apart: bool = True
+    disaggregate: bool = True
     adaptive_limit: bool = True
     prefix_locality: bool = True
     admission: bool = True
@@ -73,7 +73,7 @@
         """Return the changes to order now."""
 
 
-class Counts:
+class WorkCounts:
     """Work at each engine, as one instance counted it: streams, prompt, output."""
 
     def __init__(self, engines: int) -> None:
@@ -81,21 +81,21 @@
         self.prompt = [0.0] * engines
         self.output = [0.0] * engines
 
-    def copy(self) -> "Counts":
+    def copy(self) -> "WorkCounts":
         """Return the counts as they are now."""
-        copied = Counts(0)
+        copied = WorkCounts(0)
         copied.streams = self.streams.copy()
         copied.prompt = self.prompt.copy()
         copied.output = self.output.copy()
         return copied
 
 
-class Slot:
+class EngineSlot:
     """An engine and what the control package knows of it."""
 
     def __init__(self, number: int, engine: fakes.FakeEngine) -> None:
         self.number = number
-        self.fake = engine
+        self.engine = engine
         self.next_event = math.inf
         self.order: roles.RoleChange | None = None
         self.changing_until = math.inf
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -13,10 +13,12 @@
 
 from pimentolatch.gateway import client_request, request_log
 
-__all__ = ["Prompt", "main", "read_prompts", "table"]
+__all__ = ["Prompt", "main", "parse_log_lines", "table"]
 
 _GROUPS = 10
-_HEAD = "route group prompts most_tokens served refused left failed expected_ms sent_ms"
+_HEADER = (
+    "route group prompts most_tokens served refused left failed expected_ms sent_ms"
+)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -38,7 +40,7 @@
     end: str
 
 
-def read_prompts(texts: abc.Iterable[str]) -> list[Prompt]:
+def parse_log_lines(texts: abc.Iterable[str]) -> list[Prompt]:
     """Return the requests whose lines tell both their size and their end."""
     requests: dict[str, dict[str, typing.Any]] = {}
     for text in texts:
@@ -58,10 +60,10 @@
         elif line.get("message") == request_log.ANSWERED:
             request["route"] = line.get("route")
             request["end"] = _end(line)
-    whole = [r for r in requests.values() if r.get("tokens") and r.get("route")]
+    complete = [r for r in requests.values() if r.get("tokens") and r.get("route")]
     return [
         Prompt(r["route"], r["tokens"], r["expected_ms"], r.get("sent_ms", 0), r["end"])
-        for r in whole
+        for r in complete
     ]
 
 
@@ -79,7 +81,7 @@
     routes: dict[str, list[Prompt]] = {}
     for prompt in prompts:
         routes.setdefault(prompt.route, []).append(prompt)
-    rows = [_HEAD]
+    rows = [_HEADER]
     for route, found in sorted(routes.items()):
         found.sort(key=lambda prompt: prompt.tokens)
         rows.append(_row(route, "all", found))
@@ -109,7 +111,7 @@
     texts: list[str] = []
     for name in sys.argv[1:]:
         texts += pathlib.Path(name).read_text(encoding="utf-8").splitlines()
-    print("\n".join(table(read_prompts(texts or sys.stdin))))
+    print("\n".join(table(parse_log_lines(texts or sys.stdin))))
 
 
 if __name__ == "__main__":
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -11,17 +11,17 @@
     fits,
     fullsize,
     outage,
-    peers_slope,
     rows,
     slopes_control,
-    slopes_duty,
+    slopes_leader,
+    slopes_membership,
     slopes_requests,
     slopes_state,
 )
 
 __all__ = ["SlopeRow", "main"]
 
-_CLOSE = 0.5
+_NEAR_LIMIT_RATIO = 0.5
 _DAY_S = 86_400
 _RESTARTS_PER_DAY = 320
 _ENTRIES = fullsize.SERVERS + fullsize.CALLERS
@@ -34,7 +34,7 @@
 _CLAIMED_CALLS = fullsize.STORE_WRITES_PER_S / 2 / _CLAIM_WRITES
 # A drain of one answer and a change, the least time from one change to the next.
 _CHANGE_S = 8.0
-_KEPT_CLAIMS = _CLAIMED_CALLS * _DAY_S
+_RETAINED_CLAIMS = _CLAIMED_CALLS * _DAY_S
 _CLAIM_PAGES = 16**5
 
 
@@ -68,7 +68,7 @@
             return ""
         if self.ratio > 1:
             return "OVER"
-        return "<2x" if self.ratio > _CLOSE else ""
+        return "<2x" if self.ratio > _NEAR_LIMIT_RATIO else ""
 
 
 def _row(
@@ -80,7 +80,7 @@
     limit: float | None,
     scale: float = 1.0,
 ) -> SlopeRow:
-    value = fit.at(size) * scale
+    value = fit.value_at(size) * scale
     ratio = None if limit is None else value / limit
     return SlopeRow(
         role,
@@ -91,7 +91,7 @@
         limit,
         ratio,
         fit.residual,
-        fit.reach(size),
+        fit.extrapolation(size),
     )
 
 
@@ -119,7 +119,7 @@
 
 
 def _control_rows(
-    peers: peers_slope.PeerSlopes, idle: slopes_control.ControlSlopes
+    peers: slopes_membership.MembershipSlopes, idle: slopes_control.ControlSlopes
 ) -> list[SlopeRow]:
     size = fullsize.DOMAIN_INSTANCES
     domains = fullsize.DOMAINS
@@ -139,8 +139,8 @@
     ]
 
 
-def _duty_rows() -> list[SlopeRow]:
-    found = slopes_duty.measure()
+def _leader_rows() -> list[SlopeRow]:
+    found = slopes_leader.measure()
     engines = fullsize.DOMAIN_SERVERS
     share = fullsize.CONTROL_CORE
     concurrent = fullsize.DOMAINS * found.change_writes / _CHANGE_S
@@ -171,7 +171,7 @@
     share, memory = fullsize.CONTROL_CORE, fullsize.CONTROL_MEMORY_MB
     kilobytes = fullsize.CONTROL_BYTES_PER_S / 1000
     role = "configuration spread"
-    per_page = _KEPT_CLAIMS / _CLAIM_PAGES
+    per_page = _RETAINED_CLAIMS / _CLAIM_PAGES
     rate = _CLAIMED_CALLS / fullsize.INSTANCES
     return [
         _row(role, "processor", "core", found.adoption_s, _ENTRIES, share, changes),
@@ -214,7 +214,7 @@
     ]
 
 
-def _moment_rows(start_calls: float) -> list[SlopeRow]:
+def _peak_rows(start_calls: float) -> list[SlopeRow]:
     """Return what follows for the worst moments."""
     reads = fullsize.STORE_READS_PER_S
     restarts = _RESTARTS_PER_DAY / _DAY_S * start_calls
@@ -262,10 +262,10 @@
     """Measure, print the table and write `build/slopes.json`."""
     idle = slopes_control.measure()
     found = _request_rows()
-    found += _control_rows(peers_slope.measure(), idle)
-    found += _duty_rows()
+    found += _control_rows(slopes_membership.measure(), idle)
+    found += _leader_rows()
     found += _state_rows()
-    found += _moment_rows(idle.start_calls)
+    found += _peak_rows(idle.start_calls)
     _print(found)
     print(f"written to {rows.write_rows('slopes', found)}")
 
--- a/benchmarks/slopes_control.py
+++ b/benchmarks/slopes_control.py
@@ -12,7 +12,7 @@
 
 INSTANCES = (2, 8, 16, 32)
 SETTLE_S = 8.0
-WINDOW_S = 15.0
+MEASURED_S = 15.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Reading:
+class _Usage:
     processor_s: float
     resident: float
     sent: float
@@ -46,7 +46,7 @@
     start_calls: float = 0.0
 
 
-def _read(deployment: deployments.Deployment) -> _Reading:
+def _read_usage(deployment: deployments.Deployment) -> _Usage:
     processor = resident = sent = 0.0
     for name in deployment.entries:
         process = psutil.Process(deployment.processes[name].popen.pid)
@@ -57,7 +57,7 @@
         sent += processes.call("GET", url)[1]["peer_bytes_sent"]
     _, calls = processes.call("GET", deployment.platform_url + "/calls")
     kinds = ("read", "write", "watch")
-    return _Reading(
+    return _Usage(
         processor,
         resident,
         sent,
@@ -66,19 +66,19 @@
     )
 
 
-def _measure_group(instances: int) -> _Reading:
+def _measure_group(instances: int) -> _Usage:
     layout = deployments.Layout("slopes", ("north",), instances, 1, 1)
     deployment = deployments.Deployment(layout)
     try:
         deployment.submit("entry-1", deployment.document())
         time.sleep(SETTLE_S)
-        before, start = _read(deployment), time.perf_counter()
-        time.sleep(WINDOW_S)
-        after, elapsed = _read(deployment), time.perf_counter() - start
+        before, start = _read_usage(deployment), time.perf_counter()
+        time.sleep(MEASURED_S)
+        after, elapsed = _read_usage(deployment), time.perf_counter() - start
     finally:
         deployment.stop()
     steady = (after.calls - before.calls) / elapsed
-    return _Reading(
+    return _Usage(
         (after.processor_s - before.processor_s) / elapsed / instances,
         after.resident / instances,
         (after.sent - before.sent) / elapsed / instances,
@@ -91,14 +91,14 @@
 def measure() -> ControlSlopes:
     """Measure groups of several sizes, one after the other."""
     found = [(count, _measure_group(count)) for count in INSTANCES]
-    for count, reading in found:
-        print(f"  {count} instances: {reading}")
+    for count, usage in found:
+        print(f"  {count} instances: {usage}")
     return ControlSlopes(
-        fits.line([(count, reading.processor_s) for count, reading in found]),
-        fits.line([(count, reading.resident) for count, reading in found]),
-        fits.line([(count, reading.sent) for count, reading in found]),
-        fits.line([(count, reading.calls) for count, reading in found]),
-        fits.line([(count, reading.writes) for count, reading in found]),
+        fits.line([(count, usage.processor_s) for count, usage in found]),
+        fits.line([(count, usage.resident) for count, usage in found]),
+        fits.line([(count, usage.sent) for count, usage in found]),
+        fits.line([(count, usage.calls) for count, usage in found]),
+        fits.line([(count, usage.writes) for count, usage in found]),
         found[-1][1].start_calls,
     )
 
--- a/benchmarks/slopes_duty.py
+++ b/benchmarks/slopes_leader.py
@@ -8,17 +8,17 @@
 from benchmarks import fits
 from standins import deployments, processes
 
-__all__ = ["DutySlopes", "measure"]
+__all__ = ["LeaderSlopes", "measure"]
 
 ENGINES = (10, 100, 420)
 SETTLE_S = 6.0
-WINDOW_S = 12.0
+MEASURED_S = 12.0
 LAYOUT = deployments.Layout("duty", ("north",), 2, 1, 1)
 ENGINE_PORT = 9150
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DutySlopes:
+class LeaderSlopes:
     """What the duty costs the instance that holds it.
 
     Attributes:
@@ -55,7 +55,7 @@
     return document
 
 
-def _holder(deployment: deployments.Deployment) -> psutil.Process:
+def _leader(deployment: deployments.Deployment) -> psutil.Process:
     for name in deployment.entries:
         url = deployment.operators_url(name, "/v1/status")
         if processes.call("GET", url)[1]["duty"]["held"]:
@@ -80,14 +80,14 @@
         document = _document(deployment, host, engines)
         deployment.submit("entry-1", document)
         time.sleep(SETTLE_S)
-        holder = _holder(deployment)
+        leader = _leader(deployment)
         times, calls = (
-            holder.cpu_times(),
+            leader.cpu_times(),
             _calls(deployment, ("read", "write", "watch")),
         )
         start = time.perf_counter()
-        time.sleep(WINDOW_S)
-        later, elapsed = holder.cpu_times(), time.perf_counter() - start
+        time.sleep(MEASURED_S)
+        later, elapsed = leader.cpu_times(), time.perf_counter() - start
         calls = _calls(deployment, ("read", "write", "watch")) - calls
         spent = later.user + later.system - times.user - times.system
         return spent / elapsed, calls / elapsed, _change_writes(deployment, document)
@@ -100,7 +100,7 @@
 ) -> float:
     """Return the writes of one role change beyond those of the same time at rest."""
     before, start = _calls(deployment, ("write",)), time.perf_counter()
-    time.sleep(WINDOW_S / 2)
+    time.sleep(MEASURED_S / 2)
     rest = (_calls(deployment, ("write",)) - before) / (time.perf_counter() - start)
     servers = document["backend_servers"]
     assert isinstance(servers, list)
@@ -116,16 +116,16 @@
         ),
         "the role change",
     )
-    time.sleep(WINDOW_S / 4)
+    time.sleep(MEASURED_S / 4)
     elapsed = time.perf_counter() - start
     return _calls(deployment, ("write",)) - before - rest * elapsed
 
 
-def measure() -> DutySlopes:
+def measure() -> LeaderSlopes:
     """Measure failure domains of several sizes."""
     found = [(count, *_measure(count)) for count in ENGINES]
     print(f"  duty: {found}")
-    return DutySlopes(
+    return LeaderSlopes(
         fits.line([(row[0], row[1]) for row in found]),
         fits.line([(row[0], row[2]) for row in found]),
         found[0][3],
--- a/benchmarks/peers_slope.py
+++ b/benchmarks/slopes_membership.py
@@ -17,7 +17,7 @@
 from benchmarks import fits, peer_member, rows
 from standins import deployments, processes
 
-__all__ = ["Group", "GroupUsage", "PeerSlopes", "measure"]
+__all__ = ["Group", "GroupUsage", "MembershipSlopes", "measure"]
 
 SIZES = (5, 20, 41)
 # The first watch of a new instance lasts 20 s; after it the calls are steady.
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeerSlopes:
+class MembershipSlopes:
     """Straight lines through the groups' means, over the size of the group."""
 
     processor_share: fits.Fit
@@ -91,15 +91,18 @@
         platform = network.address()
         port = deployments.PLATFORM_PORT
         self.url = f"http://{platform}:{port}"
-        chosen = {"host": platform, "port": port, "list_lag_s": 0.1}
+        platform_settings = {"host": platform, "port": port, "list_lag_s": 0.1}
         try:
             self._started.start(
-                "platform", ("standins.platform",), chosen, self.url + "/calls"
+                "platform",
+                ("standins.platform",),
+                platform_settings,
+                self.url + "/calls",
             )
             self._started.wait_healthy()
             hosts = {f"entry-{n:02}": network.address() for n in range(size)}
-            listed = [_list_row(*item) for item in hosts.items()]
-            processes.call("POST", self.url + "/instances", listed)
+            instances = [_list_row(*item) for item in hosts.items()]
+            processes.call("POST", self.url + "/instances", instances)
             for name, host in hosts.items():
                 path = pathlib.Path(self._folder.name) / f"{name}.json"
                 path.write_text(json.dumps(_entry_settings(name, host, platform)))
@@ -152,10 +155,10 @@
     )
 
 
-def measure(sizes: tuple[int, ...] = SIZES) -> PeerSlopes:
+def measure(sizes: tuple[int, ...] = SIZES) -> MembershipSlopes:
     """Measure groups of several sizes, one after another."""
     groups = tuple(measure_group(size) for size in sizes)
-    return PeerSlopes(
+    return MembershipSlopes(
         fits.line([(group.size, group.processor_share) for group in groups]),
         fits.line([(group.size, group.bytes_per_s) for group in groups]),
         fits.line([(group.size, group.resident_bytes) for group in groups]),
--- a/benchmarks/slopes_requests.py
+++ b/benchmarks/slopes_requests.py
@@ -71,7 +71,7 @@
     return [time.perf_counter() async for _ in response.read_chunks()]
 
 
-async def _answers(url: str, tokens: int) -> None:
+async def _send_requests(url: str, tokens: int) -> None:
     async with _client(IN_FLIGHT) as client:
         remaining = iter(range(REQUESTS))
 
@@ -82,7 +82,9 @@
         await asyncio.gather(*(worker() for _ in range(IN_FLIGHT)))
 
 
-async def _streams(url: str, count: int, entry: psutil.Process) -> tuple[int, float]:
+async def _hold_streams(
+    url: str, count: int, entry: psutil.Process
+) -> tuple[int, float]:
     """Hold streams in flight; returns resident bytes and the p95 gap in ms."""
     async with _client(count) as client:
         tasks = [
@@ -100,7 +102,7 @@
     return resident, 1000 * gaps[int(0.95 * len(gaps))]
 
 
-def _processor_s(process: psutil.Process) -> float:
+def _processor_time_s(process: psutil.Process) -> float:
     times = process.cpu_times()
     return float(times.user + times.system)
 
@@ -112,12 +114,12 @@
         deployment.submit("entry-1", _document(deployment))
         url = deployment.callers_url("entry-1", "/v1/completions")
         entry = psutil.Process(deployment.processes["entry-1"].popen.pid)
-        asyncio.run(_answers(url, ANSWER_TOKENS[0]))
+        asyncio.run(_send_requests(url, ANSWER_TOKENS[0]))
         points = []
         for tokens in ANSWER_TOKENS:
-            before = _processor_s(entry)
-            asyncio.run(_answers(url, tokens))
-            points.append((tokens, (_processor_s(entry) - before) / REQUESTS))
+            before = _processor_time_s(entry)
+            asyncio.run(_send_requests(url, tokens))
+            points.append((tokens, (_processor_time_s(entry) - before) / REQUESTS))
         return fits.line(points)
     finally:
         deployment.stop()
@@ -138,12 +140,12 @@
         url = deployment.callers_url("entry-1", "/v1/completions")
         entry = psutil.Process(deployment.processes["entry-1"].popen.pid)
         for count in STREAMS:
-            before, start = _processor_s(entry), time.perf_counter()
-            resident, gap = asyncio.run(_streams(url, count, entry))
+            before, start = _processor_time_s(entry), time.perf_counter()
+            resident, gap = asyncio.run(_hold_streams(url, count, entry))
             elapsed = time.perf_counter() - start
             memory.append((count, resident))
             gaps.append((count, gap))
-            busy.append((count, (_processor_s(entry) - before) / elapsed))
+            busy.append((count, (_processor_time_s(entry) - before) / elapsed))
     finally:
         deployment.stop()
     print(f"  processor: {processor}")
--- a/benchmarks/slopes_state.py
+++ b/benchmarks/slopes_state.py
@@ -128,24 +128,26 @@
 def _adoption(entries: int) -> tuple[float, float, float]:
     """Return processor seconds, bytes of one change, and memory of a document."""
     documents = [document_of(entries, changed) for changed in range(ADOPTIONS)]
-    pieces = [
+    part_texts = [
         {part.content_hash: part.text for part in parts.split(document)}
         for document in documents
     ]
-    made = [_head(n + 1, document) for n, document in enumerate(documents)]
+    new_heads = [_head(n + 1, document) for n, document in enumerate(documents)]
     tracemalloc.start()
     held = local_document.LocalDocument(fleet.Fleet(), clock.SystemClock())
     held.set_views_known()
-    held.adopt(made[0], pieces[0])
+    held.adopt(new_heads[0], part_texts[0])
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     start = time.process_time()
-    for head, texts in zip(made[1:], pieces[1:], strict=True):
+    for head, texts in zip(new_heads[1:], part_texts[1:], strict=True):
         held.adopt(head, texts)
     spent = (time.process_time() - start) / (ADOPTIONS - 1)
-    changed = [pieces[1][name] for name in pieces[1].keys() - pieces[0].keys()]
-    moved = [json.dumps(made[1].to_json()), *changed]
-    size = sum(len(zlib.compress(text.encode())) for text in moved)
+    changed = [
+        part_texts[1][name] for name in part_texts[1].keys() - part_texts[0].keys()
+    ]
+    transferred = [json.dumps(new_heads[1].to_json()), *changed]
+    size = sum(len(zlib.compress(text.encode())) for text in transferred)
     return spent, float(size), float(memory)
 
 
@@ -173,18 +175,18 @@
 class _CountingStore(memory_store.MemoryStore):
     """Counts the bytes of pages that are read and written."""
 
-    moved = 0
+    transferred = 0
 
     async def get(self, kind: str, name: str) -> typing.Any:
         found = await super().get(kind, name)
         value = getattr(found, "value", None)
-        self.moved += len(json.dumps(value)) if value is not None else 0
+        self.transferred += len(json.dumps(value)) if value is not None else 0
         return found
 
     async def put(
         self, kind: str, name: str, value: typing.Any, **more: int
     ) -> typing.Any:
-        self.moved += len(json.dumps(value))
+        self.transferred += len(json.dumps(value))
         return await super().put(kind, name, value, **more)
 
 
@@ -208,21 +210,21 @@
     if page:
         name = claims.page_of(first)
         await objects.put(claims.KIND, name, {"claims": page}, if_version=0)
-    objects.moved = 0
+    objects.transferred = 0
     outcome = await pages.claim(first, "fingerprint")
     if not isinstance(outcome, claims.Held):
         raise RuntimeError(f"the claim failed: {outcome}")
     await pages.settle(outcome.claim, "answered", None)
-    return float(objects.moved)
+    return float(objects.transferred)
 
 
 def measure() -> StateSlopes:
     """Measure state at several sizes."""
-    adopted = [(count, *_adoption(count)) for count in DOCUMENT_ENTRIES]
+    adoptions = [(count, *_adoption(count)) for count in DOCUMENT_ENTRIES]
     return StateSlopes(
-        fits.line([(row[0], row[1]) for row in adopted]),
-        fits.line([(row[0], row[2]) for row in adopted]),
-        fits.line([(row[0], row[3]) for row in adopted]),
+        fits.line([(row[0], row[1]) for row in adoptions]),
+        fits.line([(row[0], row[2]) for row in adoptions]),
+        fits.line([(row[0], row[3]) for row in adoptions]),
         fits.line([(count, _callers_memory(count)) for count in CALLERS]),
         fits.line([(n, asyncio.run(_claim_bytes(n))) for n in PAGE_CLAIMS]),
     )
--- a/benchmarks/plays.py
+++ b/benchmarks/trials.py
@@ -10,25 +10,25 @@
 import typing
 
 __all__ = [
-    "FailedError",
-    "Play",
+    "TrialError",
+    "Trial",
     "Result",
     "build",
-    "play_bench",
-    "play_emulator",
+    "run_on_bench",
+    "run_on_emulator",
     "read_report",
 ]
 
-_ORDERS = re.compile(r"(\d+) orders")
+_ORDER_COUNT = re.compile(r"(\d+) orders")
 _TIMEOUT_S = 1200
 
 
-class FailedError(Exception):
+class TrialError(Exception):
     """A play gave no result."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Play:
+class Trial:
     """What is played.
 
     Attributes:
@@ -70,36 +70,38 @@
     _run([str(bench.resolve()), "build"], tree)
 
 
-def play_bench(bench: pathlib.Path, tree: pathlib.Path, play: Play, why: str) -> Result:
+def run_on_bench(
+    bench: pathlib.Path, tree: pathlib.Path, trial: Trial, why: str
+) -> Result:
     """Play a day on the users' bench; processor time is not charged, so it repeats.
 
     Raises:
         FailedError: The bench printed no report.
     """
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
-        command = [str(bench), "run", play.site, play.day, "--no-cpu"]
+        command = [str(bench), "run", trial.site, trial.day, "--no-cpu"]
         command += ["--report", report.name, "--why", why, "--jobs", "1"]
-        if play.seed is not None:
-            command += ["--seed", str(play.seed)]
-        done = _run(command, tree)
+        if trial.seed is not None:
+            command += ["--seed", str(trial.seed)]
+        output = _run(command, tree)
         text = pathlib.Path(report.name).read_text(encoding="utf-8")
     if not text.strip():
-        raise FailedError(f"{' '.join(command)}: {done[-400:]}")
+        raise TrialError(f"{' '.join(command)}: {output[-400:]}")
     return read_report(json.loads(text))
 
 
 def read_report(report: dict[str, typing.Any]) -> Result:
     """Return the result that the bench's report of a day holds."""
-    losses = {name: price for name, _, price in report["prices"]}
+    losses = {name: cost for name, _, cost in report["prices"]}
     losses |= {
         f"not earned: {name}": weight * (1 - share)
         for name, weight, share in report["parts"]
     }
-    found = _ORDERS.search(" ".join(report["hints"]))
+    match = _ORDER_COUNT.search(" ".join(report["hints"]))
     return Result(
         worth=report["G"],
         served=1 - report["unserved"],
-        orders=int(found.group(1)) if found else 0,
+        orders=int(match.group(1)) if match else 0,
         broken=tuple(report["breaks"]) + ((report["fault"],) * bool(report["fault"])),
         losses=losses,
         kinds={row["name"]: row["worth"] for row in report["classes"]},
@@ -107,25 +109,25 @@
     )
 
 
-def play_emulator(tree: pathlib.Path, play: Play, python: str) -> Result:
+def run_on_emulator(tree: pathlib.Path, trial: Trial, python: str) -> Result:
     """Play a pattern of load on our own engines, with the tree's planner of roles.
 
     Raises:
         FailedError: The emulator printed no result.
     """
-    command = [python, "-m", "benchmarks.one_load", play.site, play.day]
-    output = _run([*command, str(play.seed or 0)], tree, {"PYTHONPATH": "src:."})
+    command = [python, "-m", "benchmarks.one_load", trial.site, trial.day]
+    output = _run([*command, str(trial.seed or 0)], tree, {"PYTHONPATH": "src:."})
     try:
         fields = json.loads(output.splitlines()[-1])
     except (ValueError, IndexError):
-        raise FailedError(f"{' '.join(command)}: {output[-400:]}") from None
+        raise TrialError(f"{' '.join(command)}: {output[-400:]}") from None
     return Result(**fields)
 
 
 def _run(
     command: list[str], tree: pathlib.Path, extra: dict[str, str] | None = None
 ) -> str:
-    done = subprocess.run(
+    output = subprocess.run(
         command,
         cwd=tree,
         env=os.environ | (extra or {}),
@@ -135,4 +137,4 @@
         timeout=_TIMEOUT_S,
         check=False,
     )
-    return done.stdout
+    return output.stdout
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -14,7 +14,7 @@
 __all__ = ["Override", "Variant", "copy_tree", "parse"]
 
 # What a copy does not need: histories, results and other copies' work.
-_LEFT_OUT = (
+_NOT_COPIED = (
     ".git",
     "journal",
     "build",
@@ -66,8 +66,8 @@
         return Variant(name, source=pathlib.Path(rest[1:]))
     overrides = []
     for part in filter(None, rest.split(";")):
-        place, _, value = part.partition("=")
-        module, _, constant = place.strip().rpartition(".")
+        constant_path, _, value = part.partition("=")
+        module, _, constant = constant_path.strip().rpartition(".")
         if not (module and constant and value):
             raise ValueError(f"{part!r} must read module.CONSTANT=value")
         overrides.append(Override(module, constant, value.strip()))
@@ -75,14 +75,18 @@
 
 
 def copy_tree(
-    root: pathlib.Path, variant: Variant, place: pathlib.Path, *, built: bool = False
+    root: pathlib.Path,
+    variant: Variant,
+    destination: pathlib.Path,
+    *,
+    built: bool = False,
 ) -> None:
     """Copy a source tree to `place` and apply a variant's overrides there.
 
     Args:
         root: The tree to copy, if the variant names no other.
         variant: What differs in the copy.
-        place: Where the copy goes; it must not exist.
+        destination: Where the copy goes; it must not exist.
         built: Copy what the users' bench has built too, so that it does not install
             the libraries again.
 
@@ -91,20 +95,20 @@
     """
     shutil.copytree(
         variant.source or root,
-        place,
-        ignore=shutil.ignore_patterns(*_LEFT_OUT, *([] if built else ["target"])),
+        destination,
+        ignore=shutil.ignore_patterns(*_NOT_COPIED, *([] if built else ["target"])),
         symlinks=True,
     )
     for override in variant.overrides:
-        _apply(place, override)
+        _apply(destination, override)
 
 
-def _apply(place: pathlib.Path, override: Override) -> None:
-    below: abc.Sequence[str] = override.module.split(".")
-    path = place.joinpath("src", "pimentolatch", *below).with_suffix(".py")
+def _apply(destination: pathlib.Path, override: Override) -> None:
+    module_path: abc.Sequence[str] = override.module.split(".")
+    path = destination.joinpath("src", "pimentolatch", *module_path).with_suffix(".py")
     text = path.read_text(encoding="utf-8")
     assigned = re.compile(rf"^{re.escape(override.name)}(: [^=\n]+)? = .*$", re.M)
-    changed, count = assigned.subn(f"{override.name} = {override.value}", text)
+    new_text, count = assigned.subn(f"{override.name} = {override.value}", text)
     if count != 1:
         raise ValueError(f"{override.name} is assigned {count} times in {path.name}")
-    path.write_text(changed, encoding="utf-8")
+    path.write_text(new_text, encoding="utf-8")
--- a/tests/features/steps/experiment_steps.py
+++ b/tests/features/steps/experiment_steps.py
@@ -7,11 +7,11 @@
 from benchmarks import (
     comparison,
     experiment,
-    plays,
+    trials,
     variants,
 )
 
-PLAYS = {day: plays.Play("site", day, 1) for day in ("bad", "fair", "good")}
+PLAYS = {day: trials.Trial("site", day, 1) for day in ("bad", "fair", "good")}
 WORTH = {"bad": 0.2, "fair": 0.5, "good": 0.9}
 WORSE = (
     "no delay=decisions.disaggregation._STREAM_DELAY=0.0;"
@@ -33,8 +33,8 @@
 
 def results(more):
     return {
-        play: plays.Result(WORTH[day] + more, 0.9, 1, kinds={"a": 0.5, "b": 0.4})
-        for day, play in PLAYS.items()
+        trial: trials.Result(WORTH[day] + more, 0.9, 1, kinds={"a": 0.5, "b": 0.4})
+        for day, trial in PLAYS.items()
     }
 
 
@@ -73,7 +73,7 @@
         "classes": [{"name": "a", "worth": 0.7}],
         "windows": [{"name": "2", "worth": 0.6}],
     }
-    found = plays.read_report(report)
+    found = trials.read_report(report)
     assert found.worth == 0.51 and found.orders == 3 and found.broken == ("ONE",)
     assert found.losses["orders"] == 0.002
     assert math.isclose(found.losses["not earned: whole day"], 0.1)
@@ -82,10 +82,10 @@
 
 @behave.when('an experiment plays "{pattern}" on three engines with a worse variant')
 def small_experiment(context, pattern):
-    context.play = plays.Play("sapporo-north", pattern, 0)
+    context.trial = trials.Trial("sapporo-north", pattern, 0)
     named = [variants.Variant("base"), variants.parse(WORSE)]
-    context.found = experiment.play_all(named, [context.play], None, "test", 2)
-    context.again = experiment.play_all(named[:1], [context.play], None, "test", 1)
+    context.found = experiment.run_trials(named, [context.trial], None, "test", 2)
+    context.again = experiment.run_trials(named[:1], [context.trial], None, "test", 1)
 
 
 @behave.then("the base comes out as it did before")
@@ -95,7 +95,7 @@
 
 @behave.then("the variant differs from it")
 def variant_differs(context):
-    base, other = (context.found[name][context.play] for name in ("base", "no delay"))
+    base, other = (context.found[name][context.trial] for name in ("base", "no delay"))
     assert base.worth != other.worth, base
     row = comparison.compare(
         "no delay", "sapporo-north", context.found["no delay"], context.found["base"]
--- a/tests/features/steps/prompt_sizes_steps.py
+++ b/tests/features/steps/prompt_sizes_steps.py
@@ -67,7 +67,7 @@
         ):
             line = {"message": message, "id": f"r{number}", **fields}
             texts.append(f"1.5 front-1 {json.dumps(line)}")
-    rows = sizes.table(sizes.read_prompts(["no line", *texts]))
+    rows = sizes.table(sizes.parse_log_lines(["no line", *texts]))
     shares = [f"{int(end) / int(count):.3f}" for end in ends]
     assert rows[1] == f"{route} all {count} 10000 {' '.join(shares)} 100 300", rows
     assert rows[2] == f"{route} 1 1 1000 1.000 0.000 0.000 0.000 100 300", rows
--- a/tests/features/steps/roles_bench_steps.py
+++ b/tests/features/steps/roles_bench_steps.py
@@ -1,6 +1,6 @@
 import behave
 
-from benchmarks import mix, policies, runs, scores
+from benchmarks import mix, policies, scores, simulation_types
 
 
 @behave.given('a benchmark load of {engines:d} engines under the pattern "{pattern}"')
@@ -12,7 +12,9 @@
 
 
 def ours(context, **options):
-    return context.load.serve(context.first, policies.Ours(), runs.Options(**options))
+    return context.load.simulate(
+        context.first, policies.Ours(), simulation_types.Options(**options)
+    )
 
 
 @behave.then("serving it twice under our role planner gives the same outcome")
@@ -24,7 +26,7 @@
     "reading every prompt in place answers fewer requests in time than reading apart"
 )
 def fewer_in_place(context):
-    in_place, apart = ours(context, apart=False), ours(context)
+    in_place, apart = ours(context, disaggregate=False), ours(context)
     assert in_place.good < apart.good, (in_place.good, apart.good)
 
 
