--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: overhead, slopes, and policies under a shifting mix."""
+"""Benchmarks: overhead, scaling, and role planning under a shifting request mix."""
--- a/benchmarks/comparison.py
+++ b/benchmarks/comparison.py
@@ -1,4 +1,4 @@
-"""Compares variants with the base, pairwise on the same loads and seeds."""
+"""Paired comparison of code variants with the base, on the same loads and seeds."""
 
 import dataclasses
 import math
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Difference:
-    """Mean of pairwise differences and the standard error of that mean."""
+    """Mean of paired differences and the standard error of that mean."""
 
     mean: float
     error: float
@@ -25,12 +25,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One variant on one site.
+    """Results of one variant on one site.
 
     Attributes:
-        worst_day: The day with the least worth, and that worth.
-        worst_kind: The kind of request that earned the least, and its mean share.
-        losses: Mean worth lost by cause, the greatest first.
+        worst_day: Day with the lowest mean worth, and that worth.
+        worst_kind: Kind of request with the lowest mean share, and that share.
+        losses: Mean worth lost by cause, in descending order.
     """
 
     variant: str
@@ -47,7 +47,7 @@
 
 
 def compare(variant: str, site: str, results: Results, base: Results) -> Row:
-    """Return how a variant did on a site, against the base on the same plays."""
+    """Summarize a variant on a site and compare it with the base, trial by trial."""
     trials_of_site = sorted(
         (trial for trial in results if trial.site == site),
         key=lambda trial: (trial.day, trial.seed or 0),
--- a/benchmarks/experiment.py
+++ b/benchmarks/experiment.py
@@ -1,14 +1,14 @@
-"""Plays variants of the code against the base and prints what each is worth.
+"""Runs variants of the code against the base and prints how each scores.
 
-Each variant is played on the same sites, days and seeds as the base, several plays at
-a time, and compared with it pair by pair:
+Each variant runs on the same sites, days and seeds as the base, several trials at a
+time, and is compared with the base trial by trial:
 
     python -m benchmarks.experiment --bench PATH --sites A.toml --days quiet-1 scale-1
         --seeds 1 2 3
         --variants "no fetch=decisions.prefix_affinity.MIN_FETCH_TOKENS=10**9"
 
-Without `--bench` the loads are those of our own emulator, with a domain of engines for
-a site and a pattern for a day.
+Without `--bench` the trials run on the emulator of this package: a site is then a
+failure domain of engines and a day is a load pattern.
 """
 
 import concurrent.futures
@@ -33,7 +33,7 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 _BASE = "base"
-# Half of the processors: the rest is left for whoever works here.
+# Half of the processors, so that the machine stays usable during an experiment.
 _DEFAULT_JOBS = max(1, (os.cpu_count() or 2) // 2)
 _LOSSES_SHOWN = 8
 
@@ -58,18 +58,18 @@
     plot: pathlib.Path | None = None,
     losses: bool = False,
 ) -> int:
-    """Play all variants and print the tables; non-zero if a rule was broken.
+    """Run all variants and print the tables; non-zero if a rule was broken.
 
     Args:
-        sites: Files of deployments; domains of engines for the emulator.
-        days: Names of days there; patterns for the emulator.
-        seeds: Other luck on the same days; the days' own if none is given.
+        sites: Deployment files; failure domains of engines for the emulator.
+        days: Names of days of the deployments; load patterns for the emulator.
+        seeds: Seeds for the random events of each day; default: the seed of the day.
         variants_: Variants as `name=module.CONSTANT=value`, or `name=@TREE`.
-        bench: The users' bench; our own emulator if it is left out.
-        why: A line for the bench's journal.
-        jobs: Plays at a time.
-        plot: Where to draw worth by second, for each variant.
-        losses: Also print what was lost, by cause.
+        bench: Path of the users' bench; default: the emulator of this package.
+        why: Reason for the run, written to the bench's journal.
+        jobs: Number of concurrent trials.
+        plot: File for a plot of worth by second, one line per variant.
+        losses: Also print lost worth by cause.
     """
     chosen_variants = [variants.Variant(_BASE), *map(variants.parse, variants_ or [])]
     requested_trials = [
@@ -111,8 +111,8 @@
     results_by_variant: dict[str, Results] = {
         variant.name: {} for variant in chosen_variants
     }
-    # The bench needs each tree beside the checkout: a folder for temporary files is
-    # private to each of the processes that it starts.
+    # The trees are copied next to the checkout: the processes that the bench starts
+    # each have a private temporary folder and would not see a tree there.
     folder = ROOT.parent / f"experiment-{os.getpid()}"
     folder.mkdir()
     try:
@@ -129,7 +129,7 @@
             ) as progress,
         ):
             task = progress.add_task(
-                "plays", total=len(chosen_variants) * len(requested_trials)
+                "trials", total=len(chosen_variants) * len(requested_trials)
             )
             pending = {
                 pool.submit(
@@ -155,7 +155,7 @@
 def _warm_up(
     bench: pathlib.Path | None, trees: abc.Iterable[pathlib.Path], jobs: int
 ) -> None:
-    """Build each tree once, so that plays of it don't build it at the same time."""
+    """Build each tree once, so that concurrent trials don't build it in parallel."""
     if bench is None:
         return
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
@@ -171,7 +171,7 @@
 
 
 def _copy_journals(trees: abc.Iterable[pathlib.Path]) -> None:
-    """Keep the bench's entries of all plays with those of the checkout."""
+    """Copy the bench's journal entries of all trials to the checkout's journal."""
     journal = ROOT / "journal"
     for entry in itertools.chain.from_iterable(
         tree.glob("journal/*.json") for tree in trees
@@ -227,7 +227,7 @@
         means = sorted((second, sum(w) / len(w)) for second, w in sums.items())
         axes.plot(*zip(*means, strict=True), label=name)
     axes.set_xlabel("seconds from the start of the load")
-    axes.set_ylabel("share earned")
+    axes.set_ylabel("share of worth earned")
     axes.legend()
     figure.savefig(path, dpi=80)
 
--- a/benchmarks/fakes.py
+++ b/benchmarks/fakes.py
@@ -1,9 +1,10 @@
 """Fake engines of one failure domain, on virtual time.
 
-Each engine takes steps as real ones do: a step writes one token for each stream of the
-batch and, if a prompt is being read, reads a piece of it, which lengthens the step.
-Small pieces read badly, so that reading between streams costs more than reading apart.
-Between two events nothing changes, so steps are summed up, not taken one by one.
+Like a real engine, each engine runs in steps with continuous batching and chunked
+prefill: a step decodes one token for each stream of the batch and, if a prompt is in
+prefill, processes one chunk of it, which lengthens the step. Small chunks are
+inefficient, so colocated prefill costs more than disaggregated prefill. The step length
+is constant between two events, so steps are summed rather than simulated one by one.
 """
 
 import collections
@@ -26,11 +27,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """One request on its way.
+    """One request in flight.
 
     Attributes:
-        delivered: Tokens that the caller has.
-        transferring: Whether its KV cache comes from another engine.
+        delivered: Output tokens that the caller has received.
+        transferring: Whether its KV cache is to be transferred from another engine.
     """
 
     number: int
@@ -50,7 +51,7 @@
     counted_prompt: float = 0.0
 
     def copy(self) -> "Job":
-        """Return the request as it arrives; for serving one load more than once."""
+        """Return the request as on arrival, so that a load can be served repeatedly."""
         return Job(
             self.number,
             self.arrived,
@@ -65,18 +66,18 @@
 
 
 class StepTimes:
-    """How long steps took, weighted by the tokens they wrote, in bins of 1 ms."""
+    """Histogram of step times in bins of 1 ms, weighted by generated tokens."""
 
     def __init__(self) -> None:
         self.bins = [0.0] * _BINS
 
     def add(self, step_s: float, tokens: float) -> None:
-        """Count tokens that were written in steps of a length."""
+        """Add tokens that were generated in steps of `step_s` seconds."""
         self.bins[min(_BINS - 1, int(step_s / _BIN_S))] += tokens
 
 
 class FakeEngine:
-    """An engine that batches continuously."""
+    """An engine with continuous batching."""
 
     def __init__(self, engine: schema.Engine, times: StepTimes) -> None:
         self.engine = engine
@@ -95,11 +96,11 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no request is here."""
+        """Whether the engine has no requests."""
         return not (self._streams or self._decode_queue or self._prefill_queue)
 
     def next_event(self) -> float:
-        """Return when the next prompt is read or answer written, in seconds."""
+        """Return the time in seconds at which the next prefill or answer ends."""
         when = math.inf
         if self._prefill_queue:
             when = self._now + max(0.0, self._prefill_left) / self._prefill_rate
@@ -109,7 +110,7 @@
         return when
 
     def advance(self, now: float) -> tuple[list[Job], list[Job]]:
-        """Move time on; returns the jobs just read and those just written."""
+        """Advance to `now`; returns the jobs whose prefill and whose output ended."""
         elapsed = now - self._now
         if elapsed > 0.0:
             if self._streams:
@@ -139,14 +140,14 @@
         return prefilled, completed
 
     def prefill(self, job: Job) -> None:
-        """Queue a prompt for reading."""
+        """Queue a job for prefill."""
         self._prefill_queue.append(job)
         if len(self._prefill_queue) == 1:
             self._begin_prefill()
             self._update_step_time()
 
     def decode(self, job: Job) -> None:
-        """Put a prompt that is read into the batch, or in line for it."""
+        """Add a prefilled job to the batch, or queue it if the batch is full."""
         if len(self._streams) < self.engine.streams:
             self._start(job)
             self._update_step_time()
@@ -154,7 +155,7 @@
             self._decode_queue.append(job)
 
     def crash(self) -> list[Job]:
-        """Lose everything; returns the jobs that were here."""
+        """Drop all jobs and the prefix cache; returns the jobs."""
         for _, _, began, job in self._streams:
             job.delivered += int(self._steps_done - began)
         jobs = [stream[3] for stream in self._streams]
@@ -167,7 +168,7 @@
         return jobs
 
     def set_role(self, role: schema.Role) -> None:
-        """Change role; the prefix cache does not outlive it."""
+        """Change the role, which clears the prefix cache."""
         self.role = role
         self._cache.clear()
         self._update_step_time()
@@ -191,7 +192,7 @@
         self._prefill_left = float(tokens - (job.prefix_tokens if cached else 0))
 
     def _update_step_time(self) -> None:
-        """Set the lengths of steps from what is being done."""
+        """Recompute the step time and prefill rate from the current batch."""
         engine = self.engine
         streams = len(self._streams)
         step = 0.0
--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, with what they leave unexplained."""
+"""Least-squares lines through measured points, with their residuals."""
 
 import dataclasses
 import typing
@@ -13,9 +13,9 @@
     """The line `intercept + slope * size` through measured points.
 
     Attributes:
-        residual: Root of the mean squared distance from the line, as a share of the
-            mean of the points.
-        largest: Largest size measured.
+        residual: Root mean square of the residuals, as a share of the mean of the
+            absolute values.
+        largest: Largest measured size.
     """
 
     slope: float
@@ -24,11 +24,11 @@
     largest: float
 
     def value_at(self, size: float) -> float:
-        """Return the value the line gives at a size."""
+        """Return the value of the line at a size."""
         return self.intercept + self.slope * size
 
     def extrapolation(self, size: float) -> float:
-        """Return how far beyond the largest measured size another one lies."""
+        """Return the ratio of a size to the largest measured size."""
         return size / self.largest
 
 
--- a/benchmarks/fullsize.py
+++ b/benchmarks/fullsize.py
@@ -1,4 +1,4 @@
-"""The size that decides the design, and the limits it must keep."""
+"""Size of the full deployment that the design must support, and its limits."""
 
 __all__ = [
     "CALLERS",
@@ -30,10 +30,11 @@
 CONTROL_CORE = 0.025
 CONTROL_MEMORY_MB = 128
 CONTROL_BYTES_PER_S = 18_000
-# "Several hundred" writes and "about two thousand" reads a second, taken low.
+# The store allows "several hundred" writes and "about two thousand" reads a second;
+# these are the low ends.
 STORE_WRITES_PER_S = 300
 STORE_READS_PER_S = 2000
 
-# Streams in flight: an answer has 455 tokens on average (2.5 M / 5,500) and 71 ms
-# pass between two of them at the worst that is allowed, so one lasts 32 s.
+# Streams in flight: an answer has 455 tokens on average (2.5 M / 5,500), and the
+# time between two tokens may be at most 71 ms, so a stream lasts up to 32 s.
 STREAMS = REQUESTS_PER_S * (TOKENS_PER_S / REQUESTS_PER_S) * 0.071
--- a/benchmarks/gateway_cost.py
+++ b/benchmarks/gateway_cost.py
@@ -1,9 +1,9 @@
 """Processor time of one instance that serves routes, by cause.
 
-The instance runs in this process; engines, clients and peers run in another one. Of
-processor time the benchmark prints milliseconds a request and the share of a core that
-beacons take while nothing is asked, from two plays without a profiler; then the shares
-of the causes, from a third one with it, which add up to the whole of that play.
+The instance runs in this process; engines, clients and peers run in a second one. Two
+runs without a profiler give the processor time per request in milliseconds and the
+share of a core that beacons take without requests. A third run with a profiler gives
+the share of each cause, as parts of the processor time of that run.
 """
 
 import argparse
@@ -32,7 +32,7 @@
 __all__ = ["main"]
 
 HOST = "127.0.0.1"
-# What an instance of a fleet of 84 has before it.
+# Engines that an instance of a fleet of 84 instances sends requests to.
 PREFILL_ENGINES = 24
 DECODE_ENGINES = 46
 REQUESTS_PER_S = 12.0
@@ -45,7 +45,7 @@
 IDLE_S = 6.0
 START_S = 1.0
 
-# Causes by where a function stands; the first one that fits counts.
+# Causes by the path of a function's file; the first match counts.
 CAUSES = (
     ("choice of engines", ("decisions/", "gateway/prompt_placer", "requests/prompts")),
     ("beacons", ("protocol/beacons", "gateway/peer", "cbor2", "gateway/quarantine")),
@@ -60,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunCost:
-    """What one play took."""
+    """Requests, processor time and wall time of one run."""
 
     requests: int
     processor_s: float
@@ -152,7 +152,7 @@
 
 
 async def _run_environment(port: int, peers_port: int) -> None:
-    """Be the engines, the clients and the peers of an instance; told by lines."""
+    """Run the engines, clients and peers of an instance; controlled over stdin."""
     engines = await _start_engines()
     print(json.dumps({e.server_id: e.entry() for e in engines}), flush=True)
     loop = asyncio.get_running_loop()
@@ -242,7 +242,7 @@
 
 
 def _shares(profile: cProfile.Profile) -> dict[str, float]:
-    """Return the share of each cause in the profiled time; waiting is left out."""
+    """Return the share of each cause in the profiled time, without time in poll."""
     spent: dict[str, float] = {}
     stats: typing.Any = pstats.Stats(profile)
     for (file, _, function), (_, _, own, _, _) in stats.stats.items():
@@ -255,7 +255,7 @@
 
 
 def main() -> None:
-    """Print the figures and write them to `build/gateway-cost.json`."""
+    """Measure, print the table and write `build/gateway-cost.json`."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--surround", nargs=2, type=int)
     options = parser.parse_args()
--- a/benchmarks/load_cases.py
+++ b/benchmarks/load_cases.py
@@ -1,6 +1,6 @@
-"""The load cases of the scenarios, and a report of what they measured.
+"""Load cases of the load pattern scenarios, and a report of their results.
 
-`python -m benchmarks.load_cases` prints one line for each case, policy and group.
+`python -m benchmarks.load_cases` prints one line for each case, policy, span and group.
 """
 
 import dataclasses
@@ -18,7 +18,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Case:
-    """A load; `spans` and `groups` say what is summarised."""
+    """A load, and the time spans and groups of requests to summarize.
+
+    Attributes:
+        until: End of the run in seconds.
+        arrivals: Returns the requests for a generator and a capacity in units a second.
+        spans: Named spans as (start, end) in seconds.
+        groups: Named predicates that select requests.
+        speeds: Speed factor by engine; 1.0 for engines that are not listed.
+    """
 
     engines: int
     instances: int
@@ -180,7 +188,7 @@
 
 
 def main() -> None:
-    """Print what every case measured."""
+    """Print the results of all cases."""
     for name in CASES:
         for policy in (load_fakes.Baseline, load_fakes.Ours):
             for (span, group), found in measure(name, policy).items():
--- a/benchmarks/load_fakes.py
+++ b/benchmarks/load_fakes.py
@@ -1,7 +1,7 @@
-"""Fake engines and callers on a virtual clock, for the decisions under load.
+"""Fake engines and callers on a virtual clock, to test the decisions under load.
 
-An engine shares its time between reading prompts, in order, and writing tokens for its
-whole batch. Nothing here takes wall time or randomness of its own, so a run depends
+An engine divides its time between prefill, in order of arrival, and decode for its
+whole batch. Nothing here reads the wall clock or draws random numbers, so a run depends
 only on its arrivals.
 """
 
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request; `retries` is how often its caller asks again, refused or late."""
+    """A request; `retries` is how often its caller retries it if refused or late."""
 
     at: float
     caller: str
@@ -50,13 +50,13 @@
 
     @property
     def units(self) -> float:
-        """Work in prompt tokens."""
+        """Work of the request, in prompt tokens."""
         return self.prompt_tokens + _OUTPUT_TOKEN_WORK * self.output_tokens
 
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """What a caller received for one try; times are seconds since it asked."""
+    """Result of one attempt of a caller; times are seconds since it was sent."""
 
     arrival: Arrival
     sent_at: float
@@ -67,7 +67,7 @@
 
     @property
     def good(self) -> bool:
-        """Whether the answer was whole within its deadline."""
+        """Whether the answer was complete within its deadline."""
         return self.finished is not None and self.finished <= self.arrival.deadline_s
 
 
@@ -81,7 +81,7 @@
 
 
 class FakeEngine:
-    """One engine; `speed` scales all it does."""
+    """One engine; `speed` scales its prefill and decode rates."""
 
     def __init__(self, engine: schema.Engine) -> None:
         self.engine = engine
@@ -107,7 +107,7 @@
         self._waiting = collections.deque(s for s in self._waiting if s.name != name)
 
     def step(self) -> list[tuple[str, int, bool]]:
-        """Run for one step; returns (request, new tokens, whether it ended)."""
+        """Run one step; returns (request, new tokens, whether it ended)."""
         while self._waiting and len(self._batch) < self.engine.streams:
             self._batch.append(self._waiting.popleft())
         time = STEP_S * self.speed
@@ -153,7 +153,7 @@
 def document(
     engines: int, callers: typing.Any = (), **changes: typing.Any
 ) -> typing.Any:
-    """Return a fleet document of equal engines in one failure domain."""
+    """Return a fleet document with identical engines in one failure domain."""
     servers = [
         {
             "kind": "engine",
@@ -178,27 +178,33 @@
 
 
 class Policy(typing.Protocol):
-    """What one instance does with its requests."""
+    """Request handling of one instance."""
 
     def arrive(
         self, request: model_queues.Request, now: datetime.timedelta
     ) -> results.Refusal | None:
-        """Take a request, or refuse it."""
+        """Admit a request, or return a refusal."""
 
     def schedule(
         self, now: datetime.timedelta
     ) -> tuple[list[dispatcher.Start], list[dispatcher.Expired]]:
-        """Return what starts now, and what is given up."""
+        """Return the requests that start now, and those that expired in the queue."""
 
     def token(self, request_id: str, now: datetime.timedelta) -> None:
-        """Count one token of a request as received."""
+        """Record one received token of a request."""
 
     def end(self, request_id: str, length: int | None, now: datetime.timedelta) -> None:
-        """The stream ended whole, or (None) its caller went away."""
+        """Record the end of a stream.
+
+        Args:
+            request_id: The request.
+            length: Tokens of a complete answer; None if the caller gave up.
+            now: Current time.
+        """
 
 
 class Baseline:
-    """Least connections, first come, first served, no limits, no refusals."""
+    """Least connections, first come first served, without limits or refusals."""
 
     def __init__(self, view: fleet.View, name: str) -> None:
         self._view = view
@@ -241,7 +247,7 @@
 
 
 class Ours:
-    """The decisions of `pimentolatch`."""
+    """The dispatcher of `pimentolatch`."""
 
     def __init__(self, view: fleet.View, name: str) -> None:
         self._view = view
@@ -273,7 +279,7 @@
 
 
 class Fleet:
-    """Instances before engines, and what their callers received."""
+    """Instances and their engines, with the outcomes of all requests."""
 
     def __init__(
         self, chosen: schema.FleetDocument, policy: typing.Any, instances: int = 1
@@ -291,7 +297,7 @@
                 instance.decisions.set_instances(frozenset(names), instances)
 
     def submit(self, arrival: Arrival, now: float) -> list[Arrival]:
-        """Let a caller ask; returns what it asks later because it was refused."""
+        """Send a request to an instance; returns the retry if it is refused."""
         number = len(self.outcomes)
         name = f"r{number}"
         outcome = Outcome(arrival, now)
@@ -311,7 +317,7 @@
         return [] if refusal is None else self._record_refusal(name, refusal, now)
 
     def step(self, now: float) -> list[Arrival]:
-        """Run everything for one step; returns what is asked again later."""
+        """Run instances and engines for one step; returns the retries it causes."""
         retries: list[Arrival] = []
         for instance in self.policies:
             started, expired = instance.schedule(_time(now))
@@ -364,11 +370,13 @@
         ):
             return
         self._last_exchange = now
-        emitted = [instance.decisions.shares(_time(now)) for instance in self.policies]
+        reports = [instance.decisions.shares(_time(now)) for instance in self.policies]
         for number, instance in enumerate(self.policies):
-            for other, share in enumerate(emitted):
+            for other, report in enumerate(reports):
                 if other != number:
-                    instance.decisions.peers.update(f"entry-{other}", share, _time(now))
+                    instance.decisions.peers.update(
+                        f"entry-{other}", report, _time(now)
+                    )
 
 
 def run(
@@ -377,7 +385,7 @@
     until: float,
     speeds: dict[str, float] | None = None,
 ) -> list[Outcome]:
-    """Run a load to a time; `speeds` slows engines from the start."""
+    """Run a load until a time; `speeds` sets speed factors of engines by name."""
     for name, speed in (speeds or {}).items():
         fakes.engines[name].speed = speed
     pending = sorted(arrivals, key=lambda arrival: arrival.at, reverse=True)
@@ -393,7 +401,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return a percentile, 0 for no values."""
+    """Return the percentile at a share from 0 to 1; 0 without values."""
     if len(values) < 2:
         return values[0] if values else 0.0
     return statistics.quantiles(values, n=100, method="inclusive")[
--- a/benchmarks/load_patterns.py
+++ b/benchmarks/load_patterns.py
@@ -1,4 +1,4 @@
-"""Load patterns of the brief, seeded, and what callers received under them."""
+"""Seeded arrivals of two kinds of requests, and summaries of their outcomes."""
 
 import dataclasses
 import random
@@ -17,15 +17,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Summary:
-    """What callers received.
+    """Outcomes of the requests of one span.
 
     Attributes:
-        goodput: Work of whole answers within their deadline, as a share of capacity.
-        good: Share of the requests answered whole within their deadline.
+        goodput: Work of the answers that were complete within their deadline, as a
+            share of capacity.
+        good: Share of the requests answered completely within their deadline.
         waits: Seconds to the first token of good answers: p50, p95, p99.
-        refused: Refused requests.
-        refused_late: Refused requests that had waited for more than a step.
-        unanswered: Requests that neither ended nor were refused by their deadline.
+        refused: Number of refused requests.
+        refused_late: Number of requests refused after waiting longer than one step.
+        unanswered: Number of requests neither completed nor refused by their deadline.
     """
 
     requests: int
@@ -38,7 +39,7 @@
 
 
 def capacity(engines: int) -> float:
-    """Return the units a second that engines can do."""
+    """Return the capacity of engines in units of work a second."""
     return engines * load_fakes.UNITS_PER_SECOND
 
 
@@ -50,7 +51,7 @@
     deadline_s: float = 15.0,
     **more: typing.Any,
 ) -> Arrivals:
-    """Return badge drafts at random times."""
+    """Return short requests (badge drafts) at random times."""
     return [
         load_fakes.Arrival(
             at,
@@ -73,7 +74,7 @@
     deadline_s: float = 60.0,
     **more: typing.Any,
 ) -> Arrivals:
-    """Return long briefings, or health files, at random times."""
+    """Return requests with long prompts (briefings, health files) at random times."""
     return [
         load_fakes.Arrival(
             at,
@@ -94,7 +95,10 @@
     span: tuple[float, float],
     selects: abc.Callable[[load_fakes.Arrival], bool] = lambda arrival: True,
 ) -> Summary:
-    """Summarise what was asked, and for goodput what ended, within a span."""
+    """Summarize the requests sent within a span.
+
+    Goodput counts the good answers that ended within the span instead.
+    """
     chosen = [outcome for outcome in outcomes if selects(outcome.arrival)]
     ended = sum(
         outcome.arrival.units
@@ -126,7 +130,7 @@
 def times(
     rng: random.Random, rate: float, span: tuple[float, float]
 ) -> abc.Iterator[float]:
-    """Return random times at a rate, as independent callers choose them."""
+    """Return the times of a Poisson process, as independent callers produce."""
     at = span[0] + rng.expovariate(rate)
     while at < span[1]:
         yield at
--- a/benchmarks/mix.py
+++ b/benchmarks/mix.py
@@ -1,10 +1,11 @@
-"""Measures role planning through shifts of the prompt-to-output mix.
-
-Both deployments are served by fake engines on virtual time, failure domain by failure
-domain, under four policies: a static split, a reactive threshold, ours, and the best
-schedule found with the future known. All four use the same prefill decisions, so that
-the rows differ in when roles change and in nothing else. Then ours is run again with
-each decision off in turn. Figures were tuned on seeds 0 to 9, reported on others.
+"""Benchmark of role planning while the mix of prompt and output tokens shifts.
+
+Fake engines on virtual time serve both deployments, one failure domain at a time, under
+four policies: a static split, a reactive threshold, the planner of this project (ours),
+and an oracle, the best schedule found with the whole load known. All four choose
+between colocated and disaggregated prefill in the same way, so the rows differ only in
+when roles change. An ablation then runs ours with one decision disabled at a time.
+Constants are tuned on seeds 0 to 9 and results reported on other seeds.
 """
 
 import argparse
@@ -32,20 +33,21 @@
 
 TUNING_SEEDS = range(10)
 REPORT_SEEDS = range(100, 130)
-# The ablation takes part of the seeds: it repeats each load ten times.
+# Fewer seeds for the ablation, which serves each load once for each of ABLATIONS.
 ABLATION_SEEDS = range(100, 106)
 WORKERS = 4
 BUILD = pathlib.Path("build")
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
-# The best split for all patterns together on the tuning seeds, by size of the domain;
-# it is the static split and where ours and the reactive policy begin.
+# Best static split over all patterns on the tuning seeds, by engines in the domain. It
+# is the static policy, and the initial split of ours and of the reactive policy.
 FIRST_SPLIT = {2: "PM", 3: "PMM", 4: "PMMM"}
 SPLITS = {
     2: ("PM", "MM"),
     3: ("PMM", "PPM", "MMM"),
     4: ("PMMM", "PPMM", "MMMM"),
 }
-# Prices of a change in the search for schedules, in windows of a domain's answers.
+# Costs of a role change in the search for schedules, as multiples of the mean number of
+# good answers per window.
 SCHEDULE_COSTS = (0.5, 2.0)
 ABLATIONS = (
     "ours",
@@ -98,7 +100,7 @@
 
 
 class Load:
-    """The requests and faults of a case, to be served several times."""
+    """The requests and faults of a case, which can be served repeatedly."""
 
     def __init__(self, case: Case) -> None:
         deployment = patterns.DEPLOYMENTS[case.deployment]
@@ -117,7 +119,7 @@
         planner: simulation_types.Planner,
         options: simulation_types.Options | None = None,
     ) -> simulation_types.Outcome:
-        """Serve it from a first split."""
+        """Serve the load, starting from a split of roles."""
         scenario = simulation_types.Scenario(
             _engines(split), self._policy, self._jobs, self._faults
         )
@@ -141,13 +143,13 @@
         if len(schedule) > 1:
             split = schedule[0][1]
             candidates.append(load.simulate(split, policies.Schedule(schedule)))
-    # Whatever was really reached counts, so that foresight is never the worse.
+    # The oracle is the best of all measured runs, so it is never below another policy.
     outcomes["oracle"] = max(candidates, key=lambda o: (o.good, -len(o.changes)))
     return {name: scores.score(outcome) for name, outcome in outcomes.items()}
 
 
 def ablate(case: Case) -> dict[str, scores.Score]:
-    """Serve one load under our policy with each decision off in turn."""
+    """Serve one load under our planner with one decision disabled at a time."""
     load = Load(case)
     first = FIRST_SPLIT[case.engines]
     safeguards = roles.Safeguards
@@ -192,16 +194,18 @@
 
 
 def _print_targets(rows: list[scores.Row]) -> None:
-    """Say for each deployment whether the targets are met, over all patterns."""
+    """Print for each deployment and pattern whether the targets are met."""
     print("\ntargets: goodput >= 95% of the oracle's, changes <= half of reactive's")
     for deployment in patterns.DEPLOYMENTS:
         for pattern in (*patterns.PATTERNS, None):
-            options = {
+            rows_by_policy = {
                 policy: scores.total(rows, deployment.name, pattern, policy)
                 for policy in ("reactive", "ours", "oracle")
             }
-            share = options["ours"].goodput / options["oracle"].goodput
-            ours, theirs = (options[p].role_changes for p in ("ours", "reactive"))
+            share = rows_by_policy["ours"].goodput / rows_by_policy["oracle"].goodput
+            ours, theirs = (
+                rows_by_policy[p].role_changes for p in ("ours", "reactive")
+            )
             met = "met" if share >= 0.95 and ours <= theirs / 2 else "MISSED"
             print(
                 f"{deployment.name:9} {pattern or 'all':6} goodput {share:.1%} of the "
@@ -210,7 +214,7 @@
 
 
 def main() -> None:
-    """Measure, print the tables, and write build/bench.json and the plots."""
+    """Measure, print the tables, and write the JSON files and plots to `build/`."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--tuning", action="store_true", help="use the tuning seeds")
     options = parser.parse_args()
--- a/benchmarks/one_load.py
+++ b/benchmarks/one_load.py
@@ -1,4 +1,4 @@
-"""Serves one load on the emulator's engines and prints what callers received (JSON)."""
+"""Serves one load on the emulator's engines and prints the results as JSON."""
 
 import json
 import sys
@@ -9,7 +9,7 @@
 
 
 def main() -> None:
-    """Serve the load that the arguments name: domain, pattern, seed."""
+    """Serve the load given by the arguments DOMAIN PATTERN SEED."""
     domain, pattern, seed = sys.argv[1:4]
     engines = {"hakodate": 2, "sapporo-north": 3}[domain]
     load = mix.Load(mix.Case(0, domain, engines, pattern, int(seed)))
--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -1,4 +1,4 @@
-"""Calls of the platform before, during and after an outage, as it counts them."""
+"""Rate of platform calls before, during and after an outage, as the platform counts."""
 
 import time
 
@@ -26,7 +26,7 @@
 
 
 def measure() -> dict[str, list[int]]:
-    """Return the calls of each second before, during and after an outage."""
+    """Return the number of calls in each second before, during and after an outage."""
     group = slopes_membership.Group(SIZE, 10 * SETTLE_S, 1)
     try:
         time.sleep(SETTLE_S)
@@ -42,7 +42,7 @@
 
 
 def main() -> None:
-    """Print the mean and the most calls of a second for each time."""
+    """Print the mean and the peak of calls a second for each phase."""
     for name, counts in measure().items():
         mean, peak = sum(counts) / len(counts), max(counts)
         rows.print_table(
--- a/benchmarks/overhead.py
+++ b/benchmarks/overhead.py
@@ -1,8 +1,8 @@
-"""Overhead of one entry instance: direct to a stand-in against through us.
+"""Overhead of one entry instance: requests to a stand-in, direct and through it.
 
-Direct and forwarded requests alternate in one run, so that whatever else the machine
-does weighs on both. The engine stand-in answers without delay; what is left is what
-the entry instance and the client add.
+Direct and forwarded requests alternate in one run, so that other load on the machine
+affects both alike. The stand-in engine answers without delay; the remaining time is
+that of the entry instance and of the client.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """Where a request is sent and what it carries."""
+    """URL and body of a request."""
 
     url: str
     body: bytes
@@ -71,7 +71,7 @@
 
 
 async def _first_byte(client: aiosonic.HTTPClient, target: Target) -> float:
-    """Send one request, read it to its end, return the time to its first byte."""
+    """Send one request, read its whole response, return the time to first byte."""
     start = time.perf_counter()
     response = await client.post(target.url, data=target.body, headers=HEADERS)
     if response.status_code != 200:
@@ -100,7 +100,7 @@
 
 
 async def _throughput(client: aiosonic.HTTPClient, target: Target) -> float:
-    """Return requests a second with a fixed number in flight."""
+    """Return requests a second at a fixed concurrency."""
     remaining = iter(range(LOADED_REQUESTS))
 
     async def worker() -> None:
--- a/benchmarks/patterns.py
+++ b/benchmarks/patterns.py
@@ -1,4 +1,4 @@
-"""Load and faults of the two deployments, from seeds."""
+"""Seeded load and faults of the two benchmark deployments."""
 
 import dataclasses
 import math
@@ -19,7 +19,8 @@
 DURATION_S = 900.0
 PATTERNS = ("swing", "shift", "drift")
 CALLERS = 6
-# The letter's targets make the deadlines: first token, then time between tokens.
+# Latency targets that the deadlines are made of: time to first token, then time between
+# tokens.
 FIRST_TOKEN_S = 1.9
 INTER_TOKEN_S = 0.071
 _PREFILL_TOKENS_PER_S = 3000.0
@@ -29,7 +30,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deployment:
-    """Sizes and requests of one deployment; token counts are (least, most)."""
+    """Failure domains and requests of one deployment.
+
+    Attributes:
+        domains: Names of failure domains and their numbers of engines.
+        short_prompt: Least and most tokens; so are the other token counts.
+        change_weight: Cost of a role change, in seconds of one engine's work.
+    """
 
     name: str
     domains: tuple[tuple[str, int], ...]
@@ -40,7 +47,7 @@
     change_weight: float
 
 
-# Kitaguni drafts badges and summarises briefings; the Régie reads health files.
+# Kitaguni drafts badges and summarizes briefings; the Régie processes health files.
 DEPLOYMENTS = (
     Deployment(
         "kitaguni",
@@ -65,11 +72,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Phase:
-    """A stretch of steady load.
+    """A period of constant load.
 
     Attributes:
-        utilization: Work brought, as a share of what the engines can do.
-        long_share: Share of that work that long prompts bring.
+        utilization: Offered work as a share of the capacity of the engines.
+        long_share: Share of that work that comes from requests with long prompts.
     """
 
     start: float
@@ -80,7 +87,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """Something that happens to an engine; `kind` is drain, crash or withdraw."""
+    """A fault or planned outage of an engine; `kind` is drain, crash or withdraw."""
 
     at: float
     until: float
@@ -120,7 +127,7 @@
 
 
 def draw_faults(engines: int, rng: random.Random) -> tuple[Fault, ...]:
-    """Return one drain and one crash, and a withdrawal where three engines stand."""
+    """Return a drain and a crash, and with three engines or more a withdrawal."""
     drained = rng.uniform(0.15, 0.3) * DURATION_S
     crashed = rng.uniform(0.45, 0.6) * DURATION_S
     faults = [
@@ -134,7 +141,7 @@
 
 
 def _swing(rng: random.Random) -> tuple[Phase, ...]:
-    """A wave of long prompts, then a burst of short ones, within minutes."""
+    """Return phases of 15 to 45 s that alternate between long and short prompts."""
     found: list[Phase] = []
     now = 0.0
     while now < DURATION_S:
@@ -149,7 +156,7 @@
 
 
 def _shift(rng: random.Random) -> tuple[Phase, ...]:
-    """A mix that stays for minutes and then is another one."""
+    """Return three phases of several minutes with abrupt changes of the mix."""
     first = rng.uniform(0.3, 0.4) * DURATION_S
     second = first + rng.uniform(0.3, 0.4) * DURATION_S
     shares = (0.15, 0.85, 0.15) if rng.random() < 0.5 else (0.85, 0.15, 0.85)
@@ -161,7 +168,7 @@
 
 
 def _drift(rng: random.Random) -> tuple[Phase, ...]:
-    """A share of long prompts that moves slowly, one way."""
+    """Return phases in which the share of long prompts rises or falls steadily."""
     low, high = rng.uniform(0.05, 0.2), rng.uniform(0.75, 0.9)
     if rng.random() < 0.5:
         low, high = high, low
@@ -193,7 +200,8 @@
     output = rng.randint(
         *(deployment.long_output if is_long else deployment.short_output)
     )
-    # Half of the requests come from one busy caller; drafts of one caller begin alike.
+    # Half of the requests come from one busy caller (0.4 + 0.6 / 6). The short prompts
+    # of a caller share a prefix.
     caller = 0 if rng.random() < 0.4 else rng.randrange(CALLERS)
     prefix_tokens = 0 if is_long else 128
     prefill_s = 2.0 * prompt / _PREFILL_TOKENS_PER_S if is_long else 0.0
--- a/benchmarks/peer_member.py
+++ b/benchmarks/peer_member.py
@@ -1,6 +1,7 @@
-"""One instance's control plane without callers, for slopes over the group's size.
+"""Control plane of one instance without callers, to measure the cost of membership.
 
-It reports changing work at many backend servers, and prints what it used in a time.
+It reports changing work at many backend servers to its peers, and prints the resources
+that it used in a period.
 """
 
 import asyncio
@@ -27,7 +28,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """What one instance used a second; bytes count both directions, as on the wire."""
+    """Resources used by one instance; rates are per second.
+
+    Attributes:
+        processor_share: Share of a core.
+        bytes_per_s: Bytes on the wire in both directions.
+    """
 
     links: int
     processor_share: float
@@ -35,7 +41,8 @@
     resident_bytes: int
 
 
-# IP, TCP and WebSocket headers of a frame, and its acknowledgement by TCP.
+# Bytes of the IP and TCP headers and the WebSocket header of a frame, and of the TCP
+# acknowledgement.
 _FRAME_OVERHEAD_BYTES = 52 + 6 + 52
 
 
@@ -92,13 +99,13 @@
         psutil.Process().memory_info().rss,
     )
     print(json.dumps(dataclasses.asdict(usage)), flush=True)
-    # The others are still measuring: leave only when told to.
+    # Other instances may still be measuring: leave only when stdin is closed.
     await asyncio.to_thread(sys.stdin.read)
     await control.stop()
 
 
 def main() -> None:
-    """Run from the command line: settings file, seconds to settle and to measure."""
+    """Run with the arguments SETTINGS_FILE SETTLE_S MEASURED_S."""
     path, settle_s, measured_s = sys.argv[1:]
     with logbook.NullHandler().applicationbound():
         asyncio.run(_run(pathlib.Path(path), float(settle_s), float(measured_s)))
--- a/benchmarks/plots.py
+++ b/benchmarks/plots.py
@@ -1,4 +1,4 @@
-"""Draws the tables of the benchmark."""
+"""Bar charts of the role planning benchmark."""
 
 import pathlib
 import typing
@@ -14,9 +14,9 @@
 
 
 def draw(rows: abc.Sequence[scores.Row], folder: pathlib.Path) -> None:
-    """Write one PNG for goodput and one for role changes."""
-    _bars(rows, "answered_share", "answers in time, share", folder / "goodput.png")
-    _bars(rows, "role_changes", "role changes a run", folder / "role-changes.png")
+    """Write a PNG of goodput and one of role changes to a folder."""
+    _bars(rows, "answered_share", "share answered in time", folder / "goodput.png")
+    _bars(rows, "role_changes", "role changes per run", folder / "role-changes.png")
 
 
 def _bars(
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -1,4 +1,4 @@
-"""Planners that ours is measured against, and the best schedule with foresight."""
+"""Role planners to compare, and the search for the best schedule of a known load."""
 
 import dataclasses
 import datetime
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ours:
-    """The product's planner, with parts that can be off."""
+    """The planner of this project, with safeguards that can be disabled."""
 
     safeguards: roles.Safeguards = roles.Safeguards()
 
@@ -47,18 +47,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reactive:
-    """Moves an engine when one kind is busy and the other can spare one.
+    """Moves an engine when one stage is overloaded and the other can spare one.
 
-    The usual autoscaler: utilization over a short window against a threshold, with a
-    pause after each change. It keeps one engine of each kind, counts engines that
-    serve only, and changes one at a time, as ours does.
+    A threshold autoscaler: utilization over a short window against a threshold, with a
+    cooldown after each change. It keeps one engine for each stage, counts only engines
+    in service, and changes one at a time, as ours does.
 
-    The figures are the best found on the tuning seeds for both deployments together.
+    The defaults are the best on the tuning seeds for both deployments together.
 
     Attributes:
-        busy: Utilization above which a kind of engine is short.
+        busy: Utilization above which a stage is overloaded.
         samples: Length of the window, in samples.
-        pause_s: Time between two changes.
+        pause_s: Least time between two changes, in seconds.
     """
 
     busy: float = 0.8
@@ -103,24 +103,26 @@
         )
         if not decode_engines:
             return (
-                roles.RoleChange(prefill_engines[-1].engine.name, "mixed", "none left"),
+                roles.RoleChange(
+                    prefill_engines[-1].engine.name, "mixed", "no decode engine left"
+                ),
             )
         spare_prefill = prefill_load < self.busy * (len(prefill_engines) - 1)
         spare_decode = decode_load < self.busy * (len(decode_engines) - 1)
         if prefill_load > self.busy * len(prefill_engines) and spare_decode:
             name = decode_engines[-1].engine.name
-            return (roles.RoleChange(name, "prefill", "reading is busy"),)
+            return (roles.RoleChange(name, "prefill", "prefill overloaded"),)
         if decode_load > self.busy * len(decode_engines) and spare_prefill:
             name = prefill_engines[-1].engine.name
-            return (roles.RoleChange(name, "mixed", "writing is busy"),)
+            return (roles.RoleChange(name, "mixed", "decode overloaded"),)
         return ()
 
 
 class Schedule:
-    """Follows splits chosen beforehand, or changes that another planner made.
+    """Follows a fixed schedule of splits.
 
     Args:
-        splits: From when on which split is wanted, such as (120.0, "PPD").
+        splits: Start times in seconds and splits, such as (120.0, "PPD").
     """
 
     def __init__(self, splits: abc.Sequence[tuple[float, str]]) -> None:
@@ -144,24 +146,24 @@
             elif state.condition is engine_states.Condition.SERVING:
                 surplus.append(state)
         return tuple(
-            roles.RoleChange(state.engine.name, role, "foreseen")
+            roles.RoleChange(state.engine.name, role, "scheduled")
             for state, role in zip(surplus, missing, strict=False)
         )
 
 
 def split_name(splits: abc.Iterable[str]) -> str:
-    """Return splits in one word."""
+    """Return the splits joined by plus signs."""
     return "+".join(splits)
 
 
 def best_schedules(
     outcomes: dict[str, simulation_types.Outcome], cost_windows: abc.Iterable[float]
 ) -> list[list[tuple[float, str]]]:
-    """Return schedules that are best by window, for several prices of a change.
+    """Return the best schedule for each of several costs of a role change.
 
-    Dynamic programming over windows: each split's good answers in each window are
-    known from serving the whole load with it, and a change costs a price in answers.
-    What a schedule really gives is then measured by serving the load with it.
+    Uses dynamic programming over windows: the good answers of each split in each window
+    come from serving the whole load with that split, and each change costs a number of
+    answers. This is an estimate: the real result comes from serving the load with it.
     """
     names = sorted(outcomes)
     count = int(patterns.DURATION_S / simulation.WINDOW_S)
@@ -204,13 +206,13 @@
 
 
 def _merge_windows(path: list[str]) -> list[tuple[float, str]]:
-    schedules: list[tuple[float, str]] = []
+    schedule: list[tuple[float, str]] = []
     for window, name in enumerate(path):
-        if not schedules or schedules[-1][1] != name:
-            # Ordered ahead, so that the engine is back when the window begins.
-            at = max(0.0, window * simulation.WINDOW_S - 10.0) if schedules else 0.0
-            schedules.append((at, name))
-    return schedules
+        if not schedule or schedule[-1][1] != name:
+            # Ordered 10 s ahead, so that the change is done when the window begins.
+            at = max(0.0, window * simulation.WINDOW_S - 10.0) if schedule else 0.0
+            schedule.append((at, name))
+    return schedule
 
 
 def _change_count(one: str, other: str) -> int:
--- a/benchmarks/rows.py
+++ b/benchmarks/rows.py
@@ -1,4 +1,4 @@
-"""Rows of a measurement: printed as a table and written as JSON."""
+"""Rows of benchmark results, printed as a table and written as JSON."""
 
 import dataclasses
 import json
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One figure with its target; `target` None means that none is set."""
+    """One figure and its target; `target` is None if there is no target."""
 
     name: str
     value: float
@@ -22,7 +22,7 @@
 
     @property
     def verdict(self) -> str:
-        """Whether the target is met."""
+        """The word for whether the target is met; empty without a target."""
         if self.target is None:
             return ""
         if self.lower_is_better:
@@ -31,7 +31,7 @@
 
 
 def print_table(rows: typing.Iterable[Row]) -> None:
-    """Print rows in columns."""
+    """Print rows as aligned columns."""
     for row in rows:
         target = "" if row.target is None else f"target {row.target:g}"
         print(f"{row.name:56} {row.value:10.3f} {row.unit:6} {target:12} {row.verdict}")
--- a/benchmarks/scores.py
+++ b/benchmarks/scores.py
@@ -1,4 +1,4 @@
-"""Figures of runs, summed over failure domains and seeds."""
+"""Scores of runs, aggregated over failure domains and seeds."""
 
 import collections
 import dataclasses
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Score:
-    """What one run gave."""
+    """Counts and latencies of one run."""
 
     offered: int
     good: int
@@ -34,15 +34,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One line of the table.
+    """One row of the table: a policy on a pattern of a deployment.
 
     Attributes:
-        goodput: Answers whole and within their deadline, by the second, over all
-            failure domains; the mean of the seeds.
-        answered_share: Share of the requests that these are.
-        long_share: The same for long prompts alone.
-        role_changes: Mean of the seeds, over all failure domains.
-        worst_caller: Least share of its requests that a caller got answered.
+        goodput: Complete answers within their deadline, per second, summed over all
+            failure domains; mean over the seeds.
+        answered_share: Share of the requests answered within their deadline.
+        long_share: The same for requests with long prompts.
+        role_changes: Number of role changes over all failure domains; mean over the
+            seeds.
+        ttft_p95_s: 95th percentile of the time to first token.
+        itl_p95_s: 95th percentile of the time between tokens.
+        worst_caller: Lowest share of a caller's requests answered within their
+            deadline.
+        jain: Jain's fairness index of these shares of the callers.
     """
 
     deployment: str
@@ -59,11 +64,11 @@
     jain: float
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Return the row as build/bench.json holds it."""
+        """Return the row as written to build/bench.json."""
         return dataclasses.asdict(self)
 
     def text(self) -> str:
-        """Return the row as the table shows it."""
+        """Return the row as printed in the table."""
         return (
             f"{self.deployment:10} {self.pattern:7} {self.policy:23} "
             f"{self.goodput:7.3f} {self.answered_share:8.1%} {self.long_share:5.1%} "
@@ -73,7 +78,7 @@
 
 
 def score(outcome: simulation_types.Outcome) -> Score:
-    """Return what is kept of a run."""
+    """Return the score of a run."""
     callers = range(patterns.CALLERS)
     return Score(
         outcome.offered,
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -1,4 +1,4 @@
-"""Drives the decision modules against fake engines through one load."""
+"""Discrete-event simulation of the decision modules with fake engines."""
 
 import collections
 import dataclasses
@@ -25,7 +25,7 @@
 ENTRIES = 2
 HEARTBEAT_S = 1.0
 PLAN_INTERVAL_S = 5.0
-# Age of what the planner is told of the engines.
+# Age of the engine states that the planner sees.
 REPORT_LAG_S = 3.0
 RETRY_S = 1.0
 _TRACKED_PREFIXES = 24
@@ -34,7 +34,7 @@
 
 
 class Simulation:
-    """One load served once."""
+    """One run of a load."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         self._timer_numbers = itertools.count()
 
     def run(self) -> simulation_types.Outcome:
-        """Serve the whole load."""
+        """Serve the whole load and return the outcome."""
         self._schedule(HEARTBEAT_S, self._heartbeat)
         self._schedule(PLAN_INTERVAL_S, self._plan)
         for fault in self._scenario.faults:
@@ -154,7 +154,7 @@
         local: simulation_types.WorkCounts,
         remote: simulation_types.WorkCounts,
     ) -> float:
-        """Tokens still to come; streams of the batch are taken to be half done."""
+        """Return the output tokens left, taking streams in the batch as half done."""
         n, batch = slot.number, slot.engine.engine.streams
         streams = local.streams[n] + remote.streams[n]
         running = min(batch, streams) / max(1, streams)
@@ -321,10 +321,11 @@
     def _planner_view(
         self, report: engine_states.EngineState, slot: simulation_types.EngineSlot
     ) -> engine_states.EngineState:
-        """Roles come from the order slots, which are never late; the rest from reports.
+        """Return the engine state for the planner, with the role from the order slot.
 
-        A late report still shows the old role when a change has just ended, and the
-        same change would be ordered again.
+        Order slots are always up to date, while the other fields come from reports,
+        which are delayed. With the role of a delayed report, the planner would see the
+        old role after a change and order the same change again.
         """
         if slot.order:
             return dataclasses.replace(
@@ -359,5 +360,5 @@
     planner: simulation_types.Planner,
     options: simulation_types.Options | None = None,
 ) -> simulation_types.Outcome:
-    """Serve a load and return what callers received."""
+    """Serve a load once and return the outcome."""
     return Simulation(scenario, planner, options or simulation_types.Options()).run()
--- a/benchmarks/simulation_types.py
+++ b/benchmarks/simulation_types.py
@@ -1,4 +1,4 @@
-"""What a run of the benchmark is given, keeps count of, and returns."""
+"""Inputs, state and results of a simulation."""
 
 import collections
 import dataclasses
@@ -16,7 +16,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Options:
-    """Decisions that can be off, one at a time, for the ablation."""
+    """Decisions that the ablation can disable.
+
+    Attributes:
+        disaggregate: Use disaggregated as well as colocated prefill.
+        adaptive_limit: Adapt the choice between the two to the outstanding work.
+        prefix_locality: Prefer engines that have cached a request's prefix.
+        admission: Refuse requests that are not expected to meet their deadline.
+    """
 
     disaggregate: bool = True
     adaptive_limit: bool = True
@@ -26,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scenario:
-    """One failure domain under one load."""
+    """Engines of one failure domain, their role policy, and one load with faults."""
 
     engines: tuple[schema.Engine, ...]
     policy: schema.RolePolicy
@@ -36,7 +43,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """What callers received."""
+    """Counts of requests by result, latencies, and role changes of one simulation."""
 
     offered: int = 0
     good: int = 0
@@ -70,11 +77,11 @@
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> tuple[roles.RoleChange, ...]:
-        """Return the changes to order now."""
+        """Return the role changes to order now."""
 
 
 class WorkCounts:
-    """Work at each engine, as one instance counted it: streams, prompt, output."""
+    """Streams, prompt tokens and output tokens at each engine, as one entry counts."""
 
     def __init__(self, engines: int) -> None:
         self.streams = [0] * engines
@@ -82,7 +89,7 @@
         self.output = [0.0] * engines
 
     def copy(self) -> "WorkCounts":
-        """Return the counts as they are now."""
+        """Return a copy of the current counts."""
         copied = WorkCounts(0)
         copied.streams = self.streams.copy()
         copied.prompt = self.prompt.copy()
@@ -91,7 +98,15 @@
 
 
 class EngineSlot:
-    """An engine and what the control package knows of it."""
+    """An engine, with its role order and its faults.
+
+    Attributes:
+        order: The role change in progress.
+        changing_until: End of that change in seconds; infinite while the engine drains.
+        inbound: Requests in prefill elsewhere whose KV cache has not arrived yet.
+        role_since: When the role last changed.
+        since: When a fault of the engine last began or ended.
+    """
 
     def __init__(self, number: int, engine: fakes.FakeEngine) -> None:
         self.number = number
@@ -107,5 +122,5 @@
 
     @property
     def routable(self) -> bool:
-        """Whether new work may be sent."""
+        """Whether new requests may be sent to the engine."""
         return not (self.order or self.down or self.withdrawn)
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -1,7 +1,7 @@
-"""Shows from instances' logs which sizes of prompts are served, route by route.
+"""Table of request outcomes by prompt size and route, from the logs of instances.
 
-Reads log lines from files or standard input, whatever stands before their JSON.
-Requests whose lines were dropped for the log's budget are missing: compare shares only.
+Reads log lines from files or standard input, ignoring any prefix before the JSON.
+Requests whose lines exceeded the log budget are missing, so compare only shares.
 """
 
 import dataclasses
@@ -23,14 +23,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prompt:
-    """One request with a prompt, as its lines tell.
+    """One request with a prompt, as logged.
 
     Attributes:
         tokens: Tokens of the whole prompt.
-        expected_ms: When its first event was expected, at its last placement; 0 if it
-            was refused.
-        sent_ms: How long its engines took to prefill it, or were waited for.
-        end: How it ended: served, refused, left or failed.
+        expected_ms: Expected time to the first event at the last placement; 0 if the
+            request was refused.
+        sent_ms: Total time that prefill took, or was waited for, over all engines.
+        end: Outcome: served, refused, left (by the client) or failed.
     """
 
     route: str
@@ -41,7 +41,7 @@
 
 
 def parse_log_lines(texts: abc.Iterable[str]) -> list[Prompt]:
-    """Return the requests whose lines tell both their size and their end."""
+    """Return the requests for which both prompt size and outcome are logged."""
     requests: dict[str, dict[str, typing.Any]] = {}
     for text in texts:
         begin = text.find("{")
@@ -77,7 +77,7 @@
 
 
 def table(prompts: abc.Iterable[Prompt]) -> list[str]:
-    """Return a row for each tenth of each route's prompts, the smallest first."""
+    """Return a row for all prompts of each route, then one for each tenth by size."""
     routes: dict[str, list[Prompt]] = {}
     for prompt in prompts:
         routes.setdefault(prompt.route, []).append(prompt)
@@ -107,7 +107,7 @@
 
 
 def main() -> None:
-    """Print the table of the logs that are named, or of standard input."""
+    """Print the table for the log files in the arguments, or for standard input."""
     texts: list[str] = []
     for name in sys.argv[1:]:
         texts += pathlib.Path(name).read_text(encoding="utf-8").splitlines()
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,7 +1,7 @@
-"""Works out the design at 370 instances from slopes measured here: `make slopes`.
+"""Extrapolates measured costs to the full size of 370 instances: `make slopes`.
 
-Prints the table that docs/CAPACITY.md quotes and writes build/slopes.json. Real
-processes and small stand-ins, only loopback, bounded in time.
+Prints the table that docs/CAPACITY.md quotes and writes build/slopes.json. Uses real
+processes and small stand-ins, only on loopback and for a bounded time.
 """
 
 import dataclasses
@@ -28,11 +28,11 @@
 _REQUESTS = fullsize.REQUESTS_PER_S / fullsize.INSTANCES
 _TOKENS = fullsize.TOKENS_PER_S / fullsize.INSTANCES
 _STREAMS = fullsize.STREAMS / fullsize.INSTANCES
-# A claimed call reads and writes its page twice: to bind the key, and to settle it.
+# A claimed call reads and writes its page twice: to bind the key and to settle it.
 _CLAIM_WRITES = 2
-# Half of the store's writes are left to configuration, orders, leases and the audit.
+# Half of the store's writes are reserved for configuration, orders, leases and audit.
 _CLAIMED_CALLS = fullsize.STORE_WRITES_PER_S / 2 / _CLAIM_WRITES
-# A drain of one answer and a change, the least time from one change to the next.
+# Least time between two role changes: the drain of one answer and the change itself.
 _CHANGE_S = 8.0
 _RETAINED_CLAIMS = _CLAIMED_CALLS * _DAY_S
 _CLAIM_PAGES = 16**5
@@ -40,15 +40,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlopeRow:
-    """One quantity at the full size.
+    """One quantity, extrapolated to the full size.
 
     Attributes:
-        slope: Growth of the quantity with its size, in `unit`.
-        at_full_size: Value worked out for the full size.
-        limit: What it may be there; None where nothing is set.
+        slope: Growth of the quantity per unit of size, in `unit`.
+        at_full_size: Value at the full size.
+        limit: Limit at the full size; None without a limit.
         ratio: `at_full_size / limit`; None without a limit.
-        residual: What the straight line leaves unexplained, as a share.
-        reach: Full size over the largest size measured.
+        residual: Residual of the fit, as a share of the mean.
+        reach: Full size divided by the largest measured size.
     """
 
     role: str
@@ -63,7 +63,7 @@
 
     @property
     def mark(self) -> str:
-        """How close the limit is."""
+        """OVER above the limit, <2x above half of it, else empty."""
         if self.ratio is None:
             return ""
         if self.ratio > 1:
@@ -98,7 +98,7 @@
 def _derived(
     role: str, quantity: str, unit: str, value: float, limit: float | None
 ) -> SlopeRow:
-    """Return a row that follows from others and has no slope of its own."""
+    """Return a row computed from other quantities, without a slope of its own."""
     ratio = None if limit is None else value / limit
     return SlopeRow(role, quantity, 0.0, unit, value, limit, ratio)
 
@@ -215,7 +215,7 @@
 
 
 def _peak_rows(start_calls: float) -> list[SlopeRow]:
-    """Return what follows for the worst moments."""
+    """Return rows for load peaks: restarts, a domain start and an outage."""
     reads = fullsize.STORE_READS_PER_S
     restarts = _RESTARTS_PER_DAY / _DAY_S * start_calls
     domain = start_calls * fullsize.DOMAIN_INSTANCES
--- a/benchmarks/slopes_control.py
+++ b/benchmarks/slopes_control.py
@@ -1,4 +1,4 @@
-"""Slopes of control: an instance's cost over the instances of its failure domain."""
+"""Control cost of an instance, by the number of instances in its failure domain."""
 
 import dataclasses
 import time
@@ -17,15 +17,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ControlSlopes:
-    """What membership, duty and watches cost an instance that serves nothing.
+    """Cost of membership, leader tasks and watches for an idle instance.
 
     Attributes:
         processor: Share of a core, mean over instances.
         resident_bytes: Resident memory, mean over instances.
-        sent_bytes_per_s: Bytes sent to peers.
-        calls_per_s: Calls of the platform by the whole failure domain.
-        writes_per_s: Writes among them.
-        start_calls: Calls that the start of one instance adds.
+        sent_bytes_per_s: Bytes sent to peers a second, mean over instances.
+        calls_per_s: Platform calls of the whole failure domain a second.
+        writes_per_s: Writes among these calls.
+        start_calls: Additional platform calls for the start of one instance.
     """
 
     processor: fits.Fit
@@ -89,7 +89,7 @@
 
 
 def measure() -> ControlSlopes:
-    """Measure groups of several sizes, one after the other."""
+    """Measure failure domains of several sizes, one after the other."""
     found = [(count, _measure_group(count)) for count in INSTANCES]
     for count, usage in found:
         print(f"  {count} instances: {usage}")
--- a/benchmarks/slopes_leader.py
+++ b/benchmarks/slopes_leader.py
@@ -1,4 +1,4 @@
-"""Slopes of the duty holder, over the engines of its failure domain."""
+"""Cost of the leader of a failure domain, by the number of its engines."""
 
 import dataclasses
 import time
@@ -19,12 +19,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaderSlopes:
-    """What the duty costs the instance that holds it.
+    """Cost of the leader tasks for the instance that is the leader.
 
     Attributes:
-        processor: Share of a core of the holder.
-        calls_per_s: Calls of the platform by the whole failure domain.
-        change_writes: Writes of the store for one role change.
+        processor: Share of a core that the leader uses.
+        calls_per_s: Platform calls of the whole failure domain a second.
+        change_writes: Store writes for one role change.
     """
 
     processor: fits.Fit
@@ -35,7 +35,7 @@
 def _document(
     deployment: deployments.Deployment, host: str, engines: int
 ) -> dict[str, object]:
-    """Return a document with many engines that one stand-in process answers for."""
+    """Return a document with many engines, all served by one stand-in process."""
     document = deployment.document()
     prefix = ".".join(host.split(".")[:2])
     document["backend_servers"] += [
@@ -60,7 +60,7 @@
         url = deployment.operators_url(name, "/v1/status")
         if processes.call("GET", url)[1]["duty"]["held"]:
             return psutil.Process(deployment.processes[name].popen.pid)
-    raise RuntimeError("nobody holds the duty")
+    raise RuntimeError("no instance of the failure domain is its leader")
 
 
 def _calls(deployment: deployments.Deployment, kinds: tuple[str, ...]) -> int:
@@ -98,7 +98,7 @@
 def _change_writes(
     deployment: deployments.Deployment, document: dict[str, object]
 ) -> float:
-    """Return the writes of one role change beyond those of the same time at rest."""
+    """Return the writes of one role change, without those of an idle domain."""
     before, start = _calls(deployment, ("write",)), time.perf_counter()
     time.sleep(MEASURED_S / 2)
     rest = (_calls(deployment, ("write",)) - before) / (time.perf_counter() - start)
--- a/benchmarks/slopes_membership.py
+++ b/benchmarks/slopes_membership.py
@@ -1,7 +1,7 @@
-"""What membership costs an instance, over the size of its failure domain.
+"""Cost of membership for an instance, by the size of its failure domain.
 
-Real processes with real links on loopback, and the platform's stand-in; the figures of
-one group are the means of its instances.
+Uses real processes with real links on loopback, and the platform's stand-in. The
+figures of a group are means over its instances.
 """
 
 import dataclasses
@@ -20,7 +20,7 @@
 __all__ = ["Group", "GroupUsage", "MembershipSlopes", "measure"]
 
 SIZES = (5, 20, 41)
-# The first watch of a new instance lasts 20 s; after it the calls are steady.
+# The first watch of a new instance lasts 20 s; the rate of calls is steady after it.
 SETTLE_S = 24.0
 MEASURED_S = 15.0
 DOMAIN = "north"
@@ -28,10 +28,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupUsage:
-    """Means over the instances of one group, a second.
+    """Means over the instances of one group; rates are per second.
 
     Attributes:
-        calls: Calls of the platform by one instance.
+        calls: Platform calls of one instance a second.
     """
 
     size: int
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembershipSlopes:
-    """Straight lines through the groups' means, over the size of the group."""
+    """Lines through the means of the groups, over the size of the group."""
 
     processor_share: fits.Fit
     bytes_per_s: fits.Fit
@@ -116,17 +116,17 @@
 
     @property
     def calls(self) -> int:
-        """Calls that arrived at the platform's stand-in."""
+        """Number of calls received by the platform's stand-in."""
         _, counted = processes.call("GET", self.url + "/calls")
         return int(counted.get("arrived", 0))
 
     def usage(self) -> list[peer_member.Usage]:
-        """Wait for what the instances measured."""
+        """Wait for the measurements of all instances."""
         lines = [m.stdout.readline() for m in self._members if m.stdout is not None]
         return [peer_member.Usage(**json.loads(line)) for line in lines]
 
     def stop(self) -> None:
-        """End every process."""
+        """Stop all processes."""
         for member in self._members:
             member.kill()
             member.communicate()
@@ -135,7 +135,7 @@
 
 
 def measure_group(size: int) -> GroupUsage:
-    """Run one group and return its means."""
+    """Measure one group and return its means."""
     group = Group(size, SETTLE_S, MEASURED_S)
     try:
         time.sleep(SETTLE_S)
@@ -167,7 +167,7 @@
 
 
 def main() -> None:
-    """Print the groups' means beside the letter's bounds for one instance."""
+    """Print the means of the groups with the limits for one instance."""
     for group in measure().groups:
         size = group.size
         rows.print_table(
--- a/benchmarks/slopes_requests.py
+++ b/benchmarks/slopes_requests.py
@@ -1,4 +1,4 @@
-"""Slopes of the request path: processor time a token, memory a stream."""
+"""Cost of the request path: processor time by tokens, memory by streams."""
 
 import asyncio
 import dataclasses
@@ -28,14 +28,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamSlopes:
-    """What the request path costs.
+    """Cost of the request path.
 
     Attributes:
-        processor_s: Processor seconds of a request over its tokens.
-        resident_bytes: Resident memory over streams in flight.
-        gap_p95_ms: 95th percentile of the time between tokens at a caller, over
-            streams in flight, with engines that write one each 71 ms.
-        busy: Processor use, in cores, over streams in flight at one token each 71 ms.
+        processor_s: Processor seconds of a request, over its output tokens.
+        resident_bytes: Resident memory, over streams in flight.
+        gap_p95_ms: 95th percentile of the time between tokens at a caller, over streams
+            in flight, with engines that generate one token every 71 ms.
+        busy: Processor use in cores, over streams in flight with one token every 71 ms.
     """
 
     processor_s: fits.Fit
@@ -45,7 +45,7 @@
 
 
 def _document(deployment: deployments.Deployment) -> dict[str, typing.Any]:
-    """Return a document by which no request has to wait or is refused."""
+    """Return a document under which no request waits or is refused."""
     document = deployment.document()
     for server in document["backend_servers"]:
         if server["kind"] == "engine":
@@ -62,12 +62,12 @@
 
 
 async def _complete(client: aiosonic.HTTPClient, url: str, tokens: int) -> list[float]:
-    """Ask for one streamed answer; returns the times at which its parts came."""
+    """Request one streamed answer; returns the arrival times of its chunks."""
     body = {"model": deployments.MODEL, "prompt": "p" * 64, "max_tokens": tokens}
     data = json.dumps(body | {"stream": True}).encode()
     response = await client.post(url, data=data, headers=HEADERS)
     if response.status_code != 200:
-        raise RuntimeError(f"status {response.status_code}")
+        raise RuntimeError(f"completion failed: status {response.status_code}")
     return [time.perf_counter() async for _ in response.read_chunks()]
 
 
@@ -85,7 +85,7 @@
 async def _hold_streams(
     url: str, count: int, entry: psutil.Process
 ) -> tuple[int, float]:
-    """Hold streams in flight; returns resident bytes and the p95 gap in ms."""
+    """Keep streams in flight; returns resident bytes and the p95 token gap in ms."""
     async with _client(count) as client:
         tasks = [
             asyncio.create_task(_complete(client, url, STREAM_TOKENS))
@@ -126,7 +126,7 @@
 
 
 def measure() -> StreamSlopes:
-    """Measure the request path with real processes."""
+    """Measure the request path of one entry process."""
     processor = _processor_fit()
     paced = {
         "token_s": STREAM_TOKEN_S,
--- a/benchmarks/slopes_state.py
+++ b/benchmarks/slopes_state.py
@@ -1,7 +1,7 @@
-"""Slopes of what one instance holds and computes, measured inside one process.
+"""Memory and processor cost of an instance's state, measured inside one process.
 
-No sockets: documents are adopted, callers served and claims kept by the same classes
-that an entry instance uses, with the store in memory.
+Uses no sockets: the classes of an entry instance adopt documents, serve callers and
+claim calls, with an in-memory store.
 """
 
 import asyncio
@@ -50,17 +50,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateSlopes:
-    """What state costs an instance.
+    """Cost of the state of an instance.
 
     Attributes:
-        adoption_s: Processor seconds to put a document in force, over its entries
-            (backend servers and callers).
-        change_bytes: Bytes that a change of one entry moves, head and parts
-            compressed, over the entries.
-        document_bytes: Memory of the document in force, over the entries.
-        caller_bytes: Memory of the decisions' tables, over callers lately served.
-        claim_bytes: Bytes to and from the store for one claimed call, over the claims
-            that its page holds.
+        adoption_s: Processor seconds to adopt a document, over its entries (backend
+            servers and callers).
+        change_bytes: Bytes transferred for a change of one entry (head and changed
+            parts, compressed), over the entries.
+        document_bytes: Memory of the adopted document, over the entries.
+        caller_bytes: Memory of the dispatcher's tables, over recently served callers.
+        claim_bytes: Bytes read from and written to the store for one claimed call, over
+            the claims on its page.
     """
 
     adoption_s: fits.Fit
@@ -71,11 +71,12 @@
 
 
 def document_of(entries: int, changed: int = 0) -> schema.FleetDocument:
-    """Return a document with servers and callers in the proportion of the full size.
+    """Return a document with servers and callers in the ratio of the full size.
 
     Args:
-        entries: Backend servers and callers together.
-        changed: Differs for documents that differ in one entry.
+        entries: Number of backend servers and callers together.
+        changed: Added to the streams of one server; documents with different values
+            differ in this one entry.
     """
     servers = entries * 3800 // 8700
     engines: list[dict[str, typing.Any]] = [
@@ -126,7 +127,7 @@
 
 
 def _adoption(entries: int) -> tuple[float, float, float]:
-    """Return processor seconds, bytes of one change, and memory of a document."""
+    """Return the processor seconds, bytes and memory of adopting a document."""
     documents = [document_of(entries, changed) for changed in range(ADOPTIONS)]
     part_texts = [
         {part.content_hash: part.text for part in parts.split(document)}
@@ -173,7 +174,7 @@
 
 
 class _CountingStore(memory_store.MemoryStore):
-    """Counts the bytes of pages that are read and written."""
+    """Store that counts the bytes of values read and written."""
 
     transferred = 0
 
@@ -213,7 +214,7 @@
     objects.transferred = 0
     outcome = await pages.claim(first, "fingerprint")
     if not isinstance(outcome, claims.Held):
-        raise RuntimeError(f"the claim failed: {outcome}")
+        raise RuntimeError(f"claim not granted: {outcome}")
     await pages.settle(outcome.claim, "answered", None)
     return float(objects.transferred)
 
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -1,4 +1,4 @@
-"""Plays one load with one variant, on the users' bench or on our own emulator."""
+"""Runs one load on one variant, with the users' bench or the emulator."""
 
 import dataclasses
 import json
@@ -24,17 +24,17 @@
 
 
 class TrialError(Exception):
-    """A play gave no result."""
+    """A trial gave no result."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Trial:
-    """What is played.
+    """Load of a trial.
 
     Attributes:
-        site: Path of a deployment's file; a domain of engines for the emulator.
-        day: Name of a day there, or the path of one; a pattern for the emulator.
-        seed: Other luck on the same day; None for the day's own.
+        site: Path of a deployment file; a failure domain for the emulator.
+        day: Name or path of a day of the deployment; a load pattern for the emulator.
+        seed: Seed for the random events of the day; None for the seed of the day.
     """
 
     site: str
@@ -44,16 +44,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """What callers received.
+    """Result of a trial.
 
     Attributes:
-        worth: The users' measure; the share answered in time for the emulator.
+        worth: Score of the users' bench; for the emulator the share of requests
+            answered within their deadline.
         served: Share of the requests that were answered at all.
-        orders: Changes of stage, or of role.
+        orders: Number of stage or role changes.
         broken: Rules that were broken.
-        losses: Worth lost, by cause.
-        kinds: Share of its worth that each kind of request earned.
-        by_second: Share earned, by the second of the load.
+        losses: Lost worth by cause.
+        kinds: Share of its possible worth that each kind of request earned.
+        by_second: Share of worth earned by second of the load; good answers by window
+            of arrival for the emulator.
     """
 
     worth: float
@@ -66,17 +68,19 @@
 
 
 def build(bench: pathlib.Path, tree: pathlib.Path) -> None:
-    """Build a tree as the users' bench does before it plays."""
+    """Build a tree as the users' bench does before a run."""
     _run([str(bench.resolve()), "build"], tree)
 
 
 def run_on_bench(
     bench: pathlib.Path, tree: pathlib.Path, trial: Trial, why: str
 ) -> Result:
-    """Play a day on the users' bench; processor time is not charged, so it repeats.
+    """Run a day on the users' bench.
+
+    Processor time is not charged, so that the result is reproducible.
 
     Raises:
-        FailedError: The bench printed no report.
+        TrialError: The bench wrote no report.
     """
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         command = [str(bench), "run", trial.site, trial.day, "--no-cpu"]
@@ -86,12 +90,12 @@
         output = _run(command, tree)
         text = pathlib.Path(report.name).read_text(encoding="utf-8")
     if not text.strip():
-        raise TrialError(f"{' '.join(command)}: {output[-400:]}")
+        raise TrialError(f"{' '.join(command)} wrote no report: {output[-400:]}")
     return read_report(json.loads(text))
 
 
 def read_report(report: dict[str, typing.Any]) -> Result:
-    """Return the result that the bench's report of a day holds."""
+    """Convert the bench's report of a day to a result."""
     losses = {name: cost for name, _, cost in report["prices"]}
     losses |= {
         f"not earned: {name}": weight * (1 - share)
@@ -110,24 +114,26 @@
 
 
 def run_on_emulator(tree: pathlib.Path, trial: Trial, python: str) -> Result:
-    """Play a pattern of load on our own engines, with the tree's planner of roles.
+    """Run a load pattern on the emulator, with the role planner of the tree.
 
     Raises:
-        FailedError: The emulator printed no result.
+        TrialError: The emulator printed no result.
     """
     command = [python, "-m", "benchmarks.one_load", trial.site, trial.day]
     output = _run([*command, str(trial.seed or 0)], tree, {"PYTHONPATH": "src:."})
     try:
         fields = json.loads(output.splitlines()[-1])
     except (ValueError, IndexError):
-        raise TrialError(f"{' '.join(command)}: {output[-400:]}") from None
+        raise TrialError(
+            f"{' '.join(command)} printed no result: {output[-400:]}"
+        ) from None
     return Result(**fields)
 
 
 def _run(
     command: list[str], tree: pathlib.Path, extra: dict[str, str] | None = None
 ) -> str:
-    output = subprocess.run(
+    completed = subprocess.run(
         command,
         cwd=tree,
         env=os.environ | (extra or {}),
@@ -137,4 +143,4 @@
         timeout=_TIMEOUT_S,
         check=False,
     )
-    return output.stdout
+    return completed.stdout
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -1,8 +1,8 @@
 """Copies of the source tree in which some constants have other values.
 
-A mechanism is judged by playing the same load with it and without it. Most mechanisms
-hang on one constant; a copy in which that constant differs is the mechanism switched
-off, with no switch in the product that somebody might leave in the wrong place.
+The benefit of a mechanism is measured by running the same load with and without it.
+Most mechanisms depend on one constant, so a copy with another value disables them. The
+product itself needs no switch, which could be left in the wrong position.
 """
 
 import dataclasses
@@ -13,7 +13,7 @@
 
 __all__ = ["Override", "Variant", "copy_tree", "parse"]
 
-# What a copy does not need: histories, results and other copies' work.
+# Not needed in a copy: history, results, caches and installed packages.
 _NOT_COPIED = (
     ".git",
     "journal",
@@ -27,11 +27,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Override:
-    """Another value for a constant.
+    """A new value for a constant.
 
     Attributes:
         module: Dotted name below `pimentolatch`, such as `decisions.placement`.
-        name: The constant, as it is assigned at the beginning of a line.
+        name: The constant; it must be assigned at the beginning of a line.
         value: Its new value, as source text.
     """
 
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Variant:
-    """A named set of overrides; `base` without any is the code as it stands.
+    """A named set of overrides; without any it is the unchanged code.
 
     Attributes:
         source: Another tree to copy from; None for the one given to `copy_tree`.
@@ -56,10 +56,10 @@
 def parse(text: str) -> Variant:
     """Return the variant that a text such as `x=decisions.placement._LATE_MS=5` names.
 
-    Several overrides are divided by semicolons. `name=@PATH` names another tree.
+    Several overrides are separated by semicolons. `name=@PATH` names another tree.
 
     Raises:
-        ValueError: The text is of another form.
+        ValueError: An override has no module, constant or value.
     """
     name, _, rest = text.partition("=")
     if rest.startswith("@"):
@@ -69,7 +69,7 @@
         constant_path, _, value = part.partition("=")
         module, _, constant = constant_path.strip().rpartition(".")
         if not (module and constant and value):
-            raise ValueError(f"{part!r} must read module.CONSTANT=value")
+            raise ValueError(f"{part!r} must have the form module.CONSTANT=value")
         overrides.append(Override(module, constant, value.strip()))
     return Variant(name, tuple(overrides))
 
@@ -81,13 +81,13 @@
     *,
     built: bool = False,
 ) -> None:
-    """Copy a source tree to `place` and apply a variant's overrides there.
+    """Copy a source tree to `destination` and apply a variant's overrides there.
 
     Args:
         root: The tree to copy, if the variant names no other.
-        variant: What differs in the copy.
-        destination: Where the copy goes; it must not exist.
-        built: Copy what the users' bench has built too, so that it does not install
+        variant: The overrides to apply.
+        destination: Path of the copy; it must not exist.
+        built: Also copy what the users' bench has built, so that it does not install
             the libraries again.
 
     Raises:
@@ -110,5 +110,8 @@
     assigned = re.compile(rf"^{re.escape(override.name)}(: [^=\n]+)? = .*$", re.M)
     new_text, count = assigned.subn(f"{override.name} = {override.value}", text)
     if count != 1:
-        raise ValueError(f"{override.name} is assigned {count} times in {path.name}")
+        raise ValueError(
+            f"{override.name} must be assigned once at the beginning of a line, "
+            f"but is assigned {count} times in {path.name}"
+        )
     path.write_text(new_text, encoding="utf-8")
