--- a/benchmarks/gateway_cost.py
+++ b/benchmarks/gateway_cost.py
@@ -48,8 +48,18 @@
 # Causes by the path of a function's file; the first match counts.
 CAUSES = (
     ("choice of engines", ("decisions/", "gateway/prompt_placer", "requests/prompts")),
-    ("beacons", ("protocol/beacons", "gateway/peer", "cbor2", "gateway/quarantine")),
-    ("connections to servers", ("h11/", "backend/", "gateway/dispatch")),
+    (
+        "beacons",
+        (
+            "protocol/beacons",
+            "gateway/beacon_exchange",
+            "gateway/load_exchange",
+            "gateway/peer_table",
+            "cbor2",
+            "gateway/quarantine",
+        ),
+    ),
+    ("connections to servers", ("h11/", "backend/", "gateway/dispatch.py")),
     ("requests and streams", ("gateway/", "platform/", "requests/", "routes/")),
     ("clients' connections", ("uvicorn/", "httptools", "entry/")),
     ("log and metrics", ("logbook", "prometheus", "logs.py", "json/")),
