--- a/benchmarks/fits.py
+++ b/benchmarks/fits.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, with what they leave unexplained."""
+"""Least-squares lines through measured points, with their residuals."""
 
 import dataclasses
 import typing
@@ -13,9 +13,9 @@
     """The line `intercept + slope * size` through measured points.
 
     Attributes:
-        residual: Root of the mean squared distance from the line, as a share of the
-            mean of the points.
-        largest: Largest size measured.
+        residual: Root mean square of the residuals, as a share of the mean of the
+            absolute values.
+        largest: Largest measured size.
     """
 
     slope: float
@@ -23,12 +23,12 @@
     residual: float
     largest: float
 
-    def at(self, size: float) -> float:
-        """Return the value the line gives at a size."""
+    def value_at(self, size: float) -> float:
+        """Return the value of the line at a size."""
         return self.intercept + self.slope * size
 
-    def reach(self, size: float) -> float:
-        """Return how far beyond the largest measured size another one lies."""
+    def extrapolation(self, size: float) -> float:
+        """Return the ratio of a size to the largest measured size."""
         return size / self.largest
 
 
@@ -37,7 +37,7 @@
     sizes = np.array([size for size, _ in points], dtype=float)
     values = np.array([value for _, value in points], dtype=float)
     slope, intercept = np.polyfit(sizes, values, 1)
-    distance = values - (slope * sizes + intercept)
+    residuals = values - (slope * sizes + intercept)
     mean = float(np.mean(np.abs(values))) or 1.0
-    residual = float(np.sqrt(np.mean(distance**2))) / mean
+    residual = float(np.sqrt(np.mean(residuals**2))) / mean
     return Fit(float(slope), float(intercept), residual, float(sizes.max()))
--- a/benchmarks/peer_member.py
+++ b/benchmarks/peer_member.py
@@ -1,6 +1,7 @@
-"""One instance's control plane without callers, for slopes over the group's size.
+"""Control plane of one instance without callers, to measure the cost of membership.
 
-It reports changing work at many backend servers, and prints what it used in a time.
+It reports changing work at many backend servers to its peers, and prints the resources
+that it used in a period.
 """
 
 import asyncio
@@ -15,7 +16,13 @@
 import logbook
 import psutil
 
-from pimentolatch import clock, fleet, metrics, settings, validation
+from pimentolatch import (
+    clock,
+    fleet,
+    metrics,
+    settings,
+    validation,
+)
 from pimentolatch.decisions import work_reports
 from pimentolatch.entry import control_plane
 
@@ -27,7 +34,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Usage:
-    """What one instance used a second; bytes count both directions, as on the wire."""
+    """Resources used by one instance; rates are per second.
+
+    Attributes:
+        processor_share: Share of a core.
+        bytes_per_s: Bytes on the wire in both directions.
+    """
 
     links: int
     processor_share: float
@@ -35,28 +47,29 @@
     resident_bytes: int
 
 
-# IP, TCP and WebSocket headers of a frame, and its acknowledgement by TCP.
+# Bytes of the IP and TCP headers and the WebSocket header of a frame, and of the TCP
+# acknowledgement.
 _FRAME_OVERHEAD_BYTES = 52 + 6 + 52
 
 
 class _Work:
     def __init__(self) -> None:
-        self._chance = random.Random()
+        self._rng = random.Random()
 
     def __call__(self) -> work_reports.WorkReport:
-        chance = self._chance
+        rng = self._rng
         return work_reports.WorkReport(
             tuple(
                 work_reports.ServerWork(
                     f"engine-{number:04}",
-                    chance.randint(1, 32),
-                    chance.randint(0, 90_000),
-                    chance.randint(0, 30_000),
+                    rng.randint(1, 32),
+                    rng.randint(0, 90_000),
+                    rng.randint(0, 30_000),
                 )
                 for number in range(SERVERS)
             ),
             tuple(
-                work_reports.CallerWork(f"caller-{number:04}", chance.uniform(0, 5000))
+                work_reports.CallerWork(f"caller-{number:04}", rng.uniform(0, 5000))
                 for number in range(CALLERS)
             ),
         )
@@ -68,11 +81,11 @@
 
 
 async def _run(path: pathlib.Path, settle_s: float, measured_s: float) -> None:
-    chosen = validation.read_file(settings.EntrySettings, path)
-    if isinstance(chosen, validation.Problems):
-        raise SystemExit(str(chosen))
+    entry_settings = validation.read_file(settings.EntrySettings, path)
+    if isinstance(entry_settings, validation.Problems):
+        raise SystemExit(str(entry_settings))
     control = control_plane.ControlPlane(
-        chosen,
+        entry_settings,
         fleet.Fleet(),
         time=clock.SystemClock(),
         measured=metrics.Metrics(),
@@ -81,9 +94,9 @@
     await control.start()
     await asyncio.sleep(settle_s)
     before, used = control.status(), time.process_time()
-    began = time.perf_counter()
+    started = time.perf_counter()
     await asyncio.sleep(measured_s)
-    elapsed = time.perf_counter() - began
+    elapsed = time.perf_counter() - started
     after, spent = control.status(), time.process_time() - used
     usage = Usage(
         len(after["peers"]),
@@ -92,13 +105,13 @@
         psutil.Process().memory_info().rss,
     )
     print(json.dumps(dataclasses.asdict(usage)), flush=True)
-    # The others are still measuring: leave only when told to.
+    # Other instances may still be measuring: leave only when stdin is closed.
     await asyncio.to_thread(sys.stdin.read)
     await control.stop()
 
 
 def main() -> None:
-    """Run from the command line: settings file, seconds to settle and to measure."""
+    """Run with the arguments SETTINGS_FILE SETTLE_S MEASURED_S."""
     path, settle_s, measured_s = sys.argv[1:]
     with logbook.NullHandler().applicationbound():
         asyncio.run(_run(pathlib.Path(path), float(settle_s), float(measured_s)))
--- a/benchmarks/policies.py
+++ b/benchmarks/policies.py
@@ -1,10 +1,10 @@
-"""Planners that ours is measured against, and the best schedule with foresight."""
+"""Role planners to compare, and the search for the best schedule of a known load."""
 
 import dataclasses
 import datetime
 from collections import abc
 
-from benchmarks import patterns, runs, serving
+from benchmarks import patterns, simulation, simulation_types
 from pimentolatch.decisions import demand, engine_states, roles
 from pimentolatch.document import schema
 
@@ -24,13 +24,13 @@
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> tuple[roles.RoleChange, ...]:
-        """See `runs.Planner.plan`."""
+        """See `simulation_types.Planner.plan`."""
         return ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ours:
-    """The product's planner, with parts that can be off."""
+    """The planner of this project, with safeguards that can be disabled."""
 
     safeguards: roles.Safeguards = roles.Safeguards()
 
@@ -41,24 +41,24 @@
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> tuple[roles.RoleChange, ...]:
-        """See `runs.Planner.plan`."""
+        """See `simulation_types.Planner.plan`."""
         return roles.plan(now, engines, samples, policy, self.safeguards)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reactive:
-    """Moves an engine when one kind is busy and the other can spare one.
+    """Moves an engine when one stage is overloaded and the other can spare one.
 
-    The usual autoscaler: utilization over a short window against a threshold, with a
-    pause after each change. It keeps one engine of each kind, counts engines that
-    serve only, and changes one at a time, as ours does.
+    A threshold autoscaler: utilization over a short window against a threshold, with a
+    cooldown after each change. It keeps one engine for each stage, counts only engines
+    in service, and changes one at a time, as ours does.
 
-    The figures are the best found on the tuning seeds for both deployments together.
+    The defaults are the best on the tuning seeds for both deployments together.
 
     Attributes:
-        busy: Utilization above which a kind of engine is short.
+        busy: Utilization above which a stage is overloaded.
         samples: Length of the window, in samples.
-        pause_s: Time between two changes.
+        pause_s: Least time between two changes, in seconds.
     """
 
     busy: float = 0.8
@@ -72,7 +72,7 @@
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> tuple[roles.RoleChange, ...]:
-        """See `runs.Planner.plan`."""
+        """See `simulation_types.Planner.plan`."""
         serving_now = [
             e for e in engines if e.condition is engine_states.Condition.SERVING
         ]
@@ -89,36 +89,40 @@
         engines: list[engine_states.EngineState],
         window: abc.Sequence[demand.Sample],
     ) -> tuple[roles.RoleChange, ...]:
-        readers = [e for e in engines if e.role == "prefill"]
-        writers = [e for e in engines if e.role != "prefill"]
+        prefill_engines = [e for e in engines if e.role == "prefill"]
+        decode_engines = [e for e in engines if e.role != "prefill"]
         one = engines[0].engine
-        reading = sum(s.long_prompts for s in window) / len(window)
-        reading /= one.prefill_tokens_per_s
-        writing = sum(s.output for s in window) / len(window)
-        writing /= one.decode_tokens_per_s
-        writing += (
+        prefill_load = sum(s.long_prompts for s in window) / len(window)
+        prefill_load /= one.prefill_tokens_per_s
+        decode_load = sum(s.output for s in window) / len(window)
+        decode_load /= one.decode_tokens_per_s
+        decode_load += (
             sum(s.short_prompts for s in window)
             / len(window)
             / one.prefill_tokens_per_s
         )
-        if not writers:
-            return (roles.RoleChange(readers[-1].engine.name, "mixed", "none left"),)
-        spare_reader = reading < self.busy * (len(readers) - 1)
-        spare_writer = writing < self.busy * (len(writers) - 1)
-        if reading > self.busy * len(readers) and spare_writer:
-            name = writers[-1].engine.name
-            return (roles.RoleChange(name, "prefill", "reading is busy"),)
-        if writing > self.busy * len(writers) and spare_reader:
-            name = readers[-1].engine.name
-            return (roles.RoleChange(name, "mixed", "writing is busy"),)
+        if not decode_engines:
+            return (
+                roles.RoleChange(
+                    prefill_engines[-1].engine.name, "mixed", "no decode engine left"
+                ),
+            )
+        spare_prefill = prefill_load < self.busy * (len(prefill_engines) - 1)
+        spare_decode = decode_load < self.busy * (len(decode_engines) - 1)
+        if prefill_load > self.busy * len(prefill_engines) and spare_decode:
+            name = decode_engines[-1].engine.name
+            return (roles.RoleChange(name, "prefill", "prefill overloaded"),)
+        if decode_load > self.busy * len(decode_engines) and spare_prefill:
+            name = prefill_engines[-1].engine.name
+            return (roles.RoleChange(name, "mixed", "decode overloaded"),)
         return ()
 
 
 class Schedule:
-    """Follows splits chosen beforehand, or changes that another planner made.
+    """Follows a fixed schedule of splits.
 
     Args:
-        splits: From when on which split is wanted, such as (120.0, "PPD").
+        splits: Start times in seconds and splits, such as (120.0, "PPD").
     """
 
     def __init__(self, splits: abc.Sequence[tuple[float, str]]) -> None:
@@ -131,7 +135,7 @@
         samples: abc.Sequence[demand.Sample],
         policy: schema.RolePolicy,
     ) -> tuple[roles.RoleChange, ...]:
-        """See `runs.Planner.plan`."""
+        """See `simulation_types.Planner.plan`."""
         moment = now.total_seconds()
         wanted = [split for at, split in self._splits if at <= moment][-1]
         missing = [ROLES[letter] for letter in wanted]
@@ -142,39 +146,39 @@
             elif state.condition is engine_states.Condition.SERVING:
                 surplus.append(state)
         return tuple(
-            roles.RoleChange(state.engine.name, role, "foreseen")
+            roles.RoleChange(state.engine.name, role, "scheduled")
             for state, role in zip(surplus, missing, strict=False)
         )
 
 
 def split_name(splits: abc.Iterable[str]) -> str:
-    """Return splits in one word."""
+    """Return the splits joined by plus signs."""
     return "+".join(splits)
 
 
 def best_schedules(
-    outcomes: dict[str, runs.Outcome], cost_windows: abc.Iterable[float]
+    outcomes: dict[str, simulation_types.Outcome], cost_windows: abc.Iterable[float]
 ) -> list[list[tuple[float, str]]]:
-    """Return schedules that are best by window, for several prices of a change.
+    """Return the best schedule for each of several costs of a role change.
 
-    Dynamic programming over windows: each split's good answers in each window are
-    known from serving the whole load with it, and a change costs a price in answers.
-    What a schedule really gives is then measured by serving the load with it.
+    Uses dynamic programming over windows: the good answers of each split in each window
+    come from serving the whole load with that split, and each change costs a number of
+    answers. This is an estimate: the real result comes from serving the load with it.
     """
     names = sorted(outcomes)
-    count = int(patterns.LENGTH_S / serving.WINDOW_S)
+    count = int(patterns.DURATION_S / simulation.WINDOW_S)
     mean = max(o.good for o in outcomes.values()) / count
-    found = []
+    schedules = []
     for cost in cost_windows:
-        found.append(_best_path(names, outcomes, count, cost * mean))
-    return found
+        schedules.append(_best_path(names, outcomes, count, cost * mean))
+    return schedules
 
 
 def _best_path(
     names: list[str],
-    outcomes: dict[str, runs.Outcome],
+    outcomes: dict[str, simulation_types.Outcome],
     count: int,
-    price: float,
+    cost: float,
 ) -> list[tuple[float, str]]:
     scores = {name: 0.0 for name in names}
     origins: list[dict[str, str]] = []
@@ -183,12 +187,13 @@
         new = {}
         for name in names:
             gains = {
-                other: scores[other] - price * _moves(other, name) for other in names
+                other: scores[other] - cost * _change_count(other, name)
+                for other in names
             }
             origin[name] = max(names, key=gains.__getitem__)
-            gone = price * _moves(origin[name], name)
+            change_cost = cost * _change_count(origin[name], name)
             good = outcomes[name].good_by_window[window]
-            new[name] = scores[origin[name]] - gone + good
+            new[name] = scores[origin[name]] - change_cost + good
         origins.append(origin)
         scores = new
     at = max(names, key=lambda name: scores[name])
@@ -197,20 +202,20 @@
         at = origin[at]
         path.append(at)
     path.reverse()
-    return _joined(path)
+    return _merge_windows(path)
 
 
-def _joined(path: list[str]) -> list[tuple[float, str]]:
-    found: list[tuple[float, str]] = []
+def _merge_windows(path: list[str]) -> list[tuple[float, str]]:
+    schedule: list[tuple[float, str]] = []
     for window, name in enumerate(path):
-        if not found or found[-1][1] != name:
-            # Ordered ahead, so that the engine is back when the window begins.
-            at = max(0.0, window * serving.WINDOW_S - 10.0) if found else 0.0
-            found.append((at, name))
-    return found
+        if not schedule or schedule[-1][1] != name:
+            # Ordered 10 s ahead, so that the change is done when the window begins.
+            at = max(0.0, window * simulation.WINDOW_S - 10.0) if schedule else 0.0
+            schedule.append((at, name))
+    return schedule
 
 
-def _moves(one: str, other: str) -> int:
+def _change_count(one: str, other: str) -> int:
     left = list(other)
     for letter in one:
         if letter in left:
--- a/benchmarks/scores.py
+++ b/benchmarks/scores.py
@@ -1,4 +1,4 @@
-"""Figures of runs, summed over failure domains and seeds."""
+"""Scores of runs, aggregated over failure domains and seeds."""
 
 import collections
 import dataclasses
@@ -6,7 +6,7 @@
 import typing
 from collections import abc
 
-from benchmarks import patterns, runs
+from benchmarks import patterns, simulation_types
 
 __all__ = ["HEADER", "Row", "Score", "rows", "score", "total"]
 
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Score:
-    """What one run gave."""
+    """Counts and latencies of one run."""
 
     offered: int
     good: int
@@ -34,15 +34,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """One line of the table.
+    """One row of the table: a policy on a pattern of a deployment.
 
     Attributes:
-        goodput: Answers whole and within their deadline, by the second, over all
-            failure domains; the mean of the seeds.
-        answered_share: Share of the requests that these are.
-        long_share: The same for long prompts alone.
-        role_changes: Mean of the seeds, over all failure domains.
-        worst_caller: Least share of its requests that a caller got answered.
+        goodput: Complete answers within their deadline, per second, summed over all
+            failure domains; mean over the seeds.
+        answered_share: Share of the requests answered within their deadline.
+        long_share: The same for requests with long prompts.
+        role_changes: Number of role changes over all failure domains; mean over the
+            seeds.
+        ttft_p95_s: 95th percentile of the time to first token.
+        itl_p95_s: 95th percentile of the time between tokens.
+        worst_caller: Lowest share of a caller's requests answered within their
+            deadline.
+        jain: Jain's fairness index of these shares of the callers.
     """
 
     deployment: str
@@ -59,11 +64,11 @@
     jain: float
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Return the row as build/bench.json holds it."""
+        """Return the row as written to build/bench.json."""
         return dataclasses.asdict(self)
 
     def text(self) -> str:
-        """Return the row as the table shows it."""
+        """Return the row as printed in the table."""
         return (
             f"{self.deployment:10} {self.pattern:7} {self.policy:23} "
             f"{self.goodput:7.3f} {self.answered_share:8.1%} {self.long_share:5.1%} "
@@ -72,8 +77,8 @@
         )
 
 
-def score(outcome: runs.Outcome) -> Score:
-    """Return what is kept of a run."""
+def score(outcome: simulation_types.Outcome) -> Score:
+    """Return the score of a run."""
     callers = range(patterns.CALLERS)
     return Score(
         outcome.offered,
@@ -128,15 +133,17 @@
     offered = sum(one.offered for one in found)
     good = sum(one.good for one in found)
     first_tokens = sorted(time for one in found for time in one.first_tokens)
-    asked = _summed(s.offered_by_caller for s in found)
-    given = _summed(s.good_by_caller for s in found)
-    shares = [g / a for g, a in zip(given, asked, strict=True) if a]
+    offered_by_caller = _summed(s.offered_by_caller for s in found)
+    good_by_caller = _summed(s.good_by_caller for s in found)
+    shares = [
+        g / a for g, a in zip(good_by_caller, offered_by_caller, strict=True) if a
+    ]
     return Row(
         deployment,
         pattern,
         policy,
         seeds,
-        good / patterns.LENGTH_S / len(seeds),
+        good / patterns.DURATION_S / len(seeds),
         good / offered,
         sum(s.long_good for s in found) / sum(s.long_offered for s in found),
         sum(s.changes for s in found) / len(seeds),
@@ -152,10 +159,10 @@
 
 
 def _step_percentile(bins: list[float]) -> float:
-    wanted = _PERCENTILE * sum(bins)
+    target = _PERCENTILE * sum(bins)
     seen = 0.0
     for number, tokens in enumerate(bins):
         seen += tokens
-        if seen >= wanted:
+        if seen >= target:
             return (number + 1) / 1000.0
     return len(bins) / 1000.0
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,7 +1,7 @@
-"""Works out the design at 370 instances from slopes measured here: `make slopes`.
+"""Extrapolates measured costs to the full size of 370 instances: `make slopes`.
 
-Prints the table that docs/CAPACITY.md quotes and writes build/slopes.json. Real
-processes and small stand-ins, only loopback, bounded in time.
+Prints the table that docs/CAPACITY.md quotes and writes build/slopes.json. Uses real
+processes and small stand-ins, only on loopback and for a bounded time.
 """
 
 import dataclasses
@@ -11,44 +11,44 @@
     fits,
     fullsize,
     outage,
-    peers_slope,
     rows,
     slopes_control,
-    slopes_duty,
+    slopes_leader,
+    slopes_membership,
     slopes_requests,
     slopes_state,
 )
 
 __all__ = ["SlopeRow", "main"]
 
-_CLOSE = 0.5
+_NEAR_LIMIT_RATIO = 0.5
 _DAY_S = 86_400
 _RESTARTS_PER_DAY = 320
 _ENTRIES = fullsize.SERVERS + fullsize.CALLERS
 _REQUESTS = fullsize.REQUESTS_PER_S / fullsize.INSTANCES
 _TOKENS = fullsize.TOKENS_PER_S / fullsize.INSTANCES
 _STREAMS = fullsize.STREAMS / fullsize.INSTANCES
-# A claimed call reads and writes its page twice: to bind the key, and to settle it.
+# A claimed call reads and writes its page twice: to bind the key and to settle it.
 _CLAIM_WRITES = 2
-# Half of the store's writes are left to configuration, orders, leases and the audit.
+# Half of the store's writes are reserved for configuration, orders, leases and audit.
 _CLAIMED_CALLS = fullsize.STORE_WRITES_PER_S / 2 / _CLAIM_WRITES
-# A drain of one answer and a change, the least time from one change to the next.
+# Least time between two role changes: the drain of one answer and the change itself.
 _CHANGE_S = 8.0
-_KEPT_CLAIMS = _CLAIMED_CALLS * _DAY_S
+_RETAINED_CLAIMS = _CLAIMED_CALLS * _DAY_S
 _CLAIM_PAGES = 16**5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlopeRow:
-    """One quantity at the full size.
+    """One quantity, extrapolated to the full size.
 
     Attributes:
-        slope: Growth of the quantity with its size, in `unit`.
-        at_full_size: Value worked out for the full size.
-        limit: What it may be there; None where nothing is set.
+        slope: Growth of the quantity per unit of size, in `unit`.
+        at_full_size: Value at the full size.
+        limit: Limit at the full size; None without a limit.
         ratio: `at_full_size / limit`; None without a limit.
-        residual: What the straight line leaves unexplained, as a share.
-        reach: Full size over the largest size measured.
+        residual: Residual of the fit, as a share of the mean.
+        reach: Full size divided by the largest measured size.
     """
 
     role: str
@@ -63,12 +63,12 @@
 
     @property
     def mark(self) -> str:
-        """How close the limit is."""
+        """OVER above the limit, <2x above half of it, else empty."""
         if self.ratio is None:
             return ""
         if self.ratio > 1:
             return "OVER"
-        return "<2x" if self.ratio > _CLOSE else ""
+        return "<2x" if self.ratio > _NEAR_LIMIT_RATIO else ""
 
 
 def _row(
@@ -80,7 +80,7 @@
     limit: float | None,
     scale: float = 1.0,
 ) -> SlopeRow:
-    value = fit.at(size) * scale
+    value = fit.value_at(size) * scale
     ratio = None if limit is None else value / limit
     return SlopeRow(
         role,
@@ -91,14 +91,14 @@
         limit,
         ratio,
         fit.residual,
-        fit.reach(size),
+        fit.extrapolation(size),
     )
 
 
 def _derived(
     role: str, quantity: str, unit: str, value: float, limit: float | None
 ) -> SlopeRow:
-    """Return a row that follows from others and has no slope of its own."""
+    """Return a row computed from other quantities, without a slope of its own."""
     ratio = None if limit is None else value / limit
     return SlopeRow(role, quantity, 0.0, unit, value, limit, ratio)
 
@@ -119,7 +119,7 @@
 
 
 def _control_rows(
-    peers: peers_slope.PeerSlopes, idle: slopes_control.ControlSlopes
+    peers: slopes_membership.MembershipSlopes, idle: slopes_control.ControlSlopes
 ) -> list[SlopeRow]:
     size = fullsize.DOMAIN_INSTANCES
     domains = fullsize.DOMAINS
@@ -139,8 +139,8 @@
     ]
 
 
-def _duty_rows() -> list[SlopeRow]:
-    found = slopes_duty.measure()
+def _leader_rows() -> list[SlopeRow]:
+    found = slopes_leader.measure()
     engines = fullsize.DOMAIN_SERVERS
     share = fullsize.CONTROL_CORE
     concurrent = fullsize.DOMAINS * found.change_writes / _CHANGE_S
@@ -171,7 +171,7 @@
     share, memory = fullsize.CONTROL_CORE, fullsize.CONTROL_MEMORY_MB
     kilobytes = fullsize.CONTROL_BYTES_PER_S / 1000
     role = "configuration spread"
-    per_page = _KEPT_CLAIMS / _CLAIM_PAGES
+    per_page = _RETAINED_CLAIMS / _CLAIM_PAGES
     rate = _CLAIMED_CALLS / fullsize.INSTANCES
     return [
         _row(role, "processor", "core", found.adoption_s, _ENTRIES, share, changes),
@@ -214,8 +214,8 @@
     ]
 
 
-def _moment_rows(start_calls: float) -> list[SlopeRow]:
-    """Return what follows for the worst moments."""
+def _peak_rows(start_calls: float) -> list[SlopeRow]:
+    """Return rows for load peaks: restarts, a domain start and an outage."""
     reads = fullsize.STORE_READS_PER_S
     restarts = _RESTARTS_PER_DAY / _DAY_S * start_calls
     domain = start_calls * fullsize.DOMAIN_INSTANCES
@@ -262,10 +262,10 @@
     """Measure, print the table and write `build/slopes.json`."""
     idle = slopes_control.measure()
     found = _request_rows()
-    found += _control_rows(peers_slope.measure(), idle)
-    found += _duty_rows()
+    found += _control_rows(slopes_membership.measure(), idle)
+    found += _leader_rows()
     found += _state_rows()
-    found += _moment_rows(idle.start_calls)
+    found += _peak_rows(idle.start_calls)
     _print(found)
     print(f"written to {rows.write_rows('slopes', found)}")
 
--- a/benchmarks/slopes_duty.py
+++ b/benchmarks/slopes_leader.py
@@ -1,4 +1,4 @@
-"""Slopes of the duty holder, over the engines of its failure domain."""
+"""Cost of the leader of a failure domain, by the number of its engines."""
 
 import dataclasses
 import time
@@ -8,23 +8,23 @@
 from benchmarks import fits
 from standins import deployments, processes
 
-__all__ = ["DutySlopes", "measure"]
+__all__ = ["LeaderSlopes", "measure"]
 
 ENGINES = (10, 100, 420)
 SETTLE_S = 6.0
-WINDOW_S = 12.0
+MEASURED_S = 12.0
 LAYOUT = deployments.Layout("duty", ("north",), 2, 1, 1)
 ENGINE_PORT = 9150
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DutySlopes:
-    """What the duty costs the instance that holds it.
+class LeaderSlopes:
+    """Cost of the leader tasks for the instance that is the leader.
 
     Attributes:
-        processor: Share of a core of the holder.
-        calls_per_s: Calls of the platform by the whole failure domain.
-        change_writes: Writes of the store for one role change.
+        processor: Share of a core that the leader uses.
+        calls_per_s: Platform calls of the whole failure domain a second.
+        change_writes: Store writes for one role change.
     """
 
     processor: fits.Fit
@@ -35,7 +35,7 @@
 def _document(
     deployment: deployments.Deployment, host: str, engines: int
 ) -> dict[str, object]:
-    """Return a document with many engines that one stand-in process answers for."""
+    """Return a document with many engines, all served by one stand-in process."""
     document = deployment.document()
     prefix = ".".join(host.split(".")[:2])
     document["backend_servers"] += [
@@ -55,12 +55,12 @@
     return document
 
 
-def _holder(deployment: deployments.Deployment) -> psutil.Process:
+def _leader(deployment: deployments.Deployment) -> psutil.Process:
     for name in deployment.entries:
         url = deployment.operators_url(name, "/v1/status")
         if processes.call("GET", url)[1]["duty"]["held"]:
             return psutil.Process(deployment.processes[name].popen.pid)
-    raise RuntimeError("nobody holds the duty")
+    raise RuntimeError("no instance of the failure domain is its leader")
 
 
 def _calls(deployment: deployments.Deployment, kinds: tuple[str, ...]) -> int:
@@ -80,14 +80,14 @@
         document = _document(deployment, host, engines)
         deployment.submit("entry-1", document)
         time.sleep(SETTLE_S)
-        holder = _holder(deployment)
+        leader = _leader(deployment)
         times, calls = (
-            holder.cpu_times(),
+            leader.cpu_times(),
             _calls(deployment, ("read", "write", "watch")),
         )
         start = time.perf_counter()
-        time.sleep(WINDOW_S)
-        later, elapsed = holder.cpu_times(), time.perf_counter() - start
+        time.sleep(MEASURED_S)
+        later, elapsed = leader.cpu_times(), time.perf_counter() - start
         calls = _calls(deployment, ("read", "write", "watch")) - calls
         spent = later.user + later.system - times.user - times.system
         return spent / elapsed, calls / elapsed, _change_writes(deployment, document)
@@ -98,9 +98,9 @@
 def _change_writes(
     deployment: deployments.Deployment, document: dict[str, object]
 ) -> float:
-    """Return the writes of one role change beyond those of the same time at rest."""
+    """Return the writes of one role change, without those of an idle domain."""
     before, start = _calls(deployment, ("write",)), time.perf_counter()
-    time.sleep(WINDOW_S / 2)
+    time.sleep(MEASURED_S / 2)
     rest = (_calls(deployment, ("write",)) - before) / (time.perf_counter() - start)
     servers = document["backend_servers"]
     assert isinstance(servers, list)
@@ -116,16 +116,16 @@
         ),
         "the role change",
     )
-    time.sleep(WINDOW_S / 4)
+    time.sleep(MEASURED_S / 4)
     elapsed = time.perf_counter() - start
     return _calls(deployment, ("write",)) - before - rest * elapsed
 
 
-def measure() -> DutySlopes:
+def measure() -> LeaderSlopes:
     """Measure failure domains of several sizes."""
     found = [(count, *_measure(count)) for count in ENGINES]
     print(f"  duty: {found}")
-    return DutySlopes(
+    return LeaderSlopes(
         fits.line([(row[0], row[1]) for row in found]),
         fits.line([(row[0], row[2]) for row in found]),
         found[0][3],
--- a/benchmarks/slopes_requests.py
+++ b/benchmarks/slopes_requests.py
@@ -1,4 +1,4 @@
-"""Slopes of the request path: processor time a token, memory a stream."""
+"""Cost of the request path: processor time by tokens, memory by streams."""
 
 import asyncio
 import dataclasses
@@ -28,14 +28,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamSlopes:
-    """What the request path costs.
+    """Cost of the request path.
 
     Attributes:
-        processor_s: Processor seconds of a request over its tokens.
-        resident_bytes: Resident memory over streams in flight.
-        gap_p95_ms: 95th percentile of the time between tokens at a caller, over
-            streams in flight, with engines that write one each 71 ms.
-        busy: Processor use, in cores, over streams in flight at one token each 71 ms.
+        processor_s: Processor seconds of a request, over its output tokens.
+        resident_bytes: Resident memory, over streams in flight.
+        gap_p95_ms: 95th percentile of the time between tokens at a caller, over streams
+            in flight, with engines that generate one token every 71 ms.
+        busy: Processor use in cores, over streams in flight with one token every 71 ms.
     """
 
     processor_s: fits.Fit
@@ -45,7 +45,7 @@
 
 
 def _document(deployment: deployments.Deployment) -> dict[str, typing.Any]:
-    """Return a document by which no request has to wait or is refused."""
+    """Return a document under which no request waits or is refused."""
     document = deployment.document()
     for server in document["backend_servers"]:
         if server["kind"] == "engine":
@@ -62,16 +62,16 @@
 
 
 async def _complete(client: aiosonic.HTTPClient, url: str, tokens: int) -> list[float]:
-    """Ask for one streamed answer; returns the times at which its parts came."""
+    """Request one streamed answer; returns the arrival times of its chunks."""
     body = {"model": deployments.MODEL, "prompt": "p" * 64, "max_tokens": tokens}
     data = json.dumps(body | {"stream": True}).encode()
     response = await client.post(url, data=data, headers=HEADERS)
     if response.status_code != 200:
-        raise RuntimeError(f"status {response.status_code}")
+        raise RuntimeError(f"completion failed: status {response.status_code}")
     return [time.perf_counter() async for _ in response.read_chunks()]
 
 
-async def _answers(url: str, tokens: int) -> None:
+async def _send_requests(url: str, tokens: int) -> None:
     async with _client(IN_FLIGHT) as client:
         remaining = iter(range(REQUESTS))
 
@@ -82,8 +82,10 @@
         await asyncio.gather(*(worker() for _ in range(IN_FLIGHT)))
 
 
-async def _streams(url: str, count: int, entry: psutil.Process) -> tuple[int, float]:
-    """Hold streams in flight; returns resident bytes and the p95 gap in ms."""
+async def _hold_streams(
+    url: str, count: int, entry: psutil.Process
+) -> tuple[int, float]:
+    """Keep streams in flight; returns resident bytes and the p95 token gap in ms."""
     async with _client(count) as client:
         tasks = [
             asyncio.create_task(_complete(client, url, STREAM_TOKENS))
@@ -100,7 +102,7 @@
     return resident, 1000 * gaps[int(0.95 * len(gaps))]
 
 
-def _processor_s(process: psutil.Process) -> float:
+def _processor_time_s(process: psutil.Process) -> float:
     times = process.cpu_times()
     return float(times.user + times.system)
 
@@ -112,19 +114,19 @@
         deployment.submit("entry-1", _document(deployment))
         url = deployment.callers_url("entry-1", "/v1/completions")
         entry = psutil.Process(deployment.processes["entry-1"].popen.pid)
-        asyncio.run(_answers(url, ANSWER_TOKENS[0]))
+        asyncio.run(_send_requests(url, ANSWER_TOKENS[0]))
         points = []
         for tokens in ANSWER_TOKENS:
-            before = _processor_s(entry)
-            asyncio.run(_answers(url, tokens))
-            points.append((tokens, (_processor_s(entry) - before) / REQUESTS))
+            before = _processor_time_s(entry)
+            asyncio.run(_send_requests(url, tokens))
+            points.append((tokens, (_processor_time_s(entry) - before) / REQUESTS))
         return fits.line(points)
     finally:
         deployment.stop()
 
 
 def measure() -> StreamSlopes:
-    """Measure the request path with real processes."""
+    """Measure the request path of one entry process."""
     processor = _processor_fit()
     paced = {
         "token_s": STREAM_TOKEN_S,
@@ -138,12 +140,12 @@
         url = deployment.callers_url("entry-1", "/v1/completions")
         entry = psutil.Process(deployment.processes["entry-1"].popen.pid)
         for count in STREAMS:
-            before, start = _processor_s(entry), time.perf_counter()
-            resident, gap = asyncio.run(_streams(url, count, entry))
+            before, start = _processor_time_s(entry), time.perf_counter()
+            resident, gap = asyncio.run(_hold_streams(url, count, entry))
             elapsed = time.perf_counter() - start
             memory.append((count, resident))
             gaps.append((count, gap))
-            busy.append((count, (_processor_s(entry) - before) / elapsed))
+            busy.append((count, (_processor_time_s(entry) - before) / elapsed))
     finally:
         deployment.stop()
     print(f"  processor: {processor}")
--- a/benchmarks/slopes_state.py
+++ b/benchmarks/slopes_state.py
@@ -1,7 +1,7 @@
-"""Slopes of what one instance holds and computes, measured inside one process.
+"""Memory and processor cost of an instance's state, measured inside one process.
 
-No sockets: documents are adopted, callers served and claims kept by the same classes
-that an entry instance uses, with the store in memory.
+Uses no sockets: the classes of an entry instance adopt documents, serve callers and
+claim calls, with an in-memory store.
 """
 
 import asyncio
@@ -50,17 +50,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateSlopes:
-    """What state costs an instance.
+    """Cost of the state of an instance.
 
     Attributes:
-        adoption_s: Processor seconds to put a document in force, over its entries
-            (backend servers and callers).
-        change_bytes: Bytes that a change of one entry moves, head and parts
-            compressed, over the entries.
-        document_bytes: Memory of the document in force, over the entries.
-        caller_bytes: Memory of the decisions' tables, over callers lately served.
-        claim_bytes: Bytes to and from the store for one claimed call, over the claims
-            that its page holds.
+        adoption_s: Processor seconds to adopt a document, over its entries (backend
+            servers and callers).
+        change_bytes: Bytes transferred for a change of one entry (head and changed
+            parts, compressed), over the entries.
+        document_bytes: Memory of the adopted document, over the entries.
+        caller_bytes: Memory of the dispatcher's tables, over recently served callers.
+        claim_bytes: Bytes read from and written to the store for one claimed call, over
+            the claims on its page.
     """
 
     adoption_s: fits.Fit
@@ -71,11 +71,12 @@
 
 
 def document_of(entries: int, changed: int = 0) -> schema.FleetDocument:
-    """Return a document with servers and callers in the proportion of the full size.
+    """Return a document with servers and callers in the ratio of the full size.
 
     Args:
-        entries: Backend servers and callers together.
-        changed: Differs for documents that differ in one entry.
+        entries: Number of backend servers and callers together.
+        changed: Added to the streams of one server; documents with different values
+            differ in this one entry.
     """
     servers = entries * 3800 // 8700
     engines: list[dict[str, typing.Any]] = [
@@ -126,26 +127,28 @@
 
 
 def _adoption(entries: int) -> tuple[float, float, float]:
-    """Return processor seconds, bytes of one change, and memory of a document."""
+    """Return the processor seconds, bytes and memory of adopting a document."""
     documents = [document_of(entries, changed) for changed in range(ADOPTIONS)]
-    pieces = [
+    part_texts = [
         {part.content_hash: part.text for part in parts.split(document)}
         for document in documents
     ]
-    made = [_head(n + 1, document) for n, document in enumerate(documents)]
+    new_heads = [_head(n + 1, document) for n, document in enumerate(documents)]
     tracemalloc.start()
     held = local_document.LocalDocument(fleet.Fleet(), clock.SystemClock())
     held.set_views_known()
-    held.adopt(made[0], pieces[0])
+    held.adopt(new_heads[0], part_texts[0])
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     start = time.process_time()
-    for head, texts in zip(made[1:], pieces[1:], strict=True):
+    for head, texts in zip(new_heads[1:], part_texts[1:], strict=True):
         held.adopt(head, texts)
     spent = (time.process_time() - start) / (ADOPTIONS - 1)
-    changed = [pieces[1][name] for name in pieces[1].keys() - pieces[0].keys()]
-    moved = [json.dumps(made[1].to_json()), *changed]
-    size = sum(len(zlib.compress(text.encode())) for text in moved)
+    changed = [
+        part_texts[1][name] for name in part_texts[1].keys() - part_texts[0].keys()
+    ]
+    transferred = [json.dumps(new_heads[1].to_json()), *changed]
+    size = sum(len(zlib.compress(text.encode())) for text in transferred)
     return spent, float(size), float(memory)
 
 
@@ -171,20 +174,20 @@
 
 
 class _CountingStore(memory_store.MemoryStore):
-    """Counts the bytes of pages that are read and written."""
+    """Store that counts the bytes of values read and written."""
 
-    moved = 0
+    transferred = 0
 
     async def get(self, kind: str, name: str) -> typing.Any:
         found = await super().get(kind, name)
         value = getattr(found, "value", None)
-        self.moved += len(json.dumps(value)) if value is not None else 0
+        self.transferred += len(json.dumps(value)) if value is not None else 0
         return found
 
     async def put(
         self, kind: str, name: str, value: typing.Any, **more: int
     ) -> typing.Any:
-        self.moved += len(json.dumps(value))
+        self.transferred += len(json.dumps(value))
         return await super().put(kind, name, value, **more)
 
 
@@ -208,21 +211,21 @@
     if page:
         name = key_claims.page_of(first)
         await objects.put(key_claims.KIND, name, {"claims": page}, if_version=0)
-    objects.moved = 0
+    objects.transferred = 0
     outcome = await pages.claim(first, "fingerprint")
     if not isinstance(outcome, key_claims.Claimed):
-        raise RuntimeError(f"the claim failed: {outcome}")
+        raise RuntimeError(f"claim not granted: {outcome}")
     await pages.settle(outcome.claim, "answered", None)
-    return float(objects.moved)
+    return float(objects.transferred)
 
 
 def measure() -> StateSlopes:
     """Measure state at several sizes."""
-    adopted = [(count, *_adoption(count)) for count in DOCUMENT_ENTRIES]
+    adoptions = [(count, *_adoption(count)) for count in DOCUMENT_ENTRIES]
     return StateSlopes(
-        fits.line([(row[0], row[1]) for row in adopted]),
-        fits.line([(row[0], row[2]) for row in adopted]),
-        fits.line([(row[0], row[3]) for row in adopted]),
+        fits.line([(row[0], row[1]) for row in adoptions]),
+        fits.line([(row[0], row[2]) for row in adoptions]),
+        fits.line([(row[0], row[3]) for row in adoptions]),
         fits.line([(count, _callers_memory(count)) for count in CALLERS]),
         fits.line([(n, asyncio.run(_claim_bytes(n))) for n in PAGE_CLAIMS]),
     )
