--- a/benchmarks/slopes_state.py
+++ b/benchmarks/slopes_state.py
@@ -35,7 +35,7 @@
     memory_store,
 )
 from standins import (
-    objects as table,
+    object_table as table,
 )
 
 __all__ = ["StateSlopes", "document_of", "measure"]
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -15,7 +15,7 @@
 
 _LONG = datetime.timedelta(seconds=60)
 
-__all__ = ["Reply", "complete", "expected_text", "many"]
+__all__ = ["Reply", "complete", "expected_text", "complete_concurrently"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -24,13 +24,13 @@
 
     Attributes:
         status: HTTP status, or 0 when the connection failed.
-        whole: Whether the stream ended with its end marker.
+        is_complete: Whether the stream ended with its end marker.
         error: The error record, if one came.
     """
 
     status: int
     text: str
-    whole: bool
+    is_complete: bool
     error: dict[str, typing.Any] | None = None
 
 
@@ -61,33 +61,33 @@
         raw = b"".join([chunk async for chunk in response.read_chunks()])
     except connections.ANSWER_FAILURES as failure:
         return Reply(0, "".join(text), False, {"message": repr(failure)})
-    whole = False
+    is_complete = False
     for event in raw.split(b"\n\n"):
         data = event.removeprefix(b"data: ")
         if data == b"[DONE]":
-            whole = True
+            is_complete = True
         elif data:
             parsed = json.loads(data)
             error = parsed.get("error", error)
             text += [choice["text"] for choice in parsed.get("choices", ())]
-    return Reply(200, "".join(text), whole, error)
+    return Reply(200, "".join(text), is_complete, error)
 
 
-async def _many(
-    asks: typing.Sequence[tuple[str, dict[str, typing.Any], dict[str, str]]],
+async def _complete_concurrently(
+    calls: typing.Sequence[tuple[str, dict[str, typing.Any], dict[str, str]]],
 ) -> list[Reply]:
-    pool = aiosonic.pools.PoolConfig(size=max(1, len(asks)))
+    pool = aiosonic.pools.PoolConfig(size=max(1, len(calls)))
     connector = aiosonic.connectors.TCPConnector(pool_configs={":default": pool})
     async with aiosonic.HTTPClient(connector) as client:
         return list(
             await asyncio.gather(
-                *(complete(client, url, body, headers) for url, body, headers in asks)
+                *(complete(client, url, body, headers) for url, body, headers in calls)
             )
         )
 
 
-def many(
-    asks: typing.Sequence[tuple[str, dict[str, typing.Any], dict[str, str]]],
+def complete_concurrently(
+    calls: typing.Sequence[tuple[str, dict[str, typing.Any], dict[str, str]]],
 ) -> list[Reply]:
     """Ask for many completions at once: (url, body, headers) each."""
-    return asyncio.run(_many(asks))
+    return asyncio.run(_complete_concurrently(calls))
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -38,11 +38,11 @@
 
     prompt: str
     text: str
-    whole: bool
+    is_complete: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Site:
+class Deployment:
     """What runs, with its addresses."""
 
     engines: dict[str, settings.Address]
@@ -68,11 +68,13 @@
 async def _start_engine(
     stack: contextlib.AsyncExitStack, name: str
 ) -> settings.Address:
-    chosen = engine.EngineSettings(name, HOST, 0, models=(MODEL,), change_s=0.5)
-    return await _serve(stack, engine.build(engine.Engine(chosen)))
+    engine_settings = engine.EngineSettings(
+        name, HOST, 0, models=(MODEL,), change_s=0.5
+    )
+    return await _serve(stack, engine.build(engine.Engine(engine_settings)))
 
 
-async def _start_site(stack: contextlib.AsyncExitStack) -> Site:
+async def _start_deployment(stack: contextlib.AsyncExitStack) -> Deployment:
     store = await _serve(stack, platform.build(platform.Platform(list_lag_s=0.1)))
     engines = {
         f"engine-{n}": await _start_engine(stack, f"engine-{n}")
@@ -80,24 +82,24 @@
     }
     booking = await _serve(stack, plain.build(plain.PlainService("booking-1")))
     entries = tuple(_entry_settings(domain, store) for domain in DOMAINS)
-    for chosen in entries:
-        instance = process.EntryInstance(chosen, clock.SystemClock())
+    for entry in entries:
+        instance = process.EntryInstance(entry, clock.SystemClock())
         await instance.start()
         stack.push_async_callback(instance.stop)
     rows = [
         {
-            "name": chosen.instance,
+            "name": entry.instance,
             "kind": "entry",
-            "failure_domain": chosen.failure_domain,
+            "failure_domain": entry.failure_domain,
             "host": HOST,
-            "peer_port": chosen.peers.address.port,
+            "peer_port": entry.peers.address.port,
             "state": "live",
             "ended": [],
         }
-        for chosen in entries
+        for entry in entries
     ]
     await _call("POST", store.url + "/instances", rows)
-    return Site(engines, _document(engines, booking), entries)
+    return Deployment(engines, _document(engines, booking), entries)
 
 
 def _entry_settings(domain: str, store: settings.Address) -> settings.EntrySettings:
@@ -167,33 +169,35 @@
     return Reply(prompt, "".join(text), events[-1] == b"[DONE]")
 
 
-def _is_right(reply: Reply) -> bool:
+def _is_correct(reply: Reply) -> bool:
     tokens = (engine.answer_token(reply.prompt, n) for n in range(TOKENS))
-    return reply.whole and reply.text == "".join(tokens)
+    return reply.is_complete and reply.text == "".join(tokens)
 
 
-async def _submit(site: Site) -> int:
-    url = site.entries[0].operators.url + "/v1/documents?operator=demo"
-    status, body = await _call("POST", url, site.document)
+async def _submit(deployment: Deployment) -> int:
+    url = deployment.entries[0].operators.url + "/v1/documents?operator=demo"
+    status, body = await _call("POST", url, deployment.document)
     if status != 200:
         raise RuntimeError(f"the document was refused: {body}")
     number = int(body["number"])
-    for chosen in site.entries:
-        await _until(chosen.operators.url + "/v1/status", _in_force(number))
+    for entry in deployment.entries:
+        await _wait_until(
+            entry.operators.url + "/v1/status", _has_configuration(number)
+        )
     return number
 
 
-def _in_force(number: int) -> typing.Callable[[typing.Any], bool]:
-    def holds(status: typing.Any) -> bool:
+def _has_configuration(number: int) -> typing.Callable[[typing.Any], bool]:
+    def in_force(status: typing.Any) -> bool:
         current = status["configuration"]
         return current is not None and current["number"] >= number
 
-    return holds
+    return in_force
 
 
-async def _until(url: str, holds: typing.Callable[[typing.Any], bool]) -> None:
+async def _wait_until(url: str, condition: typing.Callable[[typing.Any], bool]) -> None:
     for _ in range(CHANGE_POLLS):
-        if holds((await _call("GET", url))[1]):
+        if condition((await _call("GET", url))[1]):
             return
         await asyncio.sleep(POLL_S)
     raise RuntimeError(f"{url} never showed what was awaited")
@@ -201,37 +205,43 @@
 
 async def _run() -> bool:
     async with contextlib.AsyncExitStack() as stack:
-        site = await _start_site(stack)
-        print(f"document {await _submit(site)} is in force on every instance")
-        callers = [chosen.callers.url for chosen in site.entries]
+        deployment = await _start_deployment(stack)
+        print(f"document {await _submit(deployment)} is in force on every instance")
+        caller_urls = [entry.callers.url for entry in deployment.entries]
         streams = [
-            asyncio.create_task(_stream(callers[n % 2], f"badge for guest {n}"))
+            asyncio.create_task(_stream(caller_urls[n % 2], f"badge for guest {n}"))
             for n in range(STREAMS)
         ]
         await asyncio.sleep(POLL_S)
-        site.document["backend_servers"][0]["role"] = "prefill"
-        number = await _submit(site)
+        deployment.document["backend_servers"][0]["role"] = "prefill"
+        number = await _submit(deployment)
         print(f"document {number} asks for engine-1 in the role prefill")
         replies = await asyncio.gather(*streams)
-        right = sum(_is_right(reply) for reply in replies)
-        print(f"{right} of {STREAMS} streamed answers came whole")
-        state_url = site.engines["engine-1"].url
-        await _until(state_url + "/v1/state", lambda state: state["role"] == "prefill")
+        correct = sum(_is_correct(reply) for reply in replies)
+        print(f"{correct} of {STREAMS} streamed answers came whole")
+        state_url = deployment.engines["engine-1"].url
+        await _wait_until(
+            state_url + "/v1/state", lambda state: state["role"] == "prefill"
+        )
         _, history = await _call("GET", state_url + "/history")
         cut = sum(event["what"] == "cut" for event in history)
         print(f"engine-1 is in the role prefill; streams it cut: {cut}")
-        found = await _call("POST", callers[1] + "/v1/services/booking/find", {"id": 7})
-        print(f"a call of the booking service answered with status {found[0]}")
+        booking = await _call(
+            "POST", caller_urls[1] + "/v1/services/booking/find", {"id": 7}
+        )
+        print(f"a call of the booking service answered with status {booking[0]}")
         status, body = await _call(
-            "POST", callers[0] + "/v1/completions", {"model": "unknown", "prompt": "x"}
+            "POST",
+            caller_urls[0] + "/v1/completions",
+            {"model": "unknown", "prompt": "x"},
         )
         error = body["error"]
         print(
             f"a request for an unknown model was refused: status {status}, "
             f"code {error['code']}, {error['execution']}"
         )
-        whole = right == STREAMS and cut == 0
-        return whole and found[0] == 200 and error["execution"] == "not run"
+        intact = correct == STREAMS and cut == 0
+        return intact and booking[0] == 200 and error["execution"] == "not run"
 
 
 def main() -> None:
--- a/standins/deployments.py
+++ b/standins/deployments.py
@@ -78,7 +78,7 @@
             self._start_backend_servers()
             self._start_entries()
             self.processes.wait_healthy()
-            self.list_instances()
+            self.publish_instances()
         except BaseException:
             # Nobody gets hold of a deployment that failed to start, so nobody else
             # could end its processes; they would stay behind for ever.
@@ -90,10 +90,10 @@
 
     def _start_platform(self, extra: dict[str, typing.Any]) -> None:
         host = self.hosts["platform"] = self._network.address()
-        chosen = {"host": host, "port": PLATFORM_PORT, "list_lag_s": 0.2} | extra
+        settings = {"host": host, "port": PLATFORM_PORT, "list_lag_s": 0.2} | extra
         self.platform_url = f"http://{host}:{PLATFORM_PORT}"
         self.processes.start(
-            "platform", ("standins.platform",), chosen, self.platform_url + "/calls"
+            "platform", ("standins.platform",), settings, self.platform_url + "/calls"
         )
 
     def _start_backend_servers(self) -> None:
@@ -110,7 +110,7 @@
     def _start_engine(self, name: str, domain: str) -> None:
         host = self.hosts[name] = self._network.address()
         fenced = not self._unfenced
-        chosen = {
+        settings = {
             "name": name,
             "host": host,
             "port": ENGINE_PORT,
@@ -118,7 +118,10 @@
             "checks_fencing": fenced,
         } | self._engine_settings
         self.processes.start(
-            name, ("standins.engine",), chosen, f"http://{host}:{ENGINE_PORT}/v1/state"
+            name,
+            ("standins.engine",),
+            settings,
+            f"http://{host}:{ENGINE_PORT}/v1/state",
         )
         self.engines.append(name)
         self._servers.append(
@@ -134,9 +137,9 @@
 
     def _start_plain(self, name: str, domain: str) -> None:
         host = self.hosts[name] = self._network.address()
-        chosen = {"name": name, "host": host, "port": PLAIN_PORT}
+        settings = {"name": name, "host": host, "port": PLAIN_PORT}
         self.processes.start(
-            name, ("standins.plain",), chosen, f"http://{host}:{PLAIN_PORT}/runs"
+            name, ("standins.plain",), settings, f"http://{host}:{PLAIN_PORT}/runs"
         )
         self.plain_servers.append(name)
         self._servers.append(
@@ -150,21 +153,21 @@
         )
 
     def _start_entries(self) -> None:
-        placed = list(
+        assignments = list(
             zip(
                 [f"entry-{n}" for n in range(1, self.layout.entries + 1)],
                 self._domains(),
                 strict=False,
             )
         )
-        for name, _ in placed:
+        for name, _ in assignments:
             self.hosts[name] = self._network.address()
         if self.relays is not None:
-            for name, _ in placed:
+            for name, _ in assignments:
                 self._start_relays(self.relays, name)
-        for name, domain in placed:
+        for name, domain in assignments:
             self.entries.append(name)
-            self._entry_domain = dict(placed)
+            self._entry_domain = dict(assignments)
             self.start_entry(name, domain)
 
     def _start_relays(self, relays: relay.Relays, name: str) -> None:
@@ -186,14 +189,14 @@
     def cut(self, sender: str, receiver: str) -> None:
         """Let nothing through from one instance to another; the way back stays."""
         assert self.relays is not None
-        self.relays.cut(receiver, relay.TOWARDS, self.hosts[sender])
-        self.relays.cut(sender, relay.BACK, self.hosts[receiver])
+        self.relays.cut(receiver, relay.TO_SERVER, self.hosts[sender])
+        self.relays.cut(sender, relay.TO_CLIENT, self.hosts[receiver])
 
     def cut_platform(self, name: str) -> None:
         """Cut an instance off from the platform."""
         assert self.relays is not None
-        self.relays.cut(f"{name} platform", relay.TOWARDS)
-        self.relays.cut(f"{name} platform", relay.BACK)
+        self.relays.cut(f"{name} platform", relay.TO_SERVER)
+        self.relays.cut(f"{name} platform", relay.TO_CLIENT)
 
     def start_entry(self, name: str, domain: str) -> None:
         """Start (or start again) an entry instance."""
@@ -203,7 +206,7 @@
             for n in self.hosts
             if n.startswith("entry") and n != name
         ]
-        chosen = {
+        settings = {
             "instance": name,
             "failure_domain": domain,
             "callers": {"host": host, "port": CALLERS_PORT},
@@ -219,9 +222,9 @@
             },
         } | self._entry_settings
         url = f"http://{host}:{OPERATORS_PORT}/livez"
-        self.processes.start(name, ("pimentolatch", "entry"), chosen, url)
+        self.processes.start(name, ("pimentolatch", "entry"), settings, url)
 
-    def list_instances(self, **states: str) -> None:
+    def publish_instances(self, **states: str) -> None:
         """Tell the platform's instance list; `states` overrides by name."""
         rows = [
             {
@@ -274,15 +277,15 @@
         assert status == 200, body
         for name in self.entries:
             if self.processes[name].popen.poll() is None:
-                in_force = functools.partial(self._has, name, body["number"])
-                what = f"document {body['number']} at {name}"
-                processes.wait_for(in_force, what)
+                in_force = functools.partial(self._has_document, name, body["number"])
+                description = f"document {body['number']} at {name}"
+                processes.wait_for(in_force, description)
         return body
 
-    def _has(self, entry: str, number: int) -> bool:
-        return self.number(entry) >= number
+    def _has_document(self, entry: str, number: int) -> bool:
+        return self.document_number(entry) >= number
 
-    def number(self, entry: str) -> int:
+    def document_number(self, entry: str) -> int:
         """Return the number of the document in force at an entry."""
         _, body = processes.call("GET", self.operators_url(entry, "/v1/status"))
         return 0 if body["configuration"] is None else body["configuration"]["number"]
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -68,10 +68,10 @@
 class Engine:
     """State and handlers of one engine."""
 
-    def __init__(self, chosen: EngineSettings) -> None:
-        self.settings = chosen
-        self.role = chosen.role
-        self.models = dict.fromkeys(chosen.models, FIRST_VERSION)
+    def __init__(self, settings: EngineSettings) -> None:
+        self.settings = settings
+        self.role = settings.role
+        self.models = dict.fromkeys(settings.models, FIRST_VERSION)
         # A start loses the fence, the last order and every order's effect.
         self.incarnation = uuid.uuid4().hex
         self.fence = 0
@@ -80,12 +80,12 @@
         self.history: list[dict[str, typing.Any]] = []
         self._cancelled: set[str] = set()
         self._streams: set[str] = set()
-        self._slots = asyncio.PriorityQueue[tuple[int, int, asyncio.Event]]()
+        self._waiting = asyncio.PriorityQueue[tuple[int, int, asyncio.Event]]()
         self._arrivals = 0
         self._cache: collections.OrderedDict[str, None] = collections.OrderedDict()
         self._events: list[dict[str, typing.Any]] = []
         self._reports: list[tuple[float, dict[str, typing.Any]]] = []
-        self._exported: dict[str, str] = {}
+        self._prompts_by_handle: dict[str, str] = {}
 
     async def generate(self, request: requests.Request) -> responses.Response:
         """Stream an answer from an offset as server-sent events."""
@@ -100,50 +100,52 @@
         dispatch, prompt = body["dispatch"], body["prompt"]
         length, offset = body["max_tokens"], body.get("offset", 0)
         self._streams.add(dispatch)
-        self._note_load()
+        self._record_load()
         try:
-            await self._admitted(body.get("priority", 0))
+            await self._wait_for_slot(body.get("priority", 0))
             await asyncio.sleep(self._prefill_seconds(prompt, body.get("kv")))
             for index in range(offset, length):
                 if dispatch in self._cancelled:
                     return
                 token = answer_token(prompt, index)
-                yield _event({"dispatch": dispatch, "offset": index, "token": token})
+                yield _sse_event(
+                    {"dispatch": dispatch, "offset": index, "token": token}
+                )
                 await asyncio.sleep(self.settings.token_s)
-            yield _event({"dispatch": dispatch, "done": True, "length": length})
+            yield _sse_event({"dispatch": dispatch, "done": True, "length": length})
             self._record("finished", dispatch)
         finally:
             self._streams.discard(dispatch)
             self._cancelled.discard(dispatch)
-            self._release()
-            self._note_load()
+            self._admit_next()
+            self._record_load()
 
-    async def _admitted(self, priority: int) -> None:
+    async def _wait_for_slot(self, priority: int) -> None:
         if len(self._streams) <= self.settings.streams:
             return
         self._arrivals += 1
-        turn = asyncio.Event()
-        await self._slots.put((-priority, self._arrivals, turn))
-        await turn.wait()
+        admitted = asyncio.Event()
+        await self._waiting.put((-priority, self._arrivals, admitted))
+        await admitted.wait()
 
-    def _release(self) -> None:
-        if not self._slots.empty():
-            self._slots.get_nowait()[2].set()
+    def _admit_next(self) -> None:
+        if not self._waiting.empty():
+            self._waiting.get_nowait()[2].set()
 
     def _prefill_seconds(self, prompt: str, kv: str | None) -> float:
-        if kv is not None and self._exported.get(kv) == prompt:
+        if kv is not None and self._prompts_by_handle.get(kv) == prompt:
             return 0.0
         prefix = prompt[:_PREFIX_CHARACTERS]
         cached = prefix in self._cache
         self._cache[prefix] = None
         self._cache.move_to_end(prefix)
-        self._publish("added", prefix)
+        self._add_cache_event("added", prefix)
         if len(self._cache) > self.settings.cached_prefixes:
             evicted, _ = self._cache.popitem(last=False)
-            self._publish("evicted", evicted)
+            self._add_cache_event("evicted", evicted)
         tokens = len(prompt) / 4
-        fresh = tokens - _PREFIX_CHARACTERS / 4 if cached else tokens
-        return max(0.0, fresh) / self.settings.prefill_tokens_per_s
+        uncached = tokens - _PREFIX_CHARACTERS / 4 if cached else tokens
+        return max(0.0, uncached) / self.settings.prefill_tokens_per_s
 
     async def cancel(self, request: requests.Request) -> JsonResponse:
         """Cancel a stream by its dispatch id."""
@@ -153,23 +155,23 @@
             self._cancelled.add(dispatch)
         return JsonResponse({"cancelled": known})
 
-    async def order(self, request: requests.Request) -> JsonResponse:
+    async def handle_order(self, request: requests.Request) -> JsonResponse:
         """Take an order: the role and the models the engine is to have.
 
         Reading the body answers a sender's `Expect: 100-continue` first, and the read
         timeout runs from then.
         """
         loop = asyncio.get_running_loop()
-        end = loop.time() + self.settings.order_read_timeout_s
+        deadline = loop.time() + self.settings.order_read_timeout_s
         try:
-            async with asyncio.timeout_at(end):
+            async with asyncio.timeout_at(deadline):
                 order = await request.json()
         except (TimeoutError, requests.ClientDisconnect):
-            return _too_late()
+            return _order_timeout()
         # An engine that was itself paused may find the rest of a late order and the
         # end of the timeout at once; the timeout counts.
-        if loop.time() > end:
-            return _too_late()
+        if loop.time() > deadline:
+            return _order_timeout()
         if self.settings.checks_fencing and order["fence"] < self.fence:
             return JsonResponse({"reason": "old fence", "fence": self.fence}, 409)
         self.fence = max(self.fence, order["fence"])
@@ -210,19 +212,19 @@
         """Show the engine's state now."""
         return JsonResponse(self._state())
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         now = asyncio.get_running_loop().time()
-        report = {"streams": len(self._streams), "waiting": self._slots.qsize()}
+        report = {"streams": len(self._streams), "waiting": self._waiting.qsize()}
         self._reports.append((now, report))
         del self._reports[:-1000]
 
     async def load(self, request: requests.Request) -> JsonResponse:
         """Report the load as it was some time ago."""
-        then = asyncio.get_running_loop().time() - self.settings.report_lag_s
-        old = [report for at, report in self._reports if at <= then]
-        return JsonResponse(old[-1] if old else {"streams": 0, "waiting": 0})
+        cutoff = asyncio.get_running_loop().time() - self.settings.report_lag_s
+        visible = [report for at, report in self._reports if at <= cutoff]
+        return JsonResponse(visible[-1] if visible else {"streams": 0, "waiting": 0})
 
-    def _publish(self, kind: str, prefix: str) -> None:
+    def _add_cache_event(self, kind: str, prefix: str) -> None:
         self._events.append(
             {"number": len(self._events), "kind": kind, "prefix": prefix}
         )
@@ -231,16 +233,16 @@
         """Publish cache events after a number, with gaps."""
         after = int(request.query_params.get("after", "-1"))
         gap = self.settings.event_gap
-        found = [event for event in self._events[after + 1 :]]
-        shown = [e for e in found if not gap or e["number"] % gap != gap - 1]
-        return JsonResponse({"events": shown})
+        events = [event for event in self._events[after + 1 :]]
+        published = [e for e in events if not gap or e["number"] % gap != gap - 1]
+        return JsonResponse({"events": published})
 
     async def export_kv(self, request: requests.Request) -> JsonResponse:
         """Prefill a prompt and hand out its KV cache by a handle."""
         body = await request.json()
         await asyncio.sleep(self._prefill_seconds(body["prompt"], None))
         handle = f"kv-{zlib.crc32(body['prompt'].encode()):08x}"
-        self._exported[handle] = body["prompt"]
+        self._prompts_by_handle[handle] = body["prompt"]
         self._record("export", handle)
         return JsonResponse({"kv": handle})
 
@@ -251,39 +253,39 @@
             response = await client.get(f"{body['source']}/v1/kv/{body['kv']}")
             if response.status_code != 200:
                 return JsonResponse({}, 404)
-            self._exported[body["kv"]] = (await response.json())["prompt"]
+            self._prompts_by_handle[body["kv"]] = (await response.json())["prompt"]
         self._record("import", body["kv"])
         return JsonResponse({})
 
     async def send_kv(self, request: requests.Request) -> JsonResponse:
         """Hand a KV cache to the engine that fetches it."""
-        prompt = self._exported.get(request.path_params["handle"])
+        prompt = self._prompts_by_handle.get(request.path_params["handle"])
         return JsonResponse({"prompt": prompt}, 404 if prompt is None else 200)
 
-    def _record(self, what: str, subject: str, **more: typing.Any) -> None:
-        self.history.append({"what": what, "subject": subject, **more})
+    def _record(self, what: str, subject: str, **details: typing.Any) -> None:
+        self.history.append({"what": what, "subject": subject, **details})
 
     async def show_history(self, request: requests.Request) -> JsonResponse:
         """Show everything the engine did, for history checks."""
         return JsonResponse(self.history)
 
 
-def _too_late() -> JsonResponse:
+def _order_timeout() -> JsonResponse:
     # The connection closes, so that the rest of the order can't arrive later.
     return JsonResponse({"reason": "too slow"}, 408, {"connection": "close"})
 
 
-def _event(body: dict[str, typing.Any]) -> str:
+def _sse_event(body: dict[str, typing.Any]) -> str:
     return f"data: {json.dumps(body)}\n\n"
 
 
 def build(engine: Engine) -> typing.Any:
     """Return the ASGI application of an engine stand-in."""
-    trouble = faults.Faults()
+    fault_injector = faults.FaultInjector()
     routes = [
         routing.Route("/v1/generate", engine.generate, methods=["POST"]),
         routing.Route("/v1/cancel", engine.cancel, methods=["POST"]),
-        routing.Route("/v1/orders", engine.order, methods=["POST"]),
+        routing.Route("/v1/orders", engine.handle_order, methods=["POST"]),
         routing.Route("/v1/state", engine.state),
         routing.Route("/v1/load", engine.load),
         routing.Route("/v1/cache_events", engine.cache_events),
@@ -291,9 +293,9 @@
         routing.Route("/v1/kv/import", engine.import_kv, methods=["POST"]),
         routing.Route("/v1/kv/{handle}", engine.send_kv),
         routing.Route("/history", engine.show_history),
-        routing.Route("/faults", trouble.command, methods=["POST"]),
+        routing.Route("/faults", fault_injector.handle_command, methods=["POST"]),
     ]
-    return trouble.middleware(applications.Starlette(routes=routes))
+    return fault_injector.middleware(applications.Starlette(routes=routes))
 
 
 def main() -> None:
@@ -301,9 +303,11 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--settings", required=True, type=pathlib.Path)
     text = parser.parse_args().settings.read_text(encoding="utf-8")
-    chosen = EngineSettings(**json.loads(text))
-    application = build(Engine(chosen))
-    uvicorn.run(application, host=chosen.host, port=chosen.port, log_level="warning")
+    settings = EngineSettings(**json.loads(text))
+    application = build(Engine(settings))
+    uvicorn.run(
+        application, host=settings.host, port=settings.port, log_level="warning"
+    )
 
 
 if __name__ == "__main__":
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -17,7 +17,7 @@
 
 from starlette import requests, responses
 
-__all__ = ["Fault", "Faults"]
+__all__ = ["Fault", "FaultInjector"]
 
 CRASH_EXIT_CODE = 70
 
@@ -33,7 +33,7 @@
     seconds: float = 0.0
     method: str | None = None
 
-    def hits(self, path: str, sender: str | None, method: str) -> bool:
+    def applies_to(self, path: str, sender: str | None, method: str) -> bool:
         """Tell whether the fault applies to a call."""
         if self.times == 0:
             return False
@@ -44,13 +44,13 @@
         return path.startswith(self.path)
 
 
-class Faults:
+class FaultInjector:
     """The faults in force at one stand-in."""
 
     def __init__(self) -> None:
         self._faults: list[Fault] = []
 
-    async def command(self, request: requests.Request) -> responses.Response:
+    async def handle_command(self, request: requests.Request) -> responses.Response:
         """Handle `POST /faults`."""
         body = await request.json()
         if body["kind"] == "clear":
@@ -61,12 +61,12 @@
             self._faults.append(Fault(**body))
         return responses.JSONResponse({})
 
-    def take(
+    def trigger(
         self, kind: str, path: str, sender: str | None, method: str = ""
     ) -> Fault | None:
         """Return the first fault of a kind that hits the call, and count it."""
         for fault in self._faults:
-            if fault.kind == kind and fault.hits(path, sender, method):
+            if fault.kind == kind and fault.applies_to(path, sender, method):
                 if fault.times is not None:
                     fault.times -= 1
                 return fault
@@ -75,7 +75,7 @@
     def middleware(self, application: typing.Any) -> typing.Any:
         """Wrap an ASGI application so that the faults hit its calls."""
 
-        async def faulty(
+        async def inject(
             scope: typing.Any, receive: typing.Any, send: typing.Any
         ) -> None:
             if scope["type"] != "http" or scope["path"] == "/faults":
@@ -84,27 +84,27 @@
             headers = dict(scope["headers"])
             sender = headers.get(b"x-instance", b"").decode() or None
             path = scope["path"]
-            if self.take("hang", path, sender):
+            if self.trigger("hang", path, sender):
                 await asyncio.Event().wait()
-            if slow := self.take("slow", path, sender):
+            if slow := self.trigger("slow", path, sender):
                 await asyncio.sleep(slow.seconds)
-            if self.take("refuse", path, sender):
+            if self.trigger("refuse", path, sender):
                 refusal = responses.JSONResponse({"ran": False}, status_code=503)
                 await refusal(scope, receive, send)
                 return
-            if self.take("drop_reply", path, sender, scope["method"]):
+            if self.trigger("drop_reply", path, sender, scope["method"]):
                 await application(scope, receive, _discard)
                 # An application that raises before it answers is answered for, with
                 # status 500. A body that is promised and never sent makes the server
                 # close the connection.
-                await send(_PROMISE)
+                await send(_INCOMPLETE_RESPONSE)
                 return
             await application(scope, receive, send)
 
-        return faulty
+        return inject
 
 
-_PROMISE = {
+_INCOMPLETE_RESPONSE = {
     "type": "http.response.start",
     "status": 200,
     "headers": [(b"content-length", b"1")],
--- a/standins/memory_engine.py
+++ b/standins/memory_engine.py
@@ -22,14 +22,14 @@
 
     Attributes:
         checks_fencing: Whether it refuses an order with an old fencing number.
-        closes_late: Whether it closes a connection whose order is late. Only a test
-            of what happens without the safeguard turns it off.
-        counts_streams: Whether its state tells of its streams; likewise.
+        rejects_late_orders: Whether it closes a connection whose order is late. Only
+            a test of what happens without the safeguard turns it off.
+        reports_streams: Whether its state tells of its streams; likewise.
     """
 
     checks_fencing: bool
-    closes_late: bool = True
-    counts_streams: bool = True
+    rejects_late_orders: bool = True
+    reports_streams: bool = True
     read_timeout_s: float = 2.0
     change_s: float = 1.0
 
@@ -50,14 +50,14 @@
         self.up = True
         self._plan = plan
         self._recorder = recorder
-        self._first_models = models
-        self.crash_in_change = 0
+        self._initial_models = models
+        self.crashes_during_change = 0
         self._start()
 
     def _start(self) -> None:
         self.incarnation = f"{self.name}/{next(_incarnations)}"
         self.role = "mixed"
-        self.models = self._first_models
+        self.models = self._initial_models
         self.fence = 0
         self.changing = False
         self.last_order: str | None = None
@@ -71,18 +71,18 @@
             self.fence,
             self.changing,
             self.last_order,
-            len(self.streams) if self.kind.counts_streams else 0,
+            len(self.streams) if self.kind.reports_streams else 0,
             self.incarnation,
         )
 
-    async def crash(self, down: datetime.timedelta) -> None:
+    async def crash(self, downtime: datetime.timedelta) -> None:
         """Lose everything and come back after a while."""
         if not self.up:
             return
         self.up = False
         self._cut("crash")
         self._recorder.add(history.EngineEnded(self._plan.now, self.name))
-        await self._plan.time.sleep(down)
+        await self._plan.time.sleep(downtime)
         self._start()
         self.up = True
 
@@ -101,9 +101,14 @@
         if self.streams.pop(request, None) is not None:
             self._recorder.add(history.StreamEnded(self._plan.now, self.name, request))
 
-    async def take(self, body: dict[str, typing.Any], opened: float) -> orders.Sent:
+    async def handle_order(
+        self, body: dict[str, typing.Any], opened_at: float
+    ) -> orders.Sent:
         """Take an order whose last byte has just arrived."""
-        if self.kind.closes_late and self._plan.now > opened + self.kind.read_timeout_s:
+        if (
+            self.kind.rejects_late_orders
+            and self._plan.now > opened_at + self.kind.read_timeout_s
+        ):
             return orders.Refused("too slow")
         if self.kind.checks_fencing and body["fence"] < self.fence:
             return orders.Refused("old fence")
@@ -132,8 +137,8 @@
             )
         )
         self._cut("order")
-        if self.crash_in_change > 0:
-            self.crash_in_change -= 1
+        if self.crashes_during_change > 0:
+            self.crashes_during_change -= 1
             self._plan.start(self._crash_soon())
         await self._plan.time.sleep(schedule.seconds(self.kind.change_s))
         if self.incarnation != incarnation or not self.up:
@@ -145,8 +150,8 @@
         return orders.Taken(self.state())
 
     async def _crash_soon(self) -> None:
-        part = self._plan.random.uniform(0.1, 0.9)
-        await self._plan.time.sleep(schedule.seconds(part * self.kind.change_s))
+        fraction = self._plan.random.uniform(0.1, 0.9)
+        await self._plan.time.sleep(schedule.seconds(fraction * self.kind.change_s))
         await self.crash(schedule.seconds(self._plan.random.uniform(0.5, 4)))
 
     def _cut(self, cause: str) -> None:
@@ -164,7 +169,7 @@
 
     cut: set[tuple[str, str]] = dataclasses.field(default_factory=set)
 
-    def carries(self, sender: str, receiver: str) -> bool:
+    def can_reach(self, sender: str, receiver: str) -> bool:
         """Tell whether messages pass in this direction."""
         # A link belongs to an instance, whichever start of it.
         return (sender.split("/")[0], receiver.split("/")[0]) not in self.cut
@@ -192,7 +197,7 @@
         engine = self._engines[address.port]
         await self._plan.point(self._actor, "state")
         answer = engine.state()
-        reached = engine.up and self._reaches(engine)
+        reached = engine.up and self._is_connected(engine)
         await self._plan.point(self._actor, "state seen")
         return answer if reached else orders.Unreachable("no answer")
 
@@ -202,36 +207,36 @@
         """See `orders.OrderClient.open`."""
         engine = self._engines[address.port]
         await self._plan.point(self._actor, "open")
-        if not engine.up or not self._reaches(engine):
+        if not engine.up or not self._is_connected(engine):
             return orders.Unreachable("no connection")
         attempt = _Attempt(self, engine, body, self._plan.now)
         await self._plan.point(self._actor, "opened")
         return attempt
 
-    def _reaches(self, engine: MemoryEngine) -> bool:
-        out = self._links.carries(self._actor, engine.name)
-        return out and self._links.carries(engine.name, self._actor)
+    def _is_connected(self, engine: MemoryEngine) -> bool:
+        outbound = self._links.can_reach(self._actor, engine.name)
+        return outbound and self._links.can_reach(engine.name, self._actor)
 
     async def exchange(self, attempt: "_Attempt") -> orders.Sent:
         """Write the order's bytes and wait for the answer."""
         await self._plan.point(self._actor, "send")
         # Once written, the bytes are on their way whatever becomes of the sender.
-        on_the_way = self._plan.start(self._deliver(attempt))
-        sent: orders.Sent = await asyncio.shield(on_the_way)
+        delivery = self._plan.start(self._deliver(attempt))
+        sent: orders.Sent = await asyncio.shield(delivery)
         await self._plan.point(self._actor, "sent")
-        if not self._links.carries(attempt.engine.name, self._actor):
+        if not self._links.can_reach(attempt.engine.name, self._actor):
             return orders.Unreachable("the answer was lost")
         return sent
 
     async def _deliver(self, attempt: "_Attempt") -> orders.Sent:
         engine = attempt.engine
-        late = self._plan.random.choices((0.001, 0.01, 0.2, 3.0), (50, 30, 15, 5))[0]
-        await self._plan.time.sleep(schedule.seconds(late))
-        reached = self._links.carries(self._actor, engine.name)
+        latency = self._plan.random.choices((0.001, 0.01, 0.2, 3.0), (50, 30, 15, 5))[0]
+        await self._plan.time.sleep(schedule.seconds(latency))
+        reached = self._links.can_reach(self._actor, engine.name)
         # A connection belongs to one start of the engine.
         if engine.incarnation != attempt.incarnation or not engine.up or not reached:
             return orders.Unreachable("connection reset")
-        return await engine.take(attempt.body, attempt.opened)
+        return await engine.handle_order(attempt.body, attempt.opened_at)
 
 
 class _Attempt:
@@ -240,13 +245,13 @@
         client: MemoryOrderClient,
         engine: MemoryEngine,
         body: dict[str, typing.Any],
-        opened: float,
+        opened_at: float,
     ) -> None:
         self._client = client
         self.engine = engine
         self.incarnation = engine.incarnation
         self.body = body
-        self.opened = opened
+        self.opened_at = opened_at
 
     async def send(self) -> orders.Sent:
         """See `orders.Attempt.send`."""
--- a/standins/memory_store.py
+++ b/standins/memory_store.py
@@ -12,7 +12,7 @@
 from collections import abc
 
 from pimentolatch import clock, store
-from standins import objects
+from standins import object_table
 
 __all__ = ["MemoryStore", "Pause", "StoreFaults", "no_pause"]
 
@@ -36,8 +36,8 @@
         outage: Every call fails and has no effect.
         cut: Names of links whose calls fail and have no effect.
         lost_replies: So many of the next writes take effect without an answer.
-        late_writes: So many of the next writes take effect only `lateness` after
-            the caller was told that their outcome is unknown.
+        late_writes: So many of the next writes take effect only `late_write_delay`
+            after the caller was told that their outcome is unknown.
         delay: Time each call takes before its effect.
     """
 
@@ -45,10 +45,10 @@
     cut: set[str] = dataclasses.field(default_factory=set)
     lost_replies: int = 0
     late_writes: int = 0
-    lateness: datetime.timedelta = datetime.timedelta(seconds=5)
+    late_write_delay: datetime.timedelta = datetime.timedelta(seconds=5)
     delay: datetime.timedelta = _NO_TIME
 
-    def end(self) -> None:
+    def clear(self) -> None:
         """End every fault."""
         self.outage = False
         self.cut.clear()
@@ -70,7 +70,7 @@
 
     def __init__(
         self,
-        table: objects.ObjectTable,
+        table: object_table.ObjectTable,
         *,
         time: clock.Clock,
         link: str = "",
@@ -84,14 +84,14 @@
         self._faults = StoreFaults() if faults is None else faults
         self._instances = instances
         self._pause = pause
-        self._late: set[asyncio.Task[None]] = set()
+        self._late_writes: set[asyncio.Task[None]] = set()
         self.calls = 0
 
     async def get(
         self, kind: str, name: str
     ) -> store.Found | store.Absent | store.Unavailable:
         """See `store.Store.get`."""
-        if failed := await self._begin(f"get {kind}"):
+        if failed := await self._start_call(f"get {kind}"):
             return failed
         row = self._table.get(kind, name)
         await self._pause(f"get {kind} done")
@@ -103,7 +103,7 @@
         self, kind: str, name: str, value: store.Json, *, if_version: int
     ) -> store.Written | store.Conflict | store.Unavailable:
         """See `store.Store.put`."""
-        if failed := await self._begin(f"put {kind}"):
+        if failed := await self._start_call(f"put {kind}"):
             return failed
         if self._faults.late_writes > 0:
             self._faults.late_writes -= 1
@@ -120,7 +120,7 @@
         self, kind: str, name: str, *, if_version: int
     ) -> store.Written | store.Absent | store.Conflict | store.Unavailable:
         """See `store.Store.delete`."""
-        if failed := await self._begin(f"delete {kind}"):
+        if failed := await self._start_call(f"delete {kind}"):
             return failed
         if self._table.get(kind, name) is None:
             return store.Absent(name)
@@ -132,7 +132,7 @@
         self, kind: str, prefix: str = ""
     ) -> store.Listing | store.Unavailable:
         """See `store.Store.list_objects`."""
-        if failed := await self._begin(f"list {kind}"):
+        if failed := await self._start_call(f"list {kind}"):
             return failed
         listing = self._listing(self._table.list_objects(kind, prefix))
         await self._pause(f"list {kind} done")
@@ -142,15 +142,15 @@
         self, kind: str, *, after: int, wait: datetime.timedelta
     ) -> store.Changes | store.HistoryGone | store.Unavailable:
         """See `store.Store.watch`; waits in steps of the clock that was passed in."""
-        if failed := await self._begin(f"watch {kind}"):
+        if failed := await self._start_call(f"watch {kind}"):
             return failed
-        end = self._clock.monotonic() + wait
+        deadline = self._clock.monotonic() + wait
         step = datetime.timedelta(seconds=0.1)
         while not self._table.changes(kind, after):
-            if self._clock.monotonic() >= end or self._cut_off:
+            if self._clock.monotonic() >= deadline or self._unreachable:
                 break
             await self._clock.sleep(step)
-        if after < self._table.history_from:
+        if after < self._table.compacted_revision:
             return store.HistoryGone()
         rows = self._table.changes(kind, after)
         return store.Changes(
@@ -161,27 +161,27 @@
 
     async def instances(self) -> tuple[store.Instance, ...] | store.Unavailable:
         """See `store.Store.instances`."""
-        if failed := await self._begin("instances"):
+        if failed := await self._start_call("instances"):
             return failed
         return self._instances()
 
     @property
-    def _cut_off(self) -> bool:
+    def _unreachable(self) -> bool:
         return self._faults.outage or self._link in self._faults.cut
 
-    async def _begin(self, call: str) -> store.Unavailable | None:
+    async def _start_call(self, call: str) -> store.Unavailable | None:
         self.calls += 1
         await self._pause(call)
         if self._faults.delay > _NO_TIME:
             await self._clock.sleep(self._faults.delay)
-        return _OUTAGE if self._cut_off else None
+        return _OUTAGE if self._unreachable else None
 
     async def _write(
         self, kind: str, name: str, value: store.Json, if_version: int
     ) -> store.Written | store.Conflict:
         try:
             row = await self._table.put(kind, name, value, if_version)
-        except objects.VersionConflictError as conflict:
+        except object_table.VersionConflictError as conflict:
             return store.Conflict(conflict.version)
         return store.Written(row.version)
 
@@ -189,16 +189,16 @@
         self, kind: str, name: str, value: store.Json, if_version: int
     ) -> None:
         async def write() -> None:
-            await self._clock.sleep(self._faults.lateness)
+            await self._clock.sleep(self._faults.late_write_delay)
             await self._write(kind, name, value, if_version)
 
         task = asyncio.create_task(write())
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        self._late_writes.add(task)
+        task.add_done_callback(self._late_writes.discard)
 
-    def _listing(self, rows: list[objects.Row]) -> store.Listing:
+    def _listing(self, rows: list[object_table.Row]) -> store.Listing:
         return store.Listing(self._table.revision, tuple(_found(row) for row in rows))
 
 
-def _found(row: objects.Row) -> store.Found:
+def _found(row: object_table.Row) -> store.Found:
     return store.Found(row.name, row.version, row.value)
--- a/standins/objects.py
+++ b/standins/object_table.py
@@ -8,7 +8,7 @@
 
 __all__ = ["ObjectTable", "Row", "ValueTooLargeError", "VersionConflictError"]
 
-VALUE_LIMIT_BYTES = 1_000_000
+MAX_VALUE_BYTES = 1_000_000
 
 
 class VersionConflictError(Exception):
@@ -43,7 +43,7 @@
 
     Attributes:
         history: Every write in order, with its kind.
-        history_from: Changes before this revision are forgotten.
+        compacted_revision: Changes before this revision are forgotten.
     """
 
     def __init__(self) -> None:
@@ -51,7 +51,7 @@
         self._rows: dict[str, dict[str, Row]] = {}
         self._changed = asyncio.Condition()
         self.history: list[tuple[str, Row]] = []
-        self.history_from = 0
+        self.compacted_revision = 0
 
     @property
     def revision(self) -> int:
@@ -78,13 +78,13 @@
         self, kind: str, name: str, value: typing.Any, if_version: int
     ) -> Row:
         """Write an object whose version must be `if_version` (0: absent)."""
-        if len(json.dumps(value)) > VALUE_LIMIT_BYTES:
+        if len(json.dumps(value)) > MAX_VALUE_BYTES:
             raise ValueTooLargeError
         current = self._rows.get(kind, {}).get(name)
         present = current is not None and current.value is not None
-        shown_version = current.version if current is not None and present else 0
-        if shown_version != if_version:
-            raise VersionConflictError(shown_version)
+        visible_version = current.version if current is not None and present else 0
+        if visible_version != if_version:
+            raise VersionConflictError(visible_version)
         self._revision += 1
         created = current.created if current is not None and present else self._revision
         row = Row(name, self._revision, created, copy.deepcopy(value))
@@ -100,9 +100,9 @@
             return None
         return await self.put(kind, name, None, if_version)
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Drop the changes so far; whoever watches from before them must list anew."""
-        self.history_from = self._revision
+        self.compacted_revision = self._revision
 
     async def wait(self, kind: str, after: int, seconds: float) -> list[Row]:
         """Return changes of a kind after a revision, waiting until there is one."""
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -24,7 +24,7 @@
     def __init__(self, name: str, call_s: float = 0.001) -> None:
         self._name = name
         self._call_s = call_s
-        self.trouble = faults.Faults()
+        self.fault_injector = faults.FaultInjector()
         self.runs: list[dict[str, typing.Any]] = []
 
     async def call(self, request: requests.Request) -> responses.JSONResponse:
@@ -33,7 +33,7 @@
         service = request.path_params["service"]
         operation = request.path_params["operation"]
         dispatch = request.headers.get("x-dispatch", "")
-        slow = self.trouble.take("slow_run", request.url.path, None)
+        slow = self.fault_injector.trigger("slow_run", request.url.path, None)
         await asyncio.sleep(self._call_s if slow is None else slow.seconds)
         run = {
             "service": service,
@@ -52,24 +52,24 @@
 
 def build(service: PlainService) -> typing.Any:
     """Return the ASGI application of a plain service stand-in."""
-    trouble = service.trouble
+    fault_injector = service.fault_injector
     routes = [
         routing.Route(
             "/v1/services/{service}/{operation}", service.call, methods=["POST"]
         ),
         routing.Route("/runs", service.show_runs),
-        routing.Route("/faults", trouble.command, methods=["POST"]),
+        routing.Route("/faults", fault_injector.handle_command, methods=["POST"]),
     ]
-    return trouble.middleware(applications.Starlette(routes=routes))
+    return fault_injector.middleware(applications.Starlette(routes=routes))
 
 
 def main() -> None:
     """Run a plain service stand-in from a settings file."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--settings", required=True, type=pathlib.Path)
-    chosen = json.loads(parser.parse_args().settings.read_text(encoding="utf-8"))
-    host, port = chosen.pop("host"), chosen.pop("port")
-    application = build(PlainService(**chosen))
+    settings = json.loads(parser.parse_args().settings.read_text(encoding="utf-8"))
+    host, port = settings.pop("host"), settings.pop("port")
+    application = build(PlainService(**settings))
     uvicorn.run(application, host=host, port=port, log_level="warning")
 
 
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -11,16 +11,16 @@
 import uvicorn
 from starlette import applications, requests, responses, routing
 
-from standins import faults, objects
+from standins import faults, object_table
 
 __all__ = ["build", "main"]
 
 JsonResponse = responses.JSONResponse
-_WATCH_SLICE_S = 0.5
-_PAGE = 500
+_DISCONNECT_CHECK_S = 0.5
+_PAGE_SIZE = 500
 
 
-class CallLimit:
+class TokenBucket:
     """A limit on calls a second, as a token bucket with one second of burst."""
 
     def __init__(self, calls_per_second: float) -> None:
@@ -28,11 +28,11 @@
         self._tokens = calls_per_second
         self._last: float | None = None
 
-    def admits(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Take a call from the bucket."""
         if self._last is not None:
-            gained = (now - self._last) * self._rate
-            self._tokens = min(self._rate, self._tokens + gained)
+            refill = (now - self._last) * self._rate
+            self._tokens = min(self._rate, self._tokens + refill)
         self._last = now
         if self._tokens < 1:
             return False
@@ -50,8 +50,8 @@
         weights_per_second: Limit on fetches from the weight store.
 
     Attributes:
-        tells_gone: Whether a watch from before the known history is told so at once;
-            else it waits for the next change, as it may just after a cut.
+        reports_history_gone: Whether a watch from before the known history is told so
+            at once; else it waits for the next change, as it may just after a cut.
     """
 
     def __init__(
@@ -62,29 +62,31 @@
         list_lag_s: float = 2.0,
         weights_per_second: float = 1.0,
     ) -> None:
-        self.table = objects.ObjectTable()
+        self.table = object_table.ObjectTable()
         self.calls: collections.Counter[str] = collections.Counter()
-        self.tells_gone = True
-        self._reads = CallLimit(reads_per_second)
-        self._writes = CallLimit(writes_per_second)
-        self._weights = CallLimit(weights_per_second)
+        self.reports_history_gone = True
+        self._reads = TokenBucket(reads_per_second)
+        self._writes = TokenBucket(writes_per_second)
+        self._weights = TokenBucket(weights_per_second)
         self._list_lag_s = list_lag_s
         self._instances: dict[str, dict[str, typing.Any]] = {}
-        self._shown: dict[str, dict[str, typing.Any]] = {}
+        self._published_instances: dict[str, dict[str, typing.Any]] = {}
 
-    def _refused(self, kind: str, limit: CallLimit) -> JsonResponse | None:
+    def _check_limit(self, kind: str, bucket: TokenBucket) -> JsonResponse | None:
         self.calls[kind] += 1
-        if limit.admits(asyncio.get_running_loop().time()):
+        if bucket.try_acquire(asyncio.get_running_loop().time()):
             return None
         self.calls["limited"] += 1
         return JsonResponse({}, 429, headers={"retry-after": "1"})
 
     async def get(self, request: requests.Request) -> JsonResponse:
         """Read one object."""
-        if refused := self._refused("read", self._reads):
+        if refused := self._check_limit("read", self._reads):
             return refused
         row = self.table.get(request.path_params["kind"], request.path_params["name"])
-        return JsonResponse({}, 404) if row is None else JsonResponse(_shown(row))
+        return (
+            JsonResponse({}, 404) if row is None else JsonResponse(_encode_object(row))
+        )
 
     async def create(self, request: requests.Request) -> JsonResponse:
         """Create an object."""
@@ -113,69 +115,78 @@
     async def _write(
         self, request: requests.Request, name: str, spec: typing.Any, version: int
     ) -> JsonResponse:
-        if refused := self._refused("write", self._writes):
+        if refused := self._check_limit("write", self._writes):
             return refused
         kind = request.path_params["kind"]
         try:
             row = await self.table.put(kind, name, spec, version)
-        except objects.VersionConflictError:
+        except object_table.VersionConflictError:
             current = self.table.get(kind, name)
-            return JsonResponse({} if current is None else _shown(current), 409)
-        except objects.ValueTooLargeError:
+            return JsonResponse({} if current is None else _encode_object(current), 409)
+        except object_table.ValueTooLargeError:
             return JsonResponse({}, 413)
-        return JsonResponse(_shown(row))
+        return JsonResponse(_encode_object(row))
 
     async def list_objects(self, request: requests.Request) -> JsonResponse:
         """List objects of a kind, or wait for changes of it."""
         if "watch" in request.query_params:
             return await self._watch(request)
-        if refused := self._refused("read", self._reads):
+        if refused := self._check_limit("read", self._reads):
             return refused
         rows = self.table.list_objects(request.path_params["kind"])
         rows = [r for r in rows if r.name > request.query_params.get("after", "")]
         return JsonResponse(
             {
-                "items": [_shown(row) for row in rows[:_PAGE]],
-                "has_more": len(rows) > _PAGE,
+                "items": [_encode_object(row) for row in rows[:_PAGE_SIZE]],
+                "has_more": len(rows) > _PAGE_SIZE,
                 "as_of": self.table.revision,
             }
         )
 
     async def _watch(self, request: requests.Request) -> JsonResponse:
-        if refused := self._refused("watch", self._reads):
+        if refused := self._check_limit("watch", self._reads):
             return refused
         after = int(request.query_params["watch"])
         wait = float(request.query_params.get("wait_ms", 0)) / 1000
-        if after < self.table.history_from and self.tells_gone:
+        if after < self.table.compacted_revision and self.reports_history_gone:
             return JsonResponse({}, 410)
         kind = request.path_params["kind"]
-        end = asyncio.get_running_loop().time() + wait
-        after = max(after, self.table.history_from)
+        deadline = asyncio.get_running_loop().time() + wait
+        after = max(after, self.table.compacted_revision)
         rows = self.table.changes(kind, after)
         # In slices, so that a watch whose caller went away ends soon. One that is cut
         # off by the end of the store answers nobody; raised, its cancellation would be
         # reported as a fault of the store.
         with contextlib.suppress(asyncio.CancelledError):
-            while not rows and (left := end - asyncio.get_running_loop().time()) > 0:
-                rows = await self.table.wait(kind, after, min(left, _WATCH_SLICE_S))
+            while (
+                not rows
+                and (remaining := deadline - asyncio.get_running_loop().time()) > 0
+            ):
+                rows = await self.table.wait(
+                    kind, after, min(remaining, _DISCONNECT_CHECK_S)
+                )
                 if await request.is_disconnected():
                     break
-        events = [{"object": _shown(r), "deleted": r.value is None} for r in rows]
+        events = [
+            {"object": _encode_object(r), "deleted": r.value is None} for r in rows
+        ]
         return JsonResponse({"events": events, "as_of": self.table.revision})
 
-    async def forget_history(self, request: requests.Request) -> JsonResponse:
+    async def compact_history(self, request: requests.Request) -> JsonResponse:
         """Drop the history: a test's command, not a call of the platform."""
-        self.table.forget_history()
+        self.table.compact_history()
         return JsonResponse({})
 
     async def instances(self, request: requests.Request) -> JsonResponse:
         """Show the instance list as it was some time ago."""
-        if refused := self._refused("read", self._reads):
+        if refused := self._check_limit("read", self._reads):
             return refused
-        rows = sorted(self._shown.values(), key=lambda row: str(row["name"]))
+        rows = sorted(
+            self._published_instances.values(), key=lambda row: str(row["name"])
+        )
         return JsonResponse({"instances": rows})
 
-    async def change_instances(self, request: requests.Request) -> JsonResponse:
+    async def update_instances(self, request: requests.Request) -> JsonResponse:
         """Change the instance list: a test's command, not a call of the platform."""
         for row in await request.json():
             if row["state"] == "ended":
@@ -183,23 +194,25 @@
             else:
                 self._instances[row["name"]] = row
         snapshot = dict(self._instances)
-        asyncio.get_running_loop().call_later(self._list_lag_s, self._show, snapshot)
+        asyncio.get_running_loop().call_later(
+            self._list_lag_s, self._publish_instances, snapshot
+        )
         return JsonResponse({})
 
-    def _show(self, snapshot: dict[str, dict[str, typing.Any]]) -> None:
-        self._shown = snapshot
+    def _publish_instances(self, snapshot: dict[str, dict[str, typing.Any]]) -> None:
+        self._published_instances = snapshot
 
     async def weights(self, request: requests.Request) -> JsonResponse:
         """Hand out a model's weights (their name) at a limited rate."""
-        if refused := self._refused("weights", self._weights):
+        if refused := self._check_limit("weights", self._weights):
             return refused
         return JsonResponse({"weights": request.path_params["model"]})
 
-    async def count(self, request: requests.Request) -> JsonResponse:
+    async def show_calls(self, request: requests.Request) -> JsonResponse:
         """Show how many calls of each kind came in."""
         return JsonResponse(dict(self.calls))
 
-    async def history(self, request: requests.Request) -> JsonResponse:
+    async def show_history(self, request: requests.Request) -> JsonResponse:
         """Show every write in order, for history checks."""
         rows = [
             {"kind": kind, "name": row.name, "version": row.version, "value": row.value}
@@ -208,7 +221,7 @@
         return JsonResponse(rows)
 
 
-def _shown(row: objects.Row) -> dict[str, typing.Any]:
+def _encode_object(row: object_table.Row) -> dict[str, typing.Any]:
     metadata = {
         "name": row.name,
         "revision": row.version,
@@ -219,7 +232,7 @@
     return {"metadata": metadata, "spec": row.value, "status": None}
 
 
-def _counting(platform: Platform, application: typing.Any) -> typing.Any:
+def _count_calls(platform: Platform, application: typing.Any) -> typing.Any:
     """Count every call that arrives, answered or not, and the most in one second."""
     by_second: collections.Counter[int] = collections.Counter()
 
@@ -228,8 +241,8 @@
             second = int(asyncio.get_running_loop().time())
             by_second[second] += 1
             platform.calls["arrived"] += 1
-            most = max(platform.calls["most_in_a_second"], by_second[second])
-            platform.calls["most_in_a_second"] = most
+            peak = max(platform.calls["most_in_a_second"], by_second[second])
+            platform.calls["most_in_a_second"] = peak
         await application(scope, receive, send)
 
     return counted
@@ -237,32 +250,32 @@
 
 def build(platform: Platform) -> typing.Any:
     """Return the ASGI application of a platform stand-in."""
-    trouble = faults.Faults()
+    fault_injector = faults.FaultInjector()
     routes = [
         routing.Route("/v1/objects/{kind}/{name}", platform.get, methods=["GET"]),
         routing.Route("/v1/objects/{kind}/{name}", platform.replace, methods=["PUT"]),
         routing.Route("/v1/objects/{kind}/{name}", platform.delete, methods=["DELETE"]),
         routing.Route("/v1/objects/{kind}", platform.list_objects, methods=["GET"]),
         routing.Route("/v1/objects/{kind}", platform.create, methods=["POST"]),
-        routing.Route("/history/forget", platform.forget_history, methods=["POST"]),
+        routing.Route("/history/forget", platform.compact_history, methods=["POST"]),
         routing.Route("/v1/instances", platform.instances),
         routing.Route("/v1/weights/{model}", platform.weights),
-        routing.Route("/instances", platform.change_instances, methods=["POST"]),
-        routing.Route("/calls", platform.count),
-        routing.Route("/history", platform.history),
-        routing.Route("/faults", trouble.command, methods=["POST"]),
+        routing.Route("/instances", platform.update_instances, methods=["POST"]),
+        routing.Route("/calls", platform.show_calls),
+        routing.Route("/history", platform.show_history),
+        routing.Route("/faults", fault_injector.handle_command, methods=["POST"]),
     ]
-    application = trouble.middleware(applications.Starlette(routes=routes))
-    return _counting(platform, application)
+    application = fault_injector.middleware(applications.Starlette(routes=routes))
+    return _count_calls(platform, application)
 
 
 def main() -> None:
     """Run the platform stand-in from a settings file."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--settings", required=True, type=pathlib.Path)
-    chosen = json.loads(parser.parse_args().settings.read_text(encoding="utf-8"))
-    host, port = chosen.pop("host"), chosen.pop("port")
-    platform = Platform(**chosen)
+    settings = json.loads(parser.parse_args().settings.read_text(encoding="utf-8"))
+    host, port = settings.pop("host"), settings.pop("port")
+    platform = Platform(**settings)
     uvicorn.run(build(platform), host=host, port=port, log_level="warning")
 
 
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -28,7 +28,7 @@
 class Network:
     """Hands out loopback IP numbers that no other test run uses."""
 
-    _taken = 0
+    _allocated = 0
 
     def __init__(self) -> None:
         pid = os.getpid()
@@ -36,8 +36,8 @@
 
     def address(self) -> str:
         """Return an unused IP number."""
-        Network._taken += 1
-        return f"{self._prefix}.{1 + Network._taken % 254}"
+        Network._allocated += 1
+        return f"{self._prefix}.{1 + Network._allocated % 254}"
 
 
 @dataclasses.dataclass(slots=True)
@@ -56,11 +56,11 @@
         self.popen.kill()
         self.popen.wait()
 
-    def freeze(self) -> None:
+    def suspend(self) -> None:
         """Stop the process in its tracks."""
         self.popen.send_signal(signal.SIGSTOP)
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """Let a frozen process go on."""
         self.popen.send_signal(signal.SIGCONT)
 
@@ -74,7 +74,7 @@
     """The processes of one scenario."""
 
     def __init__(self) -> None:
-        self._folder = tempfile.TemporaryDirectory(prefix="pimentolatch-")
+        self._directory = tempfile.TemporaryDirectory(prefix="pimentolatch-")
         self._by_name: dict[str, Process] = {}
 
     def __getitem__(self, name: str) -> Process:
@@ -88,7 +88,7 @@
         health: str,
     ) -> Process:
         """Start `python -m command --settings FILE`; does not wait for it."""
-        path = pathlib.Path(self._folder.name) / f"{name}.json"
+        path = pathlib.Path(self._directory.name) / f"{name}.json"
         path.write_text(json.dumps(settings), encoding="utf-8")
         log = path.with_suffix(".log")
         with log.open("ab") as output:
@@ -105,8 +105,8 @@
         """Wait until the processes answer their health checks with 200 or 404."""
         for name in self._by_name if names is None else names:
             process = self._by_name[name]
-            answers = functools.partial(_answers, process)
-            wait_for(answers, f"{name}: {process.log}")
+            healthy = functools.partial(_is_healthy, process)
+            wait_for(healthy, f"{name}: {process.log}")
 
     def stop_all(self) -> None:
         """End every process of the scenario."""
@@ -115,21 +115,23 @@
                 process.popen.kill()
         for process in self._by_name.values():
             process.popen.wait()
-        self._folder.cleanup()
+        self._directory.cleanup()
 
 
 def wait_for(
-    condition: typing.Callable[[], bool], what: str, limit_s: float = _START_TIMEOUT_S
+    condition: typing.Callable[[], bool],
+    description: str,
+    timeout_s: float = _START_TIMEOUT_S,
 ) -> None:
     """Poll until a condition holds; fails with a message after a generous limit."""
-    end = time.monotonic() + limit_s
+    deadline = time.monotonic() + timeout_s
     while not condition():
-        if time.monotonic() > end:
-            raise AssertionError(f"never came true: {what}")
+        if time.monotonic() > deadline:
+            raise AssertionError(f"never came true: {description}")
         time.sleep(_POLL_S)
 
 
-def _answers(process: Process) -> bool:
+def _is_healthy(process: Process) -> bool:
     if process.popen.poll() is not None:
         raise AssertionError(f"{process.name} ended: {process.log.read_text()}")
     try:
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -13,13 +13,13 @@
 __all__ = ["Relays"]
 
 _CHUNK = 65_536
-TOWARDS = "towards"
-BACK = "back"
+TO_SERVER = "to server"
+TO_CLIENT = "to client"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Cut:
-    target: str
+    relay: str
     source: str | None
     direction: str
 
@@ -33,24 +33,28 @@
         self._thread.start()
         self._cuts: set[_Cut] = set()
         self._delays: dict[str, float] = {}
-        self._open: dict[str, set[asyncio.StreamWriter]] = {}
-        self._changed = asyncio.Condition()
+        self._writers: dict[str, set[asyncio.StreamWriter]] = {}
+        self._cuts_changed = asyncio.Condition()
         self._servers: list[asyncio.Server] = []
 
-    def start(self, name: str, listen: tuple[str, int], to: tuple[str, int]) -> None:
+    def start(
+        self, name: str, listen: tuple[str, int], target: tuple[str, int]
+    ) -> None:
         """Relay what comes to an address; `name` is used to cut it."""
-        self._call(self._start(name, listen, to))
+        self._call(self._start(name, listen, target))
 
     def cut(self, name: str, direction: str, source: str | None = None) -> None:
         """Hold back what goes through a relay in a direction, from a source or all."""
-        self._call(self._change(self._cuts | {_Cut(name, source, direction)}))
+        self._call(self._set_cuts(self._cuts | {_Cut(name, source, direction)}))
 
     def heal(self, name: str | None = None) -> None:
         """End all cuts and delays, or those of one relay."""
         for delayed in list(self._delays) if name is None else [name]:
             self._delays.pop(delayed, None)
-        kept = {cut for cut in self._cuts if name is not None and cut.target != name}
-        self._call(self._change(kept))
+        remaining = {
+            cut for cut in self._cuts if name is not None and cut.relay != name
+        }
+        self._call(self._set_cuts(remaining))
 
     def delay(self, name: str, seconds: float) -> None:
         """Hold back each piece that goes through a relay for some time."""
@@ -71,49 +75,53 @@
         asyncio.run_coroutine_threadsafe(work, self._loop).result()
 
     async def _start(
-        self, name: str, listen: tuple[str, int], to: tuple[str, int]
+        self, name: str, listen: tuple[str, int], target: tuple[str, int]
     ) -> None:
         async def serve(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            await self._serve(name, to, reader, writer)
+            await self._serve(name, target, reader, writer)
 
         self._servers.append(await asyncio.start_server(serve, *listen))
 
     async def _serve(
         self,
         name: str,
-        to: tuple[str, int],
+        target: tuple[str, int],
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         source = writer.get_extra_info("peername")[0]
         try:
-            await self._wait_open(name, source, TOWARDS)
-            far_reader, far_writer = await asyncio.open_connection(
-                *to, local_addr=(source, 0)
+            await self._wait_until_healed(name, source, TO_SERVER)
+            server_reader, server_writer = await asyncio.open_connection(
+                *target, local_addr=(source, 0)
             )
         except OSError:
             writer.close()
             return
-        ends = {writer, far_writer}
-        opened = self._open.setdefault(name, set())
-        opened |= ends
-        pumps = (
-            asyncio.create_task(self._pump(name, source, TOWARDS, reader, far_writer)),
-            asyncio.create_task(self._pump(name, source, BACK, far_reader, writer)),
+        writers = {writer, server_writer}
+        open_writers = self._writers.setdefault(name, set())
+        open_writers |= writers
+        forwarders = (
+            asyncio.create_task(
+                self._forward(name, source, TO_SERVER, reader, server_writer)
+            ),
+            asyncio.create_task(
+                self._forward(name, source, TO_CLIENT, server_reader, writer)
+            ),
         )
         try:
-            await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(forwarders, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for pump in pumps:
-                pump.cancel()
-            await asyncio.gather(*pumps, return_exceptions=True)
-            opened -= ends
+            for forwarder in forwarders:
+                forwarder.cancel()
+            await asyncio.gather(*forwarders, return_exceptions=True)
+            open_writers -= writers
             writer.close()
-            far_writer.close()
+            server_writer.close()
 
-    async def _pump(
+    async def _forward(
         self,
         name: str,
         source: str,
@@ -123,35 +131,37 @@
     ) -> None:
         while data := await reader.read(_CHUNK):
             await asyncio.sleep(self._delays.get(name, 0.0))
-            await self._wait_open(name, source, direction)
+            await self._wait_until_healed(name, source, direction)
             writer.write(data)
             await writer.drain()
         # A close is no news either while the link is cut.
-        await self._wait_open(name, source, direction)
+        await self._wait_until_healed(name, source, direction)
 
-    async def _wait_open(self, name: str, source: str, direction: str) -> None:
-        async with self._changed:
-            await self._changed.wait_for(
+    async def _wait_until_healed(self, name: str, source: str, direction: str) -> None:
+        async with self._cuts_changed:
+            await self._cuts_changed.wait_for(
                 lambda: not self._is_cut(name, source, direction)
             )
 
     def _is_cut(self, name: str, source: str, direction: str) -> bool:
-        return any(_Cut(name, who, direction) in self._cuts for who in (source, None))
+        return any(
+            _Cut(name, client, direction) in self._cuts for client in (source, None)
+        )
 
     async def _reset(self, name: str) -> None:
-        for writer in list(self._open.get(name, ())):
+        for writer in list(self._writers.get(name, ())):
             writer.transport.abort()
 
-    async def _change(self, cuts: set[_Cut]) -> None:
-        async with self._changed:
+    async def _set_cuts(self, cuts: set[_Cut]) -> None:
+        async with self._cuts_changed:
             self._cuts = cuts
-            self._changed.notify_all()
+            self._cuts_changed.notify_all()
 
     async def _stop(self) -> None:
         for server in self._servers:
             server.close()
         current = asyncio.current_task()
-        rest = [task for task in asyncio.all_tasks() if task is not current]
-        for task in rest:
+        tasks = [task for task in asyncio.all_tasks() if task is not current]
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*rest, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
--- a/standins/route_server.py
+++ b/standins/route_server.py
@@ -14,22 +14,22 @@
 
 import h11
 
-__all__ = ["Received", "RouteServer"]
+__all__ = ["ReceivedRequest", "RouteServer"]
 
-_EVENTS = 6
-_FATAL_AFTER_S = 0.05
-_PAUSES_S = {"slow": 0.5, "late": 1.3, "late cut": 1.3, "stuck": 30.0}
+_EVENT_COUNT = 6
+_CRASH_DELAY_S = 0.05
+_RESPONSE_DELAYS_S = {"slow": 0.5, "late": 1.3, "late cut": 1.3, "stuck": 30.0}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Received:
+class ReceivedRequest:
     """One request that arrived.
 
     Attributes:
-        what: `read` for a prompt that is only read, `run`, or the call's path.
+        kind: `prefill` for a prompt that is only read, `run`, or the call's path.
     """
 
-    what: str
+    kind: str
     method: str
     target: str
     fields: dict[str, str]
@@ -53,18 +53,18 @@
             stays queued for longer than any client waits), `from the start` (a resumed
             stream begins anew).
         received: What arrived, in order.
-        times: When each of these arrived, by the event loop's clock.
-        listed_at: Address of its entry, if that is not its own.
+        arrival_times: When each of these arrived, by the event loop's clock.
+        advertised_address: Address of its entry, if that is not its own.
         cancelled: Ids of requests whose connection closed while they ran.
-        freed: Handles that were freed.
-        dark: It answers no report either.
-        born: Unix time of its start in milliseconds; None if it does not say.
-        reborn_before_order: It starts again when it has given its next report.
+        freed_handles: Handles that were freed.
+        unresponsive: It answers no report either.
+        started_ms: Unix time of its start in milliseconds; None if it does not say.
+        restart_before_order: It starts again when it has given its next report.
         queued, running: Ids of requests that it has, for its report.
         fatal_body: A request with this body ends the process soon after it begins to
             run; None if there is none.
-        ended: The process has ended by such a request.
-        ended_at: When, by the event loop's clock.
+        crashed: The process has ended by such a request.
+        crashed_at: When, by the event loop's clock.
     """
 
     def __init__(
@@ -80,23 +80,23 @@
         self.stage = stage
         self.state = "ready"
         self.faults: collections.deque[str] = collections.deque()
-        self.received: list[Received] = []
-        self.times: list[float] = []
-        self.listed_at = ""
+        self.received: list[ReceivedRequest] = []
+        self.arrival_times: list[float] = []
+        self.advertised_address = ""
         self.cancelled: list[str] = []
-        self.freed: list[str] = []
+        self.freed_handles: list[str] = []
         self.orders: list[dict[str, typing.Any]] = []
-        self.dark = False
-        self.born: int | None = None
-        self.reborn_before_order = False
+        self.unresponsive = False
+        self.started_ms: int | None = None
+        self.restart_before_order = False
         self.queued: set[str] = set()
         self.running: set[str] = set()
         self.fatal_body: bytes | None = None
-        self.ended = False
-        self.ended_at = 0.0
+        self.crashed = False
+        self.crashed_at = 0.0
         self.port = 0
         self._server: asyncio.Server | None = None
-        self._links: set[_Link] = set()
+        self._connections: set[_Connection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
@@ -114,20 +114,20 @@
 
     def crash(self) -> None:
         """End the process: every connection closes and none is accepted."""
-        self.ended = True
-        self.ended_at = asyncio.get_running_loop().time()
+        self.crashed = True
+        self.crashed_at = asyncio.get_running_loop().time()
         if self._server is not None:
             self._server.close()
-        for link in list(self._links):
-            link.reset()
+        for connection in list(self._connections):
+            connection.reset()
 
-    def start_again(self, born: int) -> None:
+    def restart(self, started_ms: int) -> None:
         """Start a new life under the same id and address."""
-        self.born = born
+        self.started_ms = started_ms
         self.orders = []
         self.queued, self.running = set(), set()
-        for link in self._links:
-            link.reset()
+        for connection in self._connections:
+            connection.reset()
 
     def entry(self) -> dict[str, typing.Any]:
         """Return what the server writes about itself into the store."""
@@ -143,14 +143,14 @@
         }
         if self.stage is not None:
             entry["stage"] = self.stage
-        if self.born is not None:
-            entry["born"] = self.born
+        if self.started_ms is not None:
+            entry["born"] = self.started_ms
         return entry
 
-    def runs(self, request_id: str) -> int:
+    def count_runs(self, request_id: str) -> int:
         """Return how often a request ran here."""
         return sum(
-            item.what == "run" and item.fields.get("x-request-id") == request_id
+            item.kind == "run" and item.fields.get("x-request-id") == request_id
             for item in self.received
         )
 
@@ -161,43 +161,45 @@
         assert task is not None
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        link = _Link(reader, writer)
-        self._links.add(link)
+        connection = _Connection(reader, writer)
+        self._connections.add(connection)
         try:
-            while (received := await link.request()) is not None:
-                if not await self._answer(link, received):
+            while (request := await connection.read_request()) is not None:
+                if not await self._respond(connection, request):
                     break
         except (ConnectionError, h11.RemoteProtocolError, asyncio.CancelledError):
             pass
         finally:
-            self._links.discard(link)
+            self._connections.discard(connection)
             writer.close()
 
-    async def _answer(self, link: "_Link", received: Received) -> bool:
+    async def _respond(
+        self, connection: "_Connection", request: ReceivedRequest
+    ) -> bool:
         """Answer a request; False if the connection is to be closed."""
-        expected = received.fields.get("x-expect-instance", self.server_id)
-        self.received.append(received)
-        self.times.append(asyncio.get_running_loop().time())
+        expected = request.fields.get("x-expect-instance", self.server_id)
+        self.received.append(request)
+        self.arrival_times.append(asyncio.get_running_loop().time())
         if expected != self.server_id:
-            await link.send(421, [], b"")
+            await connection.send(421, [], b"")
             return True
-        if received.target == "/v1/report":
-            if self.dark:
-                await link.until_closed()
+        if request.target == "/v1/report":
+            if self.unresponsive:
+                await connection.wait_closed()
                 return False
-            await link.send(200, [], json.dumps(self._report()).encode())
-            if self.reborn_before_order:
-                self.reborn_before_order = False
-                self.start_again((self.born or 0) + 1)
+            await connection.send(200, [], json.dumps(self._report()).encode())
+            if self.restart_before_order:
+                self.restart_before_order = False
+                self.restart((self.started_ms or 0) + 1)
                 return False
             return True
-        if received.target == "/v1/order":
-            return await self._order(link, received)
-        if received.method == "DELETE":
-            self.freed.append(received.target.rsplit("/", 1)[-1])
-            await link.send(200, [], b"{}")
+        if request.target == "/v1/order":
+            return await self._handle_order(connection, request)
+        if request.method == "DELETE":
+            self.freed_handles.append(request.target.rsplit("/", 1)[-1])
+            await connection.send(200, [], b"{}")
             return True
-        return await self._work(link, received)
+        return await self._execute(connection, request)
 
     def _report(self) -> dict[str, typing.Any]:
         report: dict[str, typing.Any] = {
@@ -208,92 +210,105 @@
             "running": len(self.running),
             "runs": [[name, 0, 0, 5] for name in self.running],
         }
-        return report if self.born is None else report | {"born": self.born}
+        return report if self.started_ms is None else report | {"born": self.started_ms}
 
-    async def _order(self, link: "_Link", received: Received) -> bool:
-        order = json.loads(received.body)
+    async def _handle_order(
+        self, connection: "_Connection", request: ReceivedRequest
+    ) -> bool:
+        order = json.loads(request.body)
         if order["precondition"] != len(self.orders):
-            await link.send(409, [], b"{}")
+            await connection.send(409, [], b"{}")
             return True
         self.orders.append(order)
         self.stage = order["stage"]
-        await link.send(202, [], b"{}")
+        await connection.send(202, [], b"{}")
         return True
 
-    async def _work(self, link: "_Link", received: Received) -> bool:
+    async def _execute(
+        self, connection: "_Connection", request: ReceivedRequest
+    ) -> bool:
         fault = self.faults.popleft() if self.faults else ""
-        request_id = received.fields.get("x-request-id", "")
-        own = [(b"x-request-id", request_id.encode())]
-        born = "" if self.born is None else f"-{self.born}"
+        request_id = request.fields.get("x-request-id", "")
+        headers = [(b"x-request-id", request_id.encode())]
+        handle_suffix = "" if self.started_ms is None else f"-{self.started_ms}"
         if fault == "decline":
             self.received.pop()
-            self.times.pop()
-            await link.send(503, [*own, (b"x-not-executed", b"1")], b"")
+            self.arrival_times.pop()
+            await connection.send(503, [*headers, (b"x-not-executed", b"1")], b"")
             return True
         if fault == "reset":
-            link.reset()
+            connection.reset()
             return False
         if fault == "silent":
-            await self._until_closed(link, request_id)
+            await self._wait_cancelled(connection, request_id)
             return False
-        if fault in _PAUSES_S:
-            closed = asyncio.create_task(self._until_closed(link, request_id))
+        if fault in _RESPONSE_DELAYS_S:
+            closed = asyncio.create_task(self._wait_cancelled(connection, request_id))
             self.queued.add(request_id)
-            await asyncio.wait({closed}, timeout=_PAUSES_S[fault])
+            await asyncio.wait({closed}, timeout=_RESPONSE_DELAYS_S[fault])
             self.queued.discard(request_id)
             if closed.done():
                 return False
             closed.cancel()
             await asyncio.wait({closed})
         if fault == "fail":
-            await link.send(500, [*own, (b"x-response-seal", b"f")], b"failed")
+            await connection.send(
+                500, [*headers, (b"x-response-seal", b"f")], b"failed"
+            )
             return True
-        if received.what == "run" and received.body == self.fatal_body:
-            await asyncio.sleep(_FATAL_AFTER_S)
+        if request.kind == "run" and request.body == self.fatal_body:
+            await asyncio.sleep(_CRASH_DELAY_S)
             self.crash()
             return False
         if fault == "other first":
-            others = [(b"x-request-id", b"other"), (b"x-response-seal", b"other")]
-            await link.send(200, others, b"not yours", end=False)
-        if received.what == "read":
-            handle = {"kv_handle": f"h-{request_id}{born}", "tokens": 1, "version": 1}
-            await link.send(200, own, json.dumps(handle).encode())
+            foreign_headers = [
+                (b"x-request-id", b"other"),
+                (b"x-response-seal", b"other"),
+            ]
+            await connection.send(200, foreign_headers, b"not yours", expected=False)
+        if request.kind == "prefill":
+            handle = {
+                "kv_handle": f"h-{request_id}{handle_suffix}",
+                "tokens": 1,
+                "version": 1,
+            }
+            await connection.send(200, headers, json.dumps(handle).encode())
             return True
         if fault != "no proof":
-            own.append((b"x-response-seal", f"seal-{self.server_id}".encode()))
+            headers.append((b"x-response-seal", f"seal-{self.server_id}".encode()))
         if self.stage is None:
-            await link.send(200, own, b"answer of " + received.body)
+            await connection.send(200, headers, b"answer of " + request.body)
             return True
-        return await self._stream(link, received, own, fault)
+        return await self._stream(connection, request, headers, fault)
 
-    async def _until_closed(self, link: "_Link", request_id: str) -> None:
-        await link.until_closed()
+    async def _wait_cancelled(self, connection: "_Connection", request_id: str) -> None:
+        await connection.wait_closed()
         self.cancelled.append(request_id)
 
     async def _stream(
         self,
-        link: "_Link",
-        received: Received,
+        connection: "_Connection",
+        request: ReceivedRequest,
         fields: list[tuple[bytes, bytes]],
         fault: str,
     ) -> bool:
-        first = int(received.fields.get("last-event-id", "0")) + 1
+        first = int(request.fields.get("last-event-id", "0")) + 1
         if fault == "from the start":
             first = 1
-        await link.begin(200, fields)
-        for number in range(first, _EVENTS + 1):
+        await connection.send_head(200, fields)
+        for number in range(first, _EVENT_COUNT + 1):
             event = f"id: {number}\ndata: piece {number}\n\n".encode()
             if fault.endswith("cut") and number == first + 2:
-                await link.part(event[: len(event) // 2])
-                link.reset()
+                await connection.send_chunk(event[: len(event) // 2])
+                connection.reset()
                 return False
-            await link.part(event)
+            await connection.send_chunk(event)
             await asyncio.sleep(0.005)
-        await link.end()
+        await connection.send_end()
         return True
 
 
-class _Link:
+class _Connection:
     """One connection."""
 
     def __init__(
@@ -303,7 +318,7 @@
         self._writer = writer
         self._parser = h11.Connection(h11.SERVER)
 
-    async def request(self) -> Received | None:
+    async def read_request(self) -> ReceivedRequest | None:
         """Return the next request, or None at the connection's end."""
         if self._parser.our_state is h11.DONE:
             self._parser.start_next_cycle()
@@ -321,7 +336,7 @@
             elif isinstance(event, h11.Data):
                 body += event.data
             elif isinstance(event, h11.EndOfMessage) and head is not None:
-                return _received(head, bytes(body))
+                return _parse_request(head, bytes(body))
             else:
                 return None
 
@@ -331,37 +346,37 @@
         fields: list[tuple[bytes, bytes]],
         body: bytes,
         *,
-        end: bool = True,
+        expected: bool = True,
     ) -> None:
         """Send a whole answer; without `end`, one more than was asked for."""
-        if not end:
+        if not expected:
             head = b"".join(n + b": " + v + b"\r\n" for n, v in fields)
             length = b"content-length: %d\r\n\r\n" % len(body)
             self._writer.write(b"HTTP/1.1 %d \r\n" % status + head + length + body)
             await self._writer.drain()
             return
-        await self.begin(status, [*fields, (b"content-length", b"%d" % len(body))])
-        await self.part(body)
-        await self.end()
+        await self.send_head(status, [*fields, (b"content-length", b"%d" % len(body))])
+        await self.send_chunk(body)
+        await self.send_end()
 
-    async def begin(self, status: int, fields: list[tuple[bytes, bytes]]) -> None:
+    async def send_head(self, status: int, fields: list[tuple[bytes, bytes]]) -> None:
         """Send status and header."""
         response = h11.Response(status_code=status, headers=fields)
         self._writer.write(self._parser.send(response) or b"")
         await self._writer.drain()
 
-    async def part(self, data: bytes) -> None:
+    async def send_chunk(self, data: bytes) -> None:
         """Send a part of the body."""
         if data:
             self._writer.write(self._parser.send(h11.Data(data)) or b"")
             await self._writer.drain()
 
-    async def end(self) -> None:
+    async def send_end(self) -> None:
         """Send the end of the body."""
         self._writer.write(self._parser.send(h11.EndOfMessage()) or b"")
         await self._writer.drain()
 
-    async def until_closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until the other side closes the connection."""
         with contextlib.suppress(ConnectionError):
             while await self._reader.read(65_536):
@@ -372,10 +387,10 @@
         self._writer.transport.abort()
 
 
-def _received(head: h11.Request, body: bytes) -> Received:
+def _parse_request(head: h11.Request, body: bytes) -> ReceivedRequest:
     fields = {n.decode().lower(): v.decode() for n, v in head.headers}
-    what = "read" if fields.get("x-stage") == "prefill" else "run"
+    kind = "prefill" if fields.get("x-stage") == "prefill" else "run"
     target = head.target.decode()
     if target.startswith("/v1/"):
-        what = target
-    return Received(what, head.method.decode(), target, fields, body)
+        kind = target
+    return ReceivedRequest(kind, head.method.decode(), target, fields, body)
--- a/tests/features/steps/capacity_steps.py
+++ b/tests/features/steps/capacity_steps.py
@@ -13,7 +13,7 @@
 from pimentolatch.gateway import capacity_controller, fleet_state
 from pimentolatch.platform import configuration, control_api
 from pimentolatch.routes import servers, table
-from standins import memory_store, objects
+from standins import memory_store, object_table
 from tests.support import route_world, scaling_world
 
 SECOND = datetime.timedelta(seconds=1)
@@ -203,7 +203,7 @@
         self.counts = {(domain, False): 2 for domain in PRICES}
         self.revision = 0
         self.time = clock.ManualClock()
-        self.table = objects.ObjectTable()
+        self.table = object_table.ObjectTable()
         self.orders = []
         self.list()
 
--- a/tests/features/steps/change_steps.py
+++ b/tests/features/steps/change_steps.py
@@ -43,7 +43,9 @@
     ]
     context.replies = []
     context.streaming = threading.Thread(
-        target=lambda: context.replies.extend(callers.many(context.asks))
+        target=lambda: context.replies.extend(
+            callers.complete_concurrently(context.asks)
+        )
     )
     context.streaming.start()
     processes.wait_for(
--- a/tests/features/steps/config_logic_steps.py
+++ b/tests/features/steps/config_logic_steps.py
@@ -18,7 +18,7 @@
 )
 from pimentolatch.document import changes, schema
 from pimentolatch.protocol import messages
-from standins import memory_store, objects
+from standins import memory_store, object_table
 from tests.support import config_history, config_world, schedule
 from tests.support.proofs import promise_9
 
@@ -170,7 +170,7 @@
 
 async def _collect(seed, kind):
     plan = schedule.Schedule(seed)
-    table = objects.ObjectTable()
+    table = object_table.ObjectTable()
     unreadable = []
     removed = []
 
--- a/tests/features/steps/config_steps.py
+++ b/tests/features/steps/config_steps.py
@@ -29,7 +29,7 @@
 
 
 def look(context, entry):
-    number = context.deployment.number(entry)
+    number = context.deployment.document_number(entry)
     context.seen[entry].append(number)
     return number
 
@@ -86,12 +86,12 @@
 
 @behave.when('config: "{entry}" is frozen')
 def freeze(context, entry):
-    context.deployment.processes[entry].freeze()
+    context.deployment.processes[entry].suspend()
 
 
 @behave.when('config: "{entry}" wakes and is watched until it has the latest document')
 def wake(context, entry):
-    context.deployment.processes[entry].wake()
+    context.deployment.processes[entry].resume()
     for name in context.deployment.entries:
         wait_for_number(context, name, context.latest)
 
--- a/tests/features/steps/customers_steps.py
+++ b/tests/features/steps/customers_steps.py
@@ -64,7 +64,7 @@
         item
         for server in context.world.servers.values()
         for item in server.received
-        if item.what in ("run", "read")
+        if item.kind in ("run", "prefill")
     ]
 
 
--- a/tests/features/steps/handover_steps.py
+++ b/tests/features/steps/handover_steps.py
@@ -46,7 +46,9 @@
         for n in range(briefings)
     ]
     early = []
-    thread = threading.Thread(target=lambda: early.extend(callers.many(first)))
+    thread = threading.Thread(
+        target=lambda: early.extend(callers.complete_concurrently(first))
+    )
     thread.start()
     status = deployment.operators_url("entry-1", "/v1/status")
     processes.wait_for(
@@ -54,7 +56,7 @@
         "drafts under way",
     )
     time.sleep(0.2)
-    late = callers.many(second)
+    late = callers.complete_concurrently(second)
     thread.join()
     context.asks = first + second
     context.replies = early + late
--- a/tests/features/steps/orders_duty_steps.py
+++ b/tests/features/steps/orders_duty_steps.py
@@ -12,7 +12,7 @@
 from pimentolatch.control import drain, leader_lease, reconciler, slots
 from pimentolatch.decisions import roles, serving_floor
 from pimentolatch.document import schema
-from standins import memory_store, objects
+from standins import memory_store, object_table
 
 DOMAIN = "north"
 STEP = datetime.timedelta(milliseconds=100)
@@ -24,7 +24,7 @@
     def __init__(self, count):
         self.time = clock.ManualClock()
         self.faults = memory_store.StoreFaults()
-        table = objects.ObjectTable()
+        table = object_table.ObjectTable()
         self.leases = {}
         self.stores = []
         for number in range(count):
@@ -94,7 +94,7 @@
 def platform_is_out(context, seconds):
     context.lease.faults.outage = True
     context.lease.run(seconds)
-    context.lease.faults.end()
+    context.lease.faults.clear()
 
 
 @behave.then("duty: no second of the next {seconds:d} saw more than {limit:d} calls")
@@ -278,7 +278,7 @@
 def two_writers(context):
     context.time = clock.ManualClock()
     context.faults = memory_store.StoreFaults()
-    context.stored = objects.ObjectTable()
+    context.stored = object_table.ObjectTable()
     context.writers = [
         trail.AuditTrail(
             memory_store.MemoryStore(
@@ -331,7 +331,7 @@
         for _ in range(changes):
             note(context, writer)
             assert not await writer.flush()
-        context.faults.end()
+        context.faults.clear()
         await _flush(writer)
 
     asyncio.run(run())
--- a/tests/features/steps/orders_process_steps.py
+++ b/tests/features/steps/orders_process_steps.py
@@ -118,7 +118,7 @@
 
 @behave.when("orders: the frozen process wakes and ends")
 def frozen_wakes(context):
-    context.frozen.wake()
+    context.frozen.resume()
     context.outcome = finish(context.frozen)
 
 
--- a/tests/features/steps/path_steps.py
+++ b/tests/features/steps/path_steps.py
@@ -27,7 +27,7 @@
         for entry in context.deployment.entries
         for number in range(count)
     ]
-    context.replies = callers.many(context.asks)
+    context.replies = callers.complete_concurrently(context.asks)
 
 
 @behave.then("every completion is whole and answers its own prompt")
@@ -73,7 +73,9 @@
         for number in range(count)
     ]
     results = []
-    thread = threading.Thread(target=lambda: results.extend(callers.many(context.asks)))
+    thread = threading.Thread(
+        target=lambda: results.extend(callers.complete_concurrently(context.asks))
+    )
     thread.start()
     status = deployment.operators_url("entry-1", "/v1/status")
     processes.wait_for(
--- a/tests/features/steps/product_steps.py
+++ b/tests/features/steps/product_steps.py
@@ -128,7 +128,7 @@
     )
     if context.command.returncode == 0:
         processes.wait_for(
-            lambda: context.deployment.number("entry-1") > number,
+            lambda: context.deployment.document_number("entry-1") > number,
             f"a document after {number}",
         )
 
--- a/tests/features/steps/requests_http_steps.py
+++ b/tests/features/steps/requests_http_steps.py
@@ -123,7 +123,9 @@
     context.asks = [completions.ask(deployment, "entry-1", "long", LAST_STREAM)]
     context.replies = []
     thread = threading.Thread(
-        target=lambda: context.replies.extend(callers.many(context.asks))
+        target=lambda: context.replies.extend(
+            callers.complete_concurrently(context.asks)
+        )
     )
     thread.start()
     context.found = [
@@ -206,11 +208,13 @@
     ]
     context.replies = []
     thread = threading.Thread(
-        target=lambda: context.replies.extend(callers.many(context.asks))
+        target=lambda: context.replies.extend(
+            callers.complete_concurrently(context.asks)
+        )
     )
     thread.start()
     processes.wait_for(lambda: streams(deployment) > 0, "streams at the engine")
-    deployment.processes["engine-1"].freeze()
+    deployment.processes["engine-1"].suspend()
     thread.join()
 
 
@@ -228,11 +232,13 @@
     headers = {"x-request-timeout-ms": str(timeout)}
     replies = []
     thread = threading.Thread(
-        target=lambda: replies.extend(callers.many([(url, body, headers)]))
+        target=lambda: replies.extend(
+            callers.complete_concurrently([(url, body, headers)])
+        )
     )
     thread.start()
     processes.wait_for(lambda: streams(deployment) > 0, "the stream began")
-    deployment.processes["engine-1"].freeze()
+    deployment.processes["engine-1"].suspend()
     thread.join()
     [context.reply] = replies
 
@@ -240,7 +246,7 @@
 @behave.then("the stream ends with code {code:d} as its last record")
 def ends_with_code(context, code):
     reply = context.reply
-    assert not reply.whole and reply.error["code"] == code, reply
+    assert not reply.is_complete and reply.error["code"] == code, reply
     assert reply.error["execution"] == "ran", reply
     assert callers.expected_text("slow", 1000).startswith(reply.text) and reply.text
 
--- a/tests/features/steps/requests_stop_steps.py
+++ b/tests/features/steps/requests_stop_steps.py
@@ -38,7 +38,9 @@
     context.asks = [completions.ask(deployment, "entry-1", "long", 300)]
     context.replies = []
     context.thread = threading.Thread(
-        target=lambda: context.replies.extend(callers.many(context.asks))
+        target=lambda: context.replies.extend(
+            callers.complete_concurrently(context.asks)
+        )
     )
     context.thread.start()
     processes.wait_for(
--- a/tests/features/steps/routes_incarnations_steps.py
+++ b/tests/features/steps/routes_incarnations_steps.py
@@ -40,7 +40,7 @@
 )
 from standins import (
     memory_store,
-    objects,
+    object_table,
     route_server,
 )
 from tests.support import route_world
@@ -215,14 +215,14 @@
     context.route_runner = asyncio.Runner()
     context.world = route_world.RouteWorld()
     context.server = route_server.RouteServer(name, "lm", "here", "prefill")
-    context.server.born = 1000
+    context.server.started_ms = 1000
     context.world.servers[name] = context.server
     context.route_runner.run(context.server.start())
     time = clock.SystemClock()
     context.known = fleet_state.FleetState()
     spec = route_world.configuration(1, route_world.ROUTES)
     context.known.configure(configuration.decode(spec), spec)
-    store = memory_store.MemoryStore(objects.ObjectTable(), time=time, link="one")
+    store = memory_store.MemoryStore(object_table.ObjectTable(), time=time, link="one")
     minute = datetime.timedelta(minutes=1)
     context.lease = lease.LeaderLease(store, "one", "life", minute, time)
 
@@ -240,13 +240,13 @@
 
 @behave.given('incarnations: "{name}" starts again once it has given its report')
 def reborn_after_report(context, name):
-    context.server.reborn_before_order = True
+    context.server.restart_before_order = True
 
 
 def order(context):
     context.revision = getattr(context, "revision", 0) + 1
     server = listed(
-        "p1", context.server.born, address=f"127.0.0.1:{context.server.port}"
+        "p1", context.server.started_ms, address=f"127.0.0.1:{context.server.port}"
     )
     context.known.replace_servers(context.revision, [server])
     change = stage_plan.Change(server.incarnation, servers.Stage.DECODE, 0.1, 1.2, 50.0)
@@ -261,9 +261,9 @@
 
 @behave.then('incarnations: "p1" has received no order')
 def no_order(context):
-    assert context.server.born == 1001, "it has not started again"
+    assert context.server.started_ms == 1001, "it has not started again"
     assert not context.server.orders
-    assert not [r for r in context.server.received if r.what == "/v1/order"]
+    assert not [r for r in context.server.received if r.kind == "/v1/order"]
 
 
 @behave.then('incarnations: "p1" has received 1 order')
@@ -276,7 +276,7 @@
     world, reader = context.world, context.world.servers[name]
 
     async def ask():
-        reader.born = 1000
+        reader.started_ms = 1000
         await world.write("servers", name, reader.entry())
         known = world.instances["one"][1].fleet
         await world.until(lambda: known.servers.get(name).born == 1000)
@@ -284,7 +284,7 @@
         reader.faults.append("slow")
         asked = asyncio.create_task(world.ask("digest", request))
         await world.until(lambda: reader.queued)
-        reader.born = 2000
+        reader.started_ms = 2000
         await world.write("servers", name, reader.entry())
         await world.until(lambda: known.servers.get(name).born == 2000)
         return await asked
@@ -295,11 +295,13 @@
 @behave.then("incarnations: no handle of the former life was sent or freed")
 def former_handle_unused(context):
     reader, writer = (context.world.servers[name] for name in ("p1", "d1"))
-    assert sum(item.what == "read" for item in reader.received) == 2
+    assert sum(item.kind == "prefill" for item in reader.received) == 2
     sources = [item.fields.get("x-kv-source", "") for item in writer.received]
     assert not any(source.endswith("-1000") for source in sources), sources
     assert any(source.endswith("-2000") for source in sources), sources
-    assert not any(handle.endswith("-1000") for handle in reader.freed), reader.freed
+    assert not any(handle.endswith("-1000") for handle in reader.freed_handles), (
+        reader.freed_handles
+    )
 
 
 @behave.when(
--- a/tests/features/steps/routes_orders_steps.py
+++ b/tests/features/steps/routes_orders_steps.py
@@ -7,7 +7,7 @@
 
 from pimentolatch import clock
 from pimentolatch.gateway import lease
-from standins import memory_store, objects
+from standins import memory_store, object_table
 
 LEASE = datetime.timedelta(seconds=3)
 TENTH = datetime.timedelta(milliseconds=100)
@@ -39,7 +39,7 @@
         self.chance = random.Random(seed)
         self.clock = clock.ManualClock()
         self.faults = memory_store.StoreFaults()
-        table = objects.ObjectTable()
+        table = object_table.ObjectTable()
         self.leases = {}
         for name in ("one", "two", "three"):
             link = memory_store.MemoryStore(
@@ -109,7 +109,7 @@
         elif what == "out":
             self.faults.outage = True
         else:
-            self.faults.end()
+            self.faults.clear()
 
     async def restart(self):
         if self.chance.random() < 0.3:
--- a/tests/features/steps/routes_serving_steps.py
+++ b/tests/features/steps/routes_serving_steps.py
@@ -99,9 +99,9 @@
 @behave.then('routes: "{reader}" freed the prompt of "{request_id}" and read it twice')
 def freed_and_read(context, reader, request_id):
     server = context.world.servers[reader]
-    context.run(context.world.until(lambda: server.freed))
-    assert server.freed == [f"h-{request_id}"], server.freed
-    assert sum(item.what == "read" for item in server.received) == 2
+    context.run(context.world.until(lambda: server.freed_handles))
+    assert server.freed_handles == [f"h-{request_id}"], server.freed_handles
+    assert sum(item.kind == "prefill" for item in server.received) == 2
 
 
 @behave.given('routes: the next stream of each writer ends by "late"')
@@ -112,7 +112,7 @@
 
 @behave.given('routes: "{name}" reports nothing')
 def reports_nothing(context, name):
-    context.world.servers[name].dark = True
+    context.world.servers[name].unresponsive = True
 
 
 @behave.given('routes: the next stream of each writer ends by "silent"')
@@ -175,7 +175,7 @@
 
 @behave.then("routes: the status promises nothing")
 def promises_nothing(context):
-    assert any(r.what == "run" for s in writers(context) for r in s.received)
+    assert any(r.kind == "run" for s in writers(context) for r in s.received)
     assert context.reply.status in (502, 504), context.reply
 
 
@@ -267,7 +267,9 @@
 @behave.then('routes: "{name}" read {count:d} prompts and "{other}" read {others:d}')
 def prompts_read(context, name, count, other, others):
     servers = context.world.servers
-    read = [sum(r.what == "read" for r in servers[n].received) for n in (name, other)]
+    read = [
+        sum(r.kind == "prefill" for r in servers[n].received) for n in (name, other)
+    ]
     assert read == [count, others], read
 
 
@@ -278,8 +280,8 @@
         await world.stop_store()
         added = route_world.route("added", "app", "safe")
         await world.configure(2, [*route_world.ROUTES, added])
-        world.platform.table.forget_history()
-        world.platform.tells_gone = False
+        world.platform.table.compact_history()
+        world.platform.reports_history_gone = False
         await world.start_store()
 
     context.run(context.world.add_server("a1", "app"))
@@ -329,8 +331,8 @@
 )
 def read_apart(context, name, request_id):
     got = context.world.servers[name].received
-    assert [item.what for item in got] == ["read"], got
-    ran = [item for s in writers(context) for item in s.received if item.what == "run"]
+    assert [item.kind for item in got] == ["prefill"], got
+    ran = [item for s in writers(context) for item in s.received if item.kind == "run"]
     assert len(ran) == 1, ran
     port = context.world.servers[name].port
     source = f"{route_world.HOST}:{port}/h-{request_id}"
@@ -339,14 +341,14 @@
 
 @behave.then('routes: each writer ran "{request_id}" once')
 def each_ran(context, request_id):
-    counts = [server.runs(request_id) for server in writers(context)]
+    counts = [server.count_runs(request_id) for server in writers(context)]
     assert counts == [1, 1], counts
 
 
 @behave.then('routes: "{request_id}" ran {count:d} time')
 @behave.then('routes: "{request_id}" ran {count:d} times')
 def ran_times(context, request_id, count):
-    ran = sum(s.runs(request_id) for s in context.world.servers.values())
+    ran = sum(s.count_runs(request_id) for s in context.world.servers.values())
     assert ran == count, ran
 
 
@@ -383,7 +385,7 @@
 
 @behave.then('routes: "{name}" never got "{request_id}"')
 def never_got(context, name, request_id):
-    got = [r for r in context.world.servers[name].received if r.what == "run"]
+    got = [r for r in context.world.servers[name].received if r.kind == "run"]
     assert got == [], got
 
 
--- a/tests/features/steps/routes_store_steps.py
+++ b/tests/features/steps/routes_store_steps.py
@@ -6,7 +6,7 @@
 from pimentolatch import clock, settings
 from pimentolatch.backend import channel
 from pimentolatch.gateway import expired_entries, fleet_state, lease, store_watch
-from standins import memory_store, objects
+from standins import memory_store, object_table
 from tests.support import route_world
 
 BETWEEN = datetime.timedelta(seconds=3)
@@ -17,7 +17,7 @@
 def two_instances(context):
     context.clock = clock.ManualClock()
     context.faults = memory_store.StoreFaults()
-    table = objects.ObjectTable()
+    table = object_table.ObjectTable()
     context.leases = {}
     for name in ("one", "two"):
         link = memory_store.MemoryStore(
@@ -62,7 +62,7 @@
         while not asked.done():
             await asyncio.sleep(0)
             context.clock.advance(datetime.timedelta(milliseconds=1))
-        context.faults.end()
+        context.faults.clear()
         assert await asked == [True, True]
 
     asyncio.run(both())
@@ -217,7 +217,7 @@
         self.runner = runner
         self.clock = clock.ManualClock()
         self.faults = memory_store.StoreFaults()
-        self.table = objects.ObjectTable()
+        self.table = object_table.ObjectTable()
         self.known = fleet_state.FleetState()
         link = memory_store.MemoryStore(self.table, time=self.clock, faults=self.faults)
         self.watches = 0
--- a/tests/features/steps/usage_steps.py
+++ b/tests/features/steps/usage_steps.py
@@ -391,7 +391,7 @@
 
     def again():
         found = [c for c in context.receiver.received if c.body == first.body]
-        return len(found) > 1 and found[-1].done
+        return len(found) > 1 and found[-1].executed
 
     context.run(context.world.until(again))
     same = [
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -75,9 +75,9 @@
     seen = [item for client in clients for item in client.seen]
     servers = [*world.servers.values(), *world.gone]
     striker.struck += [
-        soak_faults.Struck(soak_faults.SERVER_ENDS, "", s.ended_at, s.ended_at)
+        soak_faults.Struck(soak_faults.SERVER_ENDS, "", s.crashed_at, s.crashed_at)
         for s in servers
-        if s.ended
+        if s.crashed
     ]
     found = list(soak_checks.violations(seen, servers, striker, logs, margin_s))
     found += soak_checks.fatal_requests(seen, servers, striker, margin_s)
--- a/tests/support/completions.py
+++ b/tests/support/completions.py
@@ -33,6 +33,6 @@
     """Check that every ask has a whole answer, and its own."""
     assert len(replies) == len(asks) > 0
     for (_, body, _), reply in zip(asks, replies, strict=True):
-        assert reply.whole, reply
+        assert reply.is_complete, reply
         expected = callers.expected_text(body["prompt"], body["max_tokens"])
         assert reply.text == expected, (body, reply)
--- a/tests/support/config_world.py
+++ b/tests/support/config_world.py
@@ -33,7 +33,7 @@
 )
 from pimentolatch.protocol import codec, messages
 from pimentolatch.requests import suspect_completions
-from standins import memory_store, objects
+from standins import memory_store, object_table
 from tests.support import config_history, schedule
 
 __all__ = ["ConfigWorld", "Safeguards", "document"]
@@ -71,7 +71,7 @@
     introduces: bool = True
 
 
-class _Table(objects.ObjectTable):
+class _Table(object_table.ObjectTable):
     def __init__(self, plan: schedule.Schedule) -> None:
         super().__init__()
         self._plan = plan
@@ -79,7 +79,7 @@
 
     async def put(
         self, kind: str, name: str, value: typing.Any, if_version: int
-    ) -> objects.Row:
+    ) -> object_table.Row:
         row = await super().put(kind, name, value, if_version)
         if kind == heads.HEAD_KIND:
             head = heads.Head.from_json(value)
@@ -369,7 +369,7 @@
     def heal(self) -> None:
         """End all cuts and faults of the store."""
         self.cuts.clear()
-        self.faults.end()
+        self.faults.clear()
 
     async def operate(self, submission: str, expected: int | None) -> None:
         """Submit a document as an operator who asks again when it is not certain."""
--- a/tests/support/control_faults.py
+++ b/tests/support/control_faults.py
@@ -60,7 +60,7 @@
     for fault in faults:
         plan.start(_rounds(world, _FAULTS[fault]))
     await plan.run_until(FAULTS_UNTIL_S)
-    world.faults.end()
+    world.faults.clear()
     world.links.cut.clear()
     await plan.run_until(FAULTS_UNTIL_S + SETTLED_WITHIN_S, world.settled)
     settled, end = world.settled(), plan.now
@@ -203,7 +203,7 @@
 def _engine_crash(world: control_world.World) -> None:
     engine = world.engines[world.plan.random.choice(control_world.ENGINES)]
     if world.plan.random.random() < 0.7:
-        engine.crash_in_change += 1
+        engine.crashes_during_change += 1
     else:
         down = schedule.seconds(world.plan.random.uniform(0.5, 5))
         world.plan.start(engine.crash(down))
--- a/tests/support/control_world.py
+++ b/tests/support/control_world.py
@@ -17,7 +17,7 @@
 from pimentolatch.decisions import roles
 from pimentolatch.document import schema
 from pimentolatch.membership import views
-from standins import memory_engine, memory_store, objects
+from standins import memory_engine, memory_store, object_table
 from tests.support import history, schedule
 
 __all__ = ["DOMAIN", "Instance", "Safeguards", "World"]
@@ -49,7 +49,7 @@
     leaving: bool = True
 
 
-class _Table(objects.ObjectTable):
+class _Table(object_table.ObjectTable):
     """The object table, recording what happens to slots."""
 
     def __init__(
@@ -62,8 +62,8 @@
 
     async def put(
         self, kind: str, name: str, value: typing.Any, if_version: int
-    ) -> objects.Row:
-        """See `objects.ObjectTable.put`."""
+    ) -> object_table.Row:
+        """See `object_table.ObjectTable.put`."""
         if not self._conditional and (row := self.get(kind, name)):
             if_version = row.version
         written = await super().put(kind, name, value, if_version)
@@ -384,7 +384,7 @@
         name = f"request-{self._requests}"
         delay = self.plan.random.choice((0.001, 0.005, 0.3))
         await self.plan.time.sleep(schedule.seconds(delay))
-        if not self.links.carries(sender.name, engine):
+        if not self.links.can_reach(sender.name, engine):
             return
         cut = self.engines[engine].begin_stream(name, sender.incarnation)
         if cut is None:
@@ -399,8 +399,8 @@
         kind = memory_engine.EngineKind(
             checks_fencing=fenced and closed,
             # Fencing alone must do for an engine that checks it.
-            closes_late=not fenced and closed,
-            counts_streams=self.safeguards.engine_counts,
+            rejects_late_orders=not fenced and closed,
+            reports_streams=self.safeguards.engine_counts,
             read_timeout_s=_READ_TIMEOUT_S,
         )
         return memory_engine.MemoryEngine(
@@ -449,7 +449,7 @@
     ) -> None:
         delay = self.plan.random.choice((0.001, 0.01, 0.3))
         await self.plan.time.sleep(schedule.seconds(delay))
-        if self.links.carries(sender.name, receiver.name) and receiver.alive:
+        if self.links.can_reach(sender.name, receiver.name) and receiver.alive:
             await self.plan.point(receiver.incarnation, "receive")
             effect()
 
--- a/tests/support/crash_world.py
+++ b/tests/support/crash_world.py
@@ -47,7 +47,7 @@
     @property
     def ended(self):
         """Servers that have ended and are not replaced yet, or are."""
-        return [server for server in self.servers.values() if server.ended]
+        return [server for server in self.servers.values() if server.crashed]
 
     def sendings(self, body):
         """Return how often a body has reached a server, prefill included."""
--- a/tests/support/proofs/promise_8.py
+++ b/tests/support/proofs/promise_8.py
@@ -70,8 +70,8 @@
         if fault == "engine_crash":
             engine.kill()
         else:
-            engine.freeze()
-            threading.Timer(_FREEZE_S, engine.wake).start()
+            engine.suspend()
+            threading.Timer(_FREEZE_S, engine.resume).start()
 
 
 PROOF: matrix.Proof = GracefulStop()
--- a/tests/support/request_parts.py
+++ b/tests/support/request_parts.py
@@ -14,7 +14,7 @@
 from pimentolatch.decisions import outstanding_work
 from pimentolatch.document import schema
 from pimentolatch.requests import claims, keys, once, retired, service_call, tickets
-from standins import memory_store, objects
+from standins import memory_store, object_table
 from tests.support import request_history, virtual_time
 
 __all__ = ["Grounds", "LogicInstance", "Safeguards", "Server", "document_of"]
@@ -46,7 +46,7 @@
         self.safeguards = safeguards
         self.time = virtual_time.LoopClock()
         self.history = request_history.RequestHistory()
-        self.table = objects.ObjectTable()
+        self.table = object_table.ObjectTable()
         self.store_faults = memory_store.StoreFaults()
         self.servers: dict[str, Server] = {}
         self.instances: dict[str, LogicInstance] = {}
--- a/tests/support/soak_checks.py
+++ b/tests/support/soak_checks.py
@@ -51,7 +51,7 @@
 
 def fatal_requests(seen, servers, striker, margin_s):
     """Return whether a request that ended three servers went on being sent."""
-    ends = sorted(server.ended_at for server in servers if server.ended)
+    ends = sorted(server.crashed_at for server in servers if server.crashed)
     if len(ends) < MOST_ENDED:
         return []
     known_at = ends[MOST_ENDED - 1] + IN_TOUCH_S + margin_s
@@ -83,7 +83,7 @@
     runs = {}
     for server in servers:
         for item in server.received:
-            if item.what == "run":
+            if item.kind == "run":
                 request_id = item.fields.get("x-request-id", "")
                 runs.setdefault(request_id, []).append(server.server_id)
     return runs
@@ -129,14 +129,14 @@
         told = striker.drained.get(server.server_id)
         if told is None:
             continue
-        for item, at in zip(server.received, server.times, strict=True):
+        for item, at in zip(server.received, server.arrival_times, strict=True):
             late = at - told - DRAIN_S - margin_s
             gateway = senders.get(item.fields.get("x-request-id", ""))
             if late <= 0 or gateway is None:
                 continue
             if not _disturbed(striker.struck, told, at, gateway, OUT_OF_TOUCH):
                 yield (
-                    f"{server.server_id} got {item.what} {late:.2f} s too late from "
+                    f"{server.server_id} got {item.kind} {late:.2f} s too late from "
                     f"{gateway} after it began to leave"
                 )
 
--- a/tests/support/soak_faults.py
+++ b/tests/support/soak_faults.py
@@ -166,11 +166,11 @@
 
     async def _store_cut(self, fault, struck):
         name = f"store of {self._gateway(fault, struck).name}"
-        await self._cut(name, fault, relay.TOWARDS, relay.BACK)
+        await self._cut(name, fault, relay.TO_SERVER, relay.TO_CLIENT)
 
     async def _store_cut_one_way(self, fault, struck):
         name = f"store of {self._gateway(fault, struck).name}"
-        await self._cut(name, fault, relay.BACK)
+        await self._cut(name, fault, relay.TO_CLIENT)
 
     async def _store_down(self, fault, struck):
         store = self._world.store
@@ -180,14 +180,14 @@
             await store.start()
 
     async def _store_forgets(self, fault, struck):
-        self._world.platform.table.forget_history()
+        self._world.platform.table.compact_history()
 
     async def _server_cut(self, fault, struck):
         name = self._server(fault).server_id
-        await self._cut(name, fault, relay.TOWARDS, relay.BACK)
+        await self._cut(name, fault, relay.TO_SERVER, relay.TO_CLIENT)
 
     async def _server_cut_one_way(self, fault, struck):
-        await self._cut(self._server(fault).server_id, fault, relay.TOWARDS)
+        await self._cut(self._server(fault).server_id, fault, relay.TO_SERVER)
 
     async def _server_delayed(self, fault, struck):
         name = self._server(fault).server_id
--- a/tests/support/soak_world.py
+++ b/tests/support/soak_world.py
@@ -107,7 +107,7 @@
         await server.start()
         front = (self._network.address(), SERVER_PORT)
         self.relays.start(name, front, ("127.0.0.1", server.port))
-        server.listed_at = f"{front[0]}:{front[1]}"
+        server.advertised_address = f"{front[0]}:{front[1]}"
         self.servers[name] = server
         await self.list_server(name)
         return server
@@ -116,7 +116,7 @@
         """Write a server's entry as the server would."""
         server = self.servers[name]
         await self.store.write(
-            "servers", name, server.entry() | {"address": server.listed_at}
+            "servers", name, server.entry() | {"address": server.advertised_address}
         )
 
     async def remove_server(self, name):
@@ -133,7 +133,7 @@
         """Have new servers in place of those that a request has ended."""
         while not stop.is_set():
             await asyncio.sleep(REPLACED_AFTER_S)
-            for server in [s for s in self.servers.values() if s.ended]:
+            for server in [s for s in self.servers.values() if s.crashed]:
                 await self.add_server(server.service, server.stage)
                 await self.remove_server(server.server_id)
 
--- a/tests/support/usage_world.py
+++ b/tests/support/usage_world.py
@@ -11,7 +11,7 @@
 from pimentolatch.decisions import usage
 from pimentolatch.gateway import leadership, lease, usage_reports
 from pimentolatch.platform import control_api
-from standins import memory_store, objects
+from standins import memory_store, object_table
 
 WINDOW = datetime.timedelta(seconds=5)
 BETWEEN = datetime.timedelta(seconds=3)
@@ -156,7 +156,7 @@
         self.chance = random.Random(seed)
         self.time = clock.ManualClock()
         self.faults = memory_store.StoreFaults()
-        self.table = objects.ObjectTable()
+        self.table = object_table.ObjectTable()
         self.lives = iter(range(1_000_000))
         self.receiver = Receiver(self, faulty)
         self.cut_off = set()
@@ -271,7 +271,7 @@
             self._heal()
 
     def _heal(self):
-        self.faults.end()
+        self.faults.clear()
         self.cut_off.clear()
         self.receiver.silent = False
 
