--- a/standins/callers.py
+++ b/standins/callers.py
@@ -1,4 +1,4 @@
-"""Callers of an entry instance, for scenarios."""
+"""HTTP client for completions, as used by callers of an entry instance."""
 
 import asyncio
 import dataclasses
@@ -20,12 +20,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """What a caller received.
+    """Response that a caller received.
 
     Attributes:
-        status: HTTP status, or 0 when the connection failed.
+        status: HTTP status, or 0 if the connection failed.
+        text: Concatenated tokens.
         is_complete: Whether the stream ended with its end marker.
-        error: The error record, if one came.
+        error: Error record, if the response contained one.
     """
 
     status: int
@@ -35,7 +36,7 @@
 
 
 def expected_text(prompt: str, max_tokens: int) -> str:
-    """Return the whole answer of a stand-in engine to a prompt."""
+    """Return the complete output of an `engine.Engine` for a prompt."""
     return "".join(engine.answer_token(prompt, i) for i in range(max_tokens))
 
 
@@ -45,7 +46,7 @@
     body: dict[str, typing.Any],
     headers: dict[str, str] | None = None,
 ) -> Reply:
-    """Ask for a streamed completion and read it to its end."""
+    """Send a streaming completion request and read the response to its end."""
     text: list[str] = []
     error = None
     try:
@@ -89,5 +90,9 @@
 def complete_concurrently(
     calls: typing.Sequence[tuple[str, dict[str, typing.Any], dict[str, str]]],
 ) -> list[Reply]:
-    """Ask for many completions at once: (url, body, headers) each."""
+    """Send completion requests concurrently.
+
+    Args:
+        calls: (url, body, headers) of each request.
+    """
     return asyncio.run(_complete_concurrently(calls))
--- a/standins/control_api.py
+++ b/standins/control_api.py
@@ -1,4 +1,7 @@
-"""Stand-in for the platform's interface for reports and orders of one holder."""
+"""Stand-in for the platform's control API: usage reports and server orders.
+
+Only the leader calls it; fencing tokens reject calls of a former leader.
+"""
 
 import asyncio
 import collections
@@ -15,11 +18,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReceivedCall:
-    """A call that arrived.
+    """A received call.
 
     Attributes:
-        path: What was called.
-        executed: It was carried out.
+        path: URL path.
+        holder: Instance that sent the call as leader.
+        fence: Fencing token of the call.
+        executed: Whether the call took effect.
     """
 
     path: str
@@ -30,15 +35,17 @@
 
 
 class ControlApi:
-    """Checks fences and misbehaves on command.
+    """Checks fencing tokens and injects faults.
 
     Attributes:
-        received: Calls in the order of their arrival.
-        faults: Taken one by one by calls; empty text for none. `busy` refuses with
-            429, `silent` carries out and answers too late for any caller.
-        fences: Highest fence by path and subject.
+        received: Calls in the order of arrival.
+        faults: Faults of the next calls, one per call; an empty string is no fault.
+            `busy` refuses with 429; `silent` executes the call, but responds after the
+            timeout of every caller.
+        fences: Highest fencing token by path and subject.
         servers: Ordered servers by service, failure domain and kind.
-        exhausted_domains: Failure domains in which orders for more are refused.
+        exhausted_domains: Failure domains without capacity: orders that increase the
+            number of servers are refused.
     """
 
     def __init__(self) -> None:
@@ -49,11 +56,11 @@
         self.exhausted_domains: set[str] = set()
 
     def executed_calls(self, path: str) -> list[ReceivedCall]:
-        """Return the calls of a path that were carried out."""
+        """Return the calls to a path that took effect."""
         return [call for call in self.received if call.path == path and call.executed]
 
     async def call(self, request: requests.Request) -> responses.Response:
-        """Take a call."""
+        """Handle a usage report or an order."""
         body = json.loads(await request.body())
         fault = self.faults.popleft() if self.faults else ""
         fence = int(request.headers["x-fence-token"])
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,8 +1,10 @@
-"""The main job on embedded stand-ins, in one process: `make demo`.
+"""Demonstration with embedded stand-ins, in one process: `make demo`.
 
-Two entry instances in two failure domains stand before four engines and a plain
-server. Callers stream answers while a document gives one engine another role; one
-request is refused. Exits 0 only if every answer was whole and the refusal truthful.
+Two entry instances in two failure domains serve four engines and a plain server.
+Callers stream completions while a document changes the role of one engine. A request
+for an unknown model is refused. Exits with 0 only if every stream was complete, the
+role change cut none, the call of the plain service succeeded and the refusal says that
+the request did not run.
 """
 
 import asyncio
@@ -34,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A streamed answer as a caller received it."""
+    """A streamed completion as a caller received it."""
 
     prompt: str
     text: str
@@ -43,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deployment:
-    """What runs, with its addresses."""
+    """Running servers and instances, with their addresses."""
 
     engines: dict[str, settings.Address]
     document: dict[str, typing.Any]
@@ -178,7 +180,9 @@
     url = deployment.entries[0].operators.url + "/v1/documents?operator=demo"
     status, body = await _call("POST", url, deployment.document)
     if status != 200:
-        raise RuntimeError(f"the document was refused: {body}")
+        raise RuntimeError(
+            f"POST {url} refused the document with status {status}: {body}"
+        )
     number = int(body["number"])
     for entry in deployment.entries:
         await _wait_until(
@@ -200,7 +204,9 @@
         if condition((await _call("GET", url))[1]):
             return
         await asyncio.sleep(POLL_S)
-    raise RuntimeError(f"{url} never showed what was awaited")
+    raise RuntimeError(
+        f"{url} did not reach the expected state in {CHANGE_POLLS} polls"
+    )
 
 
 async def _run() -> bool:
@@ -215,21 +221,21 @@
         await asyncio.sleep(POLL_S)
         deployment.document["backend_servers"][0]["role"] = "prefill"
         number = await _submit(deployment)
-        print(f"document {number} asks for engine-1 in the role prefill")
+        print(f"document {number} assigns the role prefill to engine-1")
         replies = await asyncio.gather(*streams)
         correct = sum(_is_correct(reply) for reply in replies)
-        print(f"{correct} of {STREAMS} streamed answers came whole")
+        print(f"{correct} of {STREAMS} streamed completions are complete and correct")
         state_url = deployment.engines["engine-1"].url
         await _wait_until(
             state_url + "/v1/state", lambda state: state["role"] == "prefill"
         )
         _, history = await _call("GET", state_url + "/history")
         cut = sum(event["what"] == "cut" for event in history)
-        print(f"engine-1 is in the role prefill; streams it cut: {cut}")
+        print(f"engine-1 has the role prefill; the change cut {cut} streams")
         booking = await _call(
             "POST", caller_urls[1] + "/v1/services/booking/find", {"id": 7}
         )
-        print(f"a call of the booking service answered with status {booking[0]}")
+        print(f"a call of the booking service returned status {booking[0]}")
         status, body = await _call(
             "POST",
             caller_urls[0] + "/v1/completions",
@@ -247,7 +253,7 @@
 def main() -> None:
     """Run the demonstration."""
     succeeded = asyncio.run(_run())
-    print("all answers were whole" if succeeded else "NOT all answers were whole")
+    print("demonstration succeeded" if succeeded else "demonstration FAILED")
     sys.exit(0 if succeeded else 1)
 
 
--- a/standins/deployments.py
+++ b/standins/deployments.py
@@ -1,4 +1,4 @@
-"""The brief's two deployments, as processes with stand-ins around them."""
+"""Deployments of entry instances and stand-ins, each a process of its own."""
 
 import dataclasses
 import functools
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Layout:
-    """Sizes of a deployment."""
+    """Failure domains of a deployment, and numbers of instances and servers."""
 
     fleet: str
     domains: tuple[str, ...]
@@ -44,9 +44,14 @@
     """A running deployment.
 
     Args:
-        relayed: Whether the links among the instances, and from each instance to the
+        layout: Failure domains, instances and servers.
+        engine_settings: Overrides for the settings of each engine.
+        entry_settings: Overrides for the settings of each entry instance.
+        platform_settings: Overrides for the settings of the platform.
+        unfenced: Whether the engines accept orders with an old fencing token.
+        relayed: Whether connections between instances, and from each instance to the
             platform, go through relays that can cut them.
-        calls_per_second: Each instance's budget of calls of the platform.
+        calls_per_second: Rate limit of each instance for calls to the platform.
     """
 
     def __init__(
@@ -80,8 +85,8 @@
             self.processes.wait_healthy()
             self.publish_instances()
         except BaseException:
-            # Nobody gets hold of a deployment that failed to start, so nobody else
-            # could end its processes; they would stay behind for ever.
+            # The caller gets no reference to a deployment that failed to start, so its
+            # processes would be left running.
             self.stop()
             raise
 
@@ -187,19 +192,19 @@
         return {"host": host, "port": PLATFORM_PORT}
 
     def cut(self, sender: str, receiver: str) -> None:
-        """Let nothing through from one instance to another; the way back stays."""
+        """Block traffic from one instance to another; the other direction works."""
         assert self.relays is not None
         self.relays.cut(receiver, relay.TO_SERVER, self.hosts[sender])
         self.relays.cut(sender, relay.TO_CLIENT, self.hosts[receiver])
 
     def cut_platform(self, name: str) -> None:
-        """Cut an instance off from the platform."""
+        """Block traffic between an instance and the platform, in both directions."""
         assert self.relays is not None
         self.relays.cut(f"{name} platform", relay.TO_SERVER)
         self.relays.cut(f"{name} platform", relay.TO_CLIENT)
 
     def start_entry(self, name: str, domain: str) -> None:
-        """Start (or start again) an entry instance."""
+        """Start or restart an entry instance."""
         host = self.hosts[name]
         seeds = [
             self._peer_address(n)
@@ -225,7 +230,11 @@
         self.processes.start(name, ("pimentolatch", "entry"), settings, url)
 
     def publish_instances(self, **states: str) -> None:
-        """Tell the platform's instance list; `states` overrides by name."""
+        """Set the platform's instance list.
+
+        Args:
+            **states: States other than `live`, by the instance's name with `_` for `-`.
+        """
         rows = [
             {
                 "name": name,
@@ -241,7 +250,7 @@
         processes.call("POST", self.platform_url + "/instances", rows)
 
     def document(self, **changes: typing.Any) -> dict[str, typing.Any]:
-        """Return the deployment's fleet document, with changes at the top level."""
+        """Return the fleet document; `changes` replace its top-level fields."""
         operations = [
             {"name": "find", "repeatable": True},
             {"name": "confirm", "repeatable": False},
@@ -257,20 +266,20 @@
         } | changes
 
     def callers_url(self, entry: str, path: str) -> str:
-        """Return a URL of an entry's face towards callers."""
+        """Return a URL of an entry instance's front end for callers."""
         return f"http://{self.hosts[entry]}:{CALLERS_PORT}{path}"
 
     def operators_url(self, entry: str, path: str = "") -> str:
-        """Return a URL of an entry's face towards operators."""
+        """Return a URL of an entry instance's front end for operators."""
         return f"http://{self.hosts[entry]}:{OPERATORS_PORT}{path}"
 
     def server_url(self, name: str, path: str) -> str:
-        """Return a URL of an engine or plain server stand-in."""
+        """Return a URL of an engine or plain server."""
         port = ENGINE_PORT if name in self.engines else PLAIN_PORT
         return f"http://{self.hosts[name]}:{port}{path}"
 
     def submit(self, entry: str, document: dict[str, typing.Any]) -> typing.Any:
-        """Submit a document through an entry and wait until all have it."""
+        """Submit a document and wait until it is in force at all running instances."""
         status, body = processes.call(
             "POST", self.operators_url(entry, "/v1/documents?operator=test"), document
         )
@@ -278,7 +287,7 @@
         for name in self.entries:
             if self.processes[name].popen.poll() is None:
                 in_force = functools.partial(self._has_document, name, body["number"])
-                description = f"document {body['number']} at {name}"
+                description = f"document {body['number']} in force at {name}"
                 processes.wait_for(in_force, description)
         return body
 
@@ -286,12 +295,12 @@
         return self.document_number(entry) >= number
 
     def document_number(self, entry: str) -> int:
-        """Return the number of the document in force at an entry."""
+        """Return the number of the document in force at an instance; 0 if none."""
         _, body = processes.call("GET", self.operators_url(entry, "/v1/status"))
         return 0 if body["configuration"] is None else body["configuration"]["number"]
 
     def stop(self) -> None:
-        """End every process."""
+        """Terminate all processes and relays."""
         self.processes.stop_all()
         if self.relays is not None:
             self.relays.stop()
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,7 +1,7 @@
-"""Stand-in for a model engine: batches, streams, caches prefixes, takes orders.
+"""Stand-in for a model engine: batching, streaming, prefix cache, KV transfer, orders.
 
-Token `i` of the answer to a prompt depends only on the prompt and `i`, so any engine
-can resume any stream and a test can tell a whole answer from a wrong one.
+Token `i` of the output for a prompt depends only on the prompt and `i`, so any engine
+can resume any stream and a test can check the output.
 """
 
 import argparse
@@ -29,7 +29,7 @@
 
 
 def answer_token(prompt: str, index: int) -> str:
-    """Return token `index` of the answer to a prompt."""
+    """Return token `index` of the output for a prompt."""
     return f"{zlib.crc32(f'{prompt}/{index}'.encode()):08x} "
 
 
@@ -38,15 +38,16 @@
     """Settings of one engine.
 
     Attributes:
-        checks_fencing: Whether an order with an old fencing number is refused.
-        streams: Streams batched at once; others wait, by priority.
-        prefill_tokens_per_s: Speed of reading a prompt that is not cached.
-        token_s: Time between two tokens of one stream.
-        change_s: Time a role change or model load takes.
-        report_lag_s: Age of load reports and cache events.
-        cached_prefixes: Prompt prefixes kept.
-        event_gap: Every so many cache events, one is never published (0: none).
-        order_read_timeout_s: Time after which an order not wholly received is dropped.
+        checks_fencing: Whether orders with an old fencing token are refused.
+        streams: Maximum batch size; further streams wait, by priority.
+        prefill_tokens_per_s: Prefill rate for tokens that are not cached.
+        token_s: Time between two tokens of a stream, in seconds.
+        change_s: Duration of a role change or model load, in seconds.
+        report_lag_s: Age of load reports, in seconds.
+        cached_prefixes: Capacity of the prefix cache, in prefixes.
+        event_gap: Of every `event_gap` cache events, one is not published; 0 publishes
+            all.
+        order_read_timeout_s: Timeout for receiving the body of an order, in seconds.
     """
 
     name: str
@@ -66,13 +67,13 @@
 
 
 class Engine:
-    """State and handlers of one engine."""
+    """State and HTTP handlers of an engine."""
 
     def __init__(self, settings: EngineSettings) -> None:
         self.settings = settings
         self.role = settings.role
         self.models = dict.fromkeys(settings.models, FIRST_VERSION)
-        # A start loses the fence, the last order and every order's effect.
+        # A restart loses the fencing token, the last order and the effects of orders.
         self.incarnation = uuid.uuid4().hex
         self.fence = 0
         self.changing = False
@@ -88,7 +89,7 @@
         self._prompts_by_handle: dict[str, str] = {}
 
     async def generate(self, request: requests.Request) -> responses.Response:
-        """Stream an answer from an offset as server-sent events."""
+        """Stream tokens from an offset as server-sent events."""
         body = await request.json()
         if body["model"] not in self.models or self.changing:
             return JsonResponse({"ran": False, "reason": "not serving"}, 503)
@@ -156,10 +157,10 @@
         return JsonResponse({"cancelled": known})
 
     async def handle_order(self, request: requests.Request) -> JsonResponse:
-        """Take an order: the role and the models the engine is to have.
+        """Apply an order: the role and models that the engine must have.
 
-        Reading the body answers a sender's `Expect: 100-continue` first, and the read
-        timeout runs from then.
+        Reading the body first sends `100 Continue` to a sender that expects it; the
+        read timeout starts at that moment.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self.settings.order_read_timeout_s
@@ -168,8 +169,8 @@
                 order = await request.json()
         except (TimeoutError, requests.ClientDisconnect):
             return _order_timeout()
-        # An engine that was itself paused may find the rest of a late order and the
-        # end of the timeout at once; the timeout counts.
+        # If the engine's process was paused, the rest of a late order and the expiry of
+        # the timeout can be seen at once. The order must then count as late.
         if loop.time() > deadline:
             return _order_timeout()
         if self.settings.checks_fencing and order["fence"] < self.fence:
@@ -186,7 +187,7 @@
     async def _apply(self, order: dict[str, typing.Any]) -> None:
         self.changing = True
         self.last_order = order["order"]
-        # A change resets the batch: whatever still streams is cut, as in a real engine.
+        # As in a real engine, a change resets the batch and cuts the running streams.
         for dispatch in self._streams:
             self._record("cut", dispatch)
             self._cancelled.add(dispatch)
@@ -209,7 +210,7 @@
         }
 
     async def state(self, request: requests.Request) -> JsonResponse:
-        """Show the engine's state now."""
+        """Return the current state."""
         return JsonResponse(self._state())
 
     def _record_load(self) -> None:
@@ -219,7 +220,7 @@
         del self._reports[:-1000]
 
     async def load(self, request: requests.Request) -> JsonResponse:
-        """Report the load as it was some time ago."""
+        """Return the load as it was `report_lag_s` ago."""
         cutoff = asyncio.get_running_loop().time() - self.settings.report_lag_s
         visible = [report for at, report in self._reports if at <= cutoff]
         return JsonResponse(visible[-1] if visible else {"streams": 0, "waiting": 0})
@@ -230,7 +231,7 @@
         )
 
     async def cache_events(self, request: requests.Request) -> JsonResponse:
-        """Publish cache events after a number, with gaps."""
+        """Return the cache events after a number, without those that are dropped."""
         after = int(request.query_params.get("after", "-1"))
         gap = self.settings.event_gap
         events = [event for event in self._events[after + 1 :]]
@@ -238,7 +239,7 @@
         return JsonResponse({"events": published})
 
     async def export_kv(self, request: requests.Request) -> JsonResponse:
-        """Prefill a prompt and hand out its KV cache by a handle."""
+        """Prefill a prompt and return a handle to its KV cache."""
         body = await request.json()
         await asyncio.sleep(self._prefill_seconds(body["prompt"], None))
         handle = f"kv-{zlib.crc32(body['prompt'].encode()):08x}"
@@ -258,7 +259,7 @@
         return JsonResponse({})
 
     async def send_kv(self, request: requests.Request) -> JsonResponse:
-        """Hand a KV cache to the engine that fetches it."""
+        """Return the KV cache, represented by its prompt, to the engine fetching it."""
         prompt = self._prompts_by_handle.get(request.path_params["handle"])
         return JsonResponse({"prompt": prompt}, 404 if prompt is None else 200)
 
@@ -266,12 +267,12 @@
         self.history.append({"what": what, "subject": subject, **details})
 
     async def show_history(self, request: requests.Request) -> JsonResponse:
-        """Show everything the engine did, for history checks."""
+        """Return all recorded operations of the engine, for history checks."""
         return JsonResponse(self.history)
 
 
 def _order_timeout() -> JsonResponse:
-    # The connection closes, so that the rest of the order can't arrive later.
+    # Closing the connection prevents the rest of the order from arriving later.
     return JsonResponse({"reason": "too slow"}, 408, {"connection": "close"})
 
 
@@ -280,7 +281,7 @@
 
 
 def build(engine: Engine) -> typing.Any:
-    """Return the ASGI application of an engine stand-in."""
+    """Return the ASGI application of an engine."""
     fault_injector = faults.FaultInjector()
     routes = [
         routing.Route("/v1/generate", engine.generate, methods=["POST"]),
@@ -299,7 +300,7 @@
 
 
 def main() -> None:
-    """Run an engine stand-in from a settings file."""
+    """Run an engine with settings from a file."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--settings", required=True, type=pathlib.Path)
     text = parser.parse_args().settings.read_text(encoding="utf-8")
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,13 +1,13 @@
-"""Fault commands that every stand-in takes at `POST /faults`.
+"""Fault injection, controlled by commands at `POST /faults` of each stand-in.
 
-A command is a JSON object: `kind` names the fault, `times` says how many calls it
-hits (None: until cleared), `sender` limits it to one calling instance, `path` to
-paths that begin so, `method` limits `drop_reply` to one HTTP method, and `seconds`
-sets a delay. `{"kind": "clear"}` ends them all.
+A command is a JSON object: `kind` is the fault, `times` the number of calls that it
+affects (null: until cleared), `sender` limits it to one calling instance, `path` to a
+prefix of the path, `method` limits `drop_reply` to one HTTP method, and `seconds` is
+the delay of `slow`. `{"kind": "clear"}` removes all faults.
 
-Kinds: `slow` delays the call, `refuse` answers 503 before any effect, `drop_reply`
-closes the connection after the effect, `hang` never answers (a cut link), `crash`
-ends the process.
+Kinds: `slow` delays the call, `refuse` returns 503 before any effect, `drop_reply`
+executes the call and closes the connection without a response, `hang` never responds,
+like a network partition, and `crash` terminates the process.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Fault:
-    """One fault that is in force."""
+    """An active fault; the fields are those of the command."""
 
     kind: str
     times: int | None = None
@@ -34,7 +34,7 @@
     method: str | None = None
 
     def applies_to(self, path: str, sender: str | None, method: str) -> bool:
-        """Tell whether the fault applies to a call."""
+        """Return whether the fault affects a call."""
         if self.times == 0:
             return False
         if self.sender is not None and self.sender != sender:
@@ -45,7 +45,7 @@
 
 
 class FaultInjector:
-    """The faults in force at one stand-in."""
+    """Active faults of a stand-in."""
 
     def __init__(self) -> None:
         self._faults: list[Fault] = []
@@ -64,7 +64,7 @@
     def trigger(
         self, kind: str, path: str, sender: str | None, method: str = ""
     ) -> Fault | None:
-        """Return the first fault of a kind that hits the call, and count it."""
+        """Return the first fault of a kind that affects the call, and count it."""
         for fault in self._faults:
             if fault.kind == kind and fault.applies_to(path, sender, method):
                 if fault.times is not None:
@@ -73,7 +73,7 @@
         return None
 
     def middleware(self, application: typing.Any) -> typing.Any:
-        """Wrap an ASGI application so that the faults hit its calls."""
+        """Return an ASGI application that injects the faults into its calls."""
 
         async def inject(
             scope: typing.Any, receive: typing.Any, send: typing.Any
@@ -94,9 +94,9 @@
                 return
             if self.trigger("drop_reply", path, sender, scope["method"]):
                 await application(scope, receive, _discard)
-                # An application that raises before it answers is answered for, with
-                # status 500. A body that is promised and never sent makes the server
-                # close the connection.
+                # If an application raises before it responds, the server sends status
+                # 500. A response head whose body never follows makes the server close
+                # the connection instead.
                 await send(_INCOMPLETE_RESPONSE)
                 return
             await application(scope, receive, send)
@@ -112,4 +112,4 @@
 
 
 async def _discard(message: typing.Any) -> None:
-    """Swallow a message of an answer that is to be lost."""
+    """Discard an ASGI message of a response that is dropped."""
--- a/standins/memory_engine.py
+++ b/standins/memory_engine.py
@@ -1,4 +1,4 @@
-"""A model engine in memory, and the client through which one actor orders it."""
+"""In-memory model engine, and the client through which an actor sends it orders."""
 
 import asyncio
 import dataclasses
@@ -18,13 +18,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineKind:
-    """How an engine is made.
+    """Properties of an engine.
 
     Attributes:
-        checks_fencing: Whether it refuses an order with an old fencing number.
-        rejects_late_orders: Whether it closes a connection whose order is late. Only
-            a test of what happens without the safeguard turns it off.
-        reports_streams: Whether its state tells of its streams; likewise.
+        checks_fencing: Whether orders with an old fencing token are refused.
+        rejects_late_orders: Whether an order is rejected if its body arrives after
+            the read timeout. Only a test of the effect of this safeguard disables it.
+        reports_streams: Whether the reported state counts the running streams. Only a
+            test of the effect of this safeguard disables it.
+        read_timeout_s: Timeout for receiving an order, in seconds.
+        change_s: Duration of a change, in seconds.
     """
 
     checks_fencing: bool
@@ -35,7 +38,11 @@
 
 
 class MemoryEngine:
-    """One engine; a start loses everything but its kind."""
+    """An engine; a restart loses all state but its kind.
+
+    Attributes:
+        crashes_during_change: Number of the next changes during which it crashes.
+    """
 
     def __init__(
         self,
@@ -64,7 +71,7 @@
         self.streams: dict[str, asyncio.Event] = {}
 
     def state(self) -> orders.EngineState:
-        """Return what the engine says of itself."""
+        """Return the state that the engine reports."""
         return orders.EngineState(
             self.role,
             self.models,
@@ -76,7 +83,7 @@
         )
 
     async def crash(self, downtime: datetime.timedelta) -> None:
-        """Lose everything and come back after a while."""
+        """Lose all state and restart after `downtime`."""
         if not self.up:
             return
         self.up = False
@@ -87,7 +94,11 @@
         self.up = True
 
     def begin_stream(self, request: str, sender: str) -> asyncio.Event | None:
-        """Take a request; returns the event of its being cut, or None if refused."""
+        """Accept a request.
+
+        Returns:
+            An event that is set when the stream is cut; None if the request is refused.
+        """
         if not self.up or self.changing:
             return None
         cut = self.streams[request] = asyncio.Event()
@@ -97,14 +108,14 @@
         return cut
 
     def end_stream(self, request: str) -> None:
-        """Finish a request."""
+        """Record the end of a request; no effect if it was cut."""
         if self.streams.pop(request, None) is not None:
             self._recorder.add(history.StreamEnded(self._plan.now, self.name, request))
 
     async def handle_order(
         self, body: dict[str, typing.Any], opened_at: float
     ) -> orders.Sent:
-        """Take an order whose last byte has just arrived."""
+        """Handle an order whose last byte has just arrived on a connection."""
         if (
             self.kind.rejects_late_orders
             and self._plan.now > opened_at + self.kind.read_timeout_s
@@ -165,18 +176,22 @@
 
 @dataclasses.dataclass(slots=True)
 class Links:
-    """Cut links: (from, to) pairs, one direction each."""
+    """Network partitions between actors.
+
+    Attributes:
+        cut: (sender, receiver) pairs, each for one direction.
+    """
 
     cut: set[tuple[str, str]] = dataclasses.field(default_factory=set)
 
     def can_reach(self, sender: str, receiver: str) -> bool:
-        """Tell whether messages pass in this direction."""
-        # A link belongs to an instance, whichever start of it.
+        """Return whether messages get through in this direction."""
+        # A partition applies to all incarnations of an instance.
         return (sender.split("/")[0], receiver.split("/")[0]) not in self.cut
 
 
 class MemoryOrderClient:
-    """`orders.OrderClient` of one actor; engines are told apart by their ports."""
+    """`orders.OrderClient` of one actor; the port of an address selects the engine."""
 
     def __init__(
         self,
@@ -196,10 +211,10 @@
         """See `orders.OrderClient.state`."""
         engine = self._engines[address.port]
         await self._plan.point(self._actor, "state")
-        answer = engine.state()
+        state = engine.state()
         reached = engine.up and self._is_connected(engine)
         await self._plan.point(self._actor, "state seen")
-        return answer if reached else orders.Unreachable("no answer")
+        return state if reached else orders.Unreachable("no response")
 
     async def open(
         self, address: settings.Address, body: dict[str, typing.Any]
@@ -218,14 +233,14 @@
         return outbound and self._links.can_reach(engine.name, self._actor)
 
     async def exchange(self, attempt: "_Attempt") -> orders.Sent:
-        """Write the order's bytes and wait for the answer."""
+        """Send the order and wait for the response."""
         await self._plan.point(self._actor, "send")
-        # Once written, the bytes are on their way whatever becomes of the sender.
+        # Once sent, the bytes are delivered even if the sender is cancelled.
         delivery = self._plan.start(self._deliver(attempt))
         sent: orders.Sent = await asyncio.shield(delivery)
         await self._plan.point(self._actor, "sent")
         if not self._links.can_reach(attempt.engine.name, self._actor):
-            return orders.Unreachable("the answer was lost")
+            return orders.Unreachable("response lost")
         return sent
 
     async def _deliver(self, attempt: "_Attempt") -> orders.Sent:
@@ -233,7 +248,7 @@
         latency = self._plan.random.choices((0.001, 0.01, 0.2, 3.0), (50, 30, 15, 5))[0]
         await self._plan.time.sleep(schedule.seconds(latency))
         reached = self._links.can_reach(self._actor, engine.name)
-        # A connection belongs to one start of the engine.
+        # A connection does not survive a restart of the engine.
         if engine.incarnation != attempt.incarnation or not engine.up or not reached:
             return orders.Unreachable("connection reset")
         return await engine.handle_order(attempt.body, attempt.opened_at)
--- a/standins/memory_store.py
+++ b/standins/memory_store.py
@@ -1,8 +1,8 @@
-"""The platform's store in memory, with faults on command, for logic tests.
+"""In-memory store of the platform with injected faults, for logic tests.
 
-It wraps the object table of the platform stand-in, so versions and conditional
-updates are those that the processes meet. Several stores over one table stand for
-several instances, each with its own link to the platform.
+It wraps the object table of the platform stand-in, so versions and conditional updates
+behave as they do between processes. Several stores that share a table represent several
+instances, each with its own link to the platform.
 """
 
 import asyncio
@@ -16,8 +16,8 @@
 
 __all__ = ["MemoryStore", "Pause", "StoreFaults", "no_pause"]
 
-# Awaited before a call's effect and again before its reply, with a name such as
-# `put order-slots` or `put order-slots done`.
+# Hook awaited before the effect of a call and again before its response, with a name
+# such as `put order-slots` or `put order-slots done`.
 Pause = typing.Callable[[str], abc.Awaitable[None]]
 
 _OUTAGE = store.Unavailable("outage", effect_unknown=False)
@@ -25,20 +25,21 @@
 
 
 async def no_pause(point: str) -> None:
-    """Go on at once."""
+    """Return without a pause."""
 
 
 @dataclasses.dataclass(slots=True)
 class StoreFaults:
-    """Faults in force on the links to a store; share one among several links.
+    """Faults on the links to a store; several stores can share one object.
 
     Attributes:
-        outage: Every call fails and has no effect.
-        cut: Names of links whose calls fail and have no effect.
-        lost_replies: So many of the next writes take effect without an answer.
-        late_writes: So many of the next writes take effect only `late_write_delay`
-            after the caller was told that their outcome is unknown.
-        delay: Time each call takes before its effect.
+        outage: All calls fail without an effect.
+        cut: Names of links whose calls fail without an effect.
+        lost_replies: Number of the next writes that take effect, but whose response is
+            lost.
+        late_writes: Number of the next writes that take effect only after
+            `late_write_delay`; the caller learns at once that the outcome is unknown.
+        delay: Time before the effect of each call.
     """
 
     outage: bool = False
@@ -49,7 +50,7 @@
     delay: datetime.timedelta = _NO_TIME
 
     def clear(self) -> None:
-        """End every fault."""
+        """Remove all faults."""
         self.outage = False
         self.cut.clear()
         self.lost_replies = self.late_writes = 0
@@ -57,15 +58,16 @@
 
 
 class MemoryStore:
-    """`store.Store` over an object table; `link` names this instance's link.
+    """`store.Store` on an object table.
 
     Args:
-        table: The objects; share one table among the instances of a test.
+        table: Objects; the instances of a test share one table.
         time: Clock for delays.
-        link: Name that `StoreFaults.cut` uses.
-        faults: Faults in force; None for a store that never fails.
-        instances: Shows the platform's instance list; a callable, so that it changes.
-        pause: Hook for schedules, awaited before each effect and each reply.
+        link: Name of this store's link in `StoreFaults.cut`.
+        faults: Injected faults; None for a store that never fails.
+        instances: Returns the platform's current instance list.
+        pause: Hook awaited before each effect and each response, so that a test can
+            schedule them.
     """
 
     def __init__(
@@ -141,7 +143,7 @@
     async def watch(
         self, kind: str, *, after: int, wait: datetime.timedelta
     ) -> store.Changes | store.HistoryGone | store.Unavailable:
-        """See `store.Store.watch`; waits in steps of the clock that was passed in."""
+        """See `store.Store.watch`; polls the table by the clock of this store."""
         if failed := await self._start_call(f"watch {kind}"):
             return failed
         deadline = self._clock.monotonic() + wait
--- a/standins/object_table.py
+++ b/standins/object_table.py
@@ -1,4 +1,4 @@
-"""The platform's object table: versions, conditional updates and watches."""
+"""Object table of the platform: versions, conditional updates and watches."""
 
 import asyncio
 import copy
@@ -12,7 +12,11 @@
 
 
 class VersionConflictError(Exception):
-    """The object's version is not the one the write named."""
+    """The object's version differs from the one that the write expects.
+
+    Attributes:
+        version: Current version of the object; 0 if it is absent.
+    """
 
     def __init__(self, version: int) -> None:
         super().__init__(version)
@@ -20,16 +24,17 @@
 
 
 class ValueTooLargeError(Exception):
-    """The value is over the platform's limit."""
+    """The value exceeds `MAX_VALUE_BYTES`."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """An object; `version` orders all writes, `value` None is removed.
+    """An object.
 
     Attributes:
-        version: Revision of the store at the object's last write.
+        version: Revision of the store at the object's last write; orders all writes.
         created: Revision of the store at its creation.
+        value: JSON value; None if the object is deleted.
     """
 
     name: str
@@ -39,11 +44,11 @@
 
 
 class ObjectTable:
-    """All objects, in memory, with one count of revisions for all.
+    """All objects, in memory, with one revision counter for all kinds.
 
     Attributes:
-        history: Every write in order, with its kind.
-        compacted_revision: Changes before this revision are forgotten.
+        history: (kind, row) of all writes, in order.
+        compacted_revision: Changes up to this revision can no longer be watched.
     """
 
     def __init__(self) -> None:
@@ -55,29 +60,34 @@
 
     @property
     def revision(self) -> int:
-        """Number of the last write of any kind."""
+        """Revision of the last write of any kind."""
         return self._revision
 
     def get(self, kind: str, name: str) -> Row | None:
-        """Return an object, or None."""
+        """Return an object, or None if it is absent."""
         row = self._rows.get(kind, {}).get(name)
         return row if row is not None and row.value is not None else None
 
     def list_objects(self, kind: str, prefix: str = "") -> list[Row]:
-        """Return the objects of a kind by prefix of their names, by name."""
+        """Return the objects of a kind whose names start with a prefix, by name."""
         rows = self._rows.get(kind, {}).values()
         found = [r for r in rows if r.value is not None and r.name.startswith(prefix)]
         return sorted(found, key=lambda row: row.name)
 
     def changes(self, kind: str, after: int) -> list[Row]:
-        """Return the rows of a kind written after a revision, removals included."""
+        """Return the rows of a kind written after a revision, including deletions."""
         rows = [r for r in self._rows.get(kind, {}).values() if r.version > after]
         return sorted(rows, key=lambda row: row.version)
 
     async def put(
         self, kind: str, name: str, value: typing.Any, if_version: int
     ) -> Row:
-        """Write an object whose version must be `if_version` (0: absent)."""
+        """Write an object if its version is `if_version` (0: it is absent).
+
+        Raises:
+            VersionConflictError: If the object has another version.
+            ValueTooLargeError: If the value is too large.
+        """
         if len(json.dumps(value)) > MAX_VALUE_BYTES:
             raise ValueTooLargeError
         current = self._rows.get(kind, {}).get(name)
@@ -95,17 +105,25 @@
         return row
 
     async def delete(self, kind: str, name: str, if_version: int) -> Row | None:
-        """Remove an object whose version must be `if_version`; None if absent."""
+        """Delete an object if its version is `if_version`; returns None if absent.
+
+        Raises:
+            VersionConflictError: If the object has another version.
+        """
         if self.get(kind, name) is None:
             return None
         return await self.put(kind, name, None, if_version)
 
     def compact_history(self) -> None:
-        """Drop the changes so far; whoever watches from before them must list anew."""
+        """Discard the changes so far; a watch from before them must list again."""
         self.compacted_revision = self._revision
 
     async def wait(self, kind: str, after: int, seconds: float) -> list[Row]:
-        """Return changes of a kind after a revision, waiting until there is one."""
+        """Return the changes of a kind after a revision; waits until there is one.
+
+        Returns:
+            The changes; an empty list if there is none within `seconds`.
+        """
         try:
             async with asyncio.timeout(seconds), self._changed:
                 await self._changed.wait_for(lambda: self.changes(kind, after))
--- a/standins/plain.py
+++ b/standins/plain.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: records each run of each call."""
+"""Stand-in for a plain service that records each execution of each call."""
 
 import argparse
 import asyncio
@@ -15,10 +15,10 @@
 
 
 class PlainService:
-    """Handlers of one plain server.
+    """HTTP handlers of a plain server.
 
-    A call that has arrived runs to its end, also when its sender has gone. Besides the
-    common faults it takes `slow_run`, which delays the run itself.
+    A received call runs to its end even if its sender disconnects. Besides the common
+    faults there is `slow_run`, which delays the execution itself.
     """
 
     def __init__(self, name: str, call_s: float = 0.001) -> None:
@@ -28,7 +28,7 @@
         self.runs: list[dict[str, typing.Any]] = []
 
     async def call(self, request: requests.Request) -> responses.JSONResponse:
-        """Run a call and record it before answering."""
+        """Execute a call and record it before responding."""
         body = await request.body()
         service = request.path_params["service"]
         operation = request.path_params["operation"]
@@ -42,16 +42,16 @@
             "body": body.decode(),
         }
         self.runs.append(run)
-        answer = {"server": self._name, "run": len(self.runs), "echo": body.decode()}
-        return responses.JSONResponse(answer, headers={"x-dispatch": dispatch})
+        response = {"server": self._name, "run": len(self.runs), "echo": body.decode()}
+        return responses.JSONResponse(response, headers={"x-dispatch": dispatch})
 
     async def show_runs(self, request: requests.Request) -> responses.JSONResponse:
-        """Show every run, for history checks."""
+        """Return all executions, for history checks."""
         return responses.JSONResponse(self.runs)
 
 
 def build(service: PlainService) -> typing.Any:
-    """Return the ASGI application of a plain service stand-in."""
+    """Return the ASGI application of a plain service."""
     fault_injector = service.fault_injector
     routes = [
         routing.Route(
@@ -64,7 +64,7 @@
 
 
 def main() -> None:
-    """Run a plain service stand-in from a settings file."""
+    """Run a plain service with settings from a file."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--settings", required=True, type=pathlib.Path)
     settings = json.loads(parser.parse_args().settings.read_text(encoding="utf-8"))
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -21,7 +21,7 @@
 
 
 class TokenBucket:
-    """A limit on calls a second, as a token bucket with one second of burst."""
+    """Rate limit in calls per second, with a burst of one second's calls."""
 
     def __init__(self, calls_per_second: float) -> None:
         self._rate = calls_per_second
@@ -29,7 +29,7 @@
         self._last: float | None = None
 
     def try_acquire(self, now: float) -> bool:
-        """Take a call from the bucket."""
+        """Take a token for a call; returns whether there was one."""
         if self._last is not None:
             refill = (now - self._last) * self._rate
             self._tokens = min(self._rate, self._tokens + refill)
@@ -41,17 +41,19 @@
 
 
 class Platform:
-    """Handlers of the platform's HTTP interface.
+    """HTTP handlers of the platform.
 
     Args:
-        reads_per_second: Limit on reads and watches.
-        writes_per_second: Limit on writes.
-        list_lag_s: Age of the instance list that is shown.
-        weights_per_second: Limit on fetches from the weight store.
+        reads_per_second: Rate limit for reads and watches together.
+        writes_per_second: Rate limit for writes.
+        list_lag_s: Delay until a change of the instance list is visible, in seconds.
+        weights_per_second: Rate limit for fetches from the weight store.
 
     Attributes:
-        reports_history_gone: Whether a watch from before the known history is told so
-            at once; else it waits for the next change, as it may just after a cut.
+        calls: Number of received calls by kind.
+        reports_history_gone: Whether a watch from a compacted revision gets status 410
+            at once. Otherwise it waits for the next change, as can happen just after
+            a network partition.
     """
 
     def __init__(
@@ -80,7 +82,7 @@
         return JsonResponse({}, 429, headers={"retry-after": "1"})
 
     async def get(self, request: requests.Request) -> JsonResponse:
-        """Read one object."""
+        """Return one object."""
         if refused := self._check_limit("read", self._reads):
             return refused
         row = self.table.get(request.path_params["kind"], request.path_params["name"])
@@ -94,7 +96,7 @@
         return await self._write(request, body["metadata"]["name"], body["spec"], 0)
 
     async def replace(self, request: requests.Request) -> JsonResponse:
-        """Replace an object that is as the caller knows it."""
+        """Replace an object if it has the revision that the caller expects."""
         body = await request.json()
         name = request.path_params["name"]
         current = self.table.get(request.path_params["kind"], name)
@@ -104,7 +106,7 @@
         return await self._write(request, name, body["spec"], version)
 
     async def delete(self, request: requests.Request) -> JsonResponse:
-        """Remove an object that is as the caller knows it."""
+        """Delete an object if it has the revision that the caller expects."""
         name = request.path_params["name"]
         current = self.table.get(request.path_params["kind"], name)
         if current is None:
@@ -128,7 +130,7 @@
         return JsonResponse(_encode_object(row))
 
     async def list_objects(self, request: requests.Request) -> JsonResponse:
-        """List objects of a kind, or wait for changes of it."""
+        """List the objects of a kind, or watch the kind for changes."""
         if "watch" in request.query_params:
             return await self._watch(request)
         if refused := self._check_limit("read", self._reads):
@@ -154,9 +156,9 @@
         deadline = asyncio.get_running_loop().time() + wait
         after = max(after, self.table.compacted_revision)
         rows = self.table.changes(kind, after)
-        # In slices, so that a watch whose caller went away ends soon. One that is cut
-        # off by the end of the store answers nobody; raised, its cancellation would be
-        # reported as a fault of the store.
+        # Waits in short intervals, so that a watch whose caller has disconnected ends
+        # soon. A watch is cancelled when the store stops. Nobody reads its response
+        # then, and raising CancelledError would be reported as an error of the store.
         with contextlib.suppress(asyncio.CancelledError):
             while (
                 not rows
@@ -173,12 +175,12 @@
         return JsonResponse({"events": events, "as_of": self.table.revision})
 
     async def compact_history(self, request: requests.Request) -> JsonResponse:
-        """Drop the history: a test's command, not a call of the platform."""
+        """Compact the history; a command of tests, not of the platform's API."""
         self.table.compact_history()
         return JsonResponse({})
 
     async def instances(self, request: requests.Request) -> JsonResponse:
-        """Show the instance list as it was some time ago."""
+        """Return the instance list as it was `list_lag_s` ago."""
         if refused := self._check_limit("read", self._reads):
             return refused
         rows = sorted(
@@ -187,7 +189,7 @@
         return JsonResponse({"instances": rows})
 
     async def update_instances(self, request: requests.Request) -> JsonResponse:
-        """Change the instance list: a test's command, not a call of the platform."""
+        """Change the instance list; a command of tests, not of the platform's API."""
         for row in await request.json():
             if row["state"] == "ended":
                 self._instances.pop(row["name"], None)
@@ -203,13 +205,13 @@
         self._published_instances = snapshot
 
     async def weights(self, request: requests.Request) -> JsonResponse:
-        """Hand out a model's weights (their name) at a limited rate."""
+        """Return a model's weights, represented by its name, at a limited rate."""
         if refused := self._check_limit("weights", self._weights):
             return refused
         return JsonResponse({"weights": request.path_params["model"]})
 
     async def show_calls(self, request: requests.Request) -> JsonResponse:
-        """Show how many calls of each kind came in."""
+        """Return the number of received calls by kind."""
         return JsonResponse(dict(self.calls))
 
     async def show_history(self, request: requests.Request) -> JsonResponse:
@@ -233,7 +235,7 @@
 
 
 def _count_calls(platform: Platform, application: typing.Any) -> typing.Any:
-    """Count every call that arrives, answered or not, and the most in one second."""
+    """Count all received calls, even those without a response, and their peak rate."""
     by_second: collections.Counter[int] = collections.Counter()
 
     async def counted(scope: typing.Any, receive: typing.Any, send: typing.Any) -> None:
@@ -249,7 +251,7 @@
 
 
 def build(platform: Platform) -> typing.Any:
-    """Return the ASGI application of a platform stand-in."""
+    """Return the ASGI application of the platform."""
     fault_injector = faults.FaultInjector()
     routes = [
         routing.Route("/v1/objects/{kind}/{name}", platform.get, methods=["GET"]),
@@ -270,7 +272,7 @@
 
 
 def main() -> None:
-    """Run the platform stand-in from a settings file."""
+    """Run the platform with settings from a file."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--settings", required=True, type=pathlib.Path)
     settings = json.loads(parser.parse_args().settings.read_text(encoding="utf-8"))
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,7 +1,7 @@
 """Starts the system and its stand-ins as separate processes on loopback addresses.
 
-Each test run takes a network of its own in 127.0.0.0/8, derived from its process id,
-so that runs side by side never meet.
+Each test run uses a network of its own in 127.0.0.0/8, derived from its process id, so
+that concurrent runs do not conflict.
 """
 
 import dataclasses
@@ -26,7 +26,7 @@
 
 
 class Network:
-    """Hands out loopback IP numbers that no other test run uses."""
+    """Allocates loopback IP addresses that no other test run uses."""
 
     _allocated = 0
 
@@ -35,14 +35,14 @@
         self._prefix = f"127.{1 + (pid >> 8) % 254}.{pid % 256}"
 
     def address(self) -> str:
-        """Return an unused IP number."""
+        """Return an unused IP address."""
         Network._allocated += 1
         return f"{self._prefix}.{1 + Network._allocated % 254}"
 
 
 @dataclasses.dataclass(slots=True)
 class Process:
-    """A started process; `url` answers its health check."""
+    """A started process; `url` is its health check."""
 
     name: str
     module: str
@@ -52,20 +52,20 @@
     log: pathlib.Path
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its end."""
         self.popen.kill()
         self.popen.wait()
 
     def suspend(self) -> None:
-        """Stop the process in its tracks."""
+        """Suspend the process with SIGSTOP."""
         self.popen.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process with SIGCONT."""
         self.popen.send_signal(signal.SIGCONT)
 
     def stop(self) -> int:
-        """Ask the process to end and return its exit code."""
+        """Terminate the process with SIGTERM and return its exit code."""
         self.popen.send_signal(signal.SIGTERM)
         return self.popen.wait(_STOP_TIMEOUT_S)
 
@@ -87,7 +87,7 @@
         settings: dict[str, typing.Any],
         health: str,
     ) -> Process:
-        """Start `python -m command --settings FILE`; does not wait for it."""
+        """Start `python -m command --settings FILE` without waiting for its health."""
         path = pathlib.Path(self._directory.name) / f"{name}.json"
         path.write_text(json.dumps(settings), encoding="utf-8")
         log = path.with_suffix(".log")
@@ -102,14 +102,14 @@
         return process
 
     def wait_healthy(self, names: typing.Iterable[str] | None = None) -> None:
-        """Wait until the processes answer their health checks with 200 or 404."""
+        """Wait until the health checks of the processes return 200 or 404."""
         for name in self._by_name if names is None else names:
             process = self._by_name[name]
             healthy = functools.partial(_is_healthy, process)
-            wait_for(healthy, f"{name}: {process.log}")
+            wait_for(healthy, f"the health check of {name}; log: {process.log}")
 
     def stop_all(self) -> None:
-        """End every process of the scenario."""
+        """Kill all processes of the scenario and delete their files."""
         for process in self._by_name.values():
             if process.popen.poll() is None:
                 process.popen.kill()
@@ -123,17 +123,26 @@
     description: str,
     timeout_s: float = _START_TIMEOUT_S,
 ) -> None:
-    """Poll until a condition holds; fails with a message after a generous limit."""
+    """Poll until a condition holds.
+
+    Raises:
+        AssertionError: If it does not hold within the timeout.
+    """
     deadline = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > deadline:
-            raise AssertionError(f"never came true: {description}")
+            raise AssertionError(
+                f"timed out after {timeout_s:g} s waiting for {description}"
+            )
         time.sleep(_POLL_S)
 
 
 def _is_healthy(process: Process) -> bool:
     if process.popen.poll() is not None:
-        raise AssertionError(f"{process.name} ended: {process.log.read_text()}")
+        raise AssertionError(
+            f"{process.name} exited with code {process.popen.returncode}; its log:\n"
+            f"{process.log.read_text()}"
+        )
     try:
         return call("GET", process.url)[0] in (200, 404)
     except OSError:
@@ -147,7 +156,11 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 30.0,
 ) -> tuple[int, typing.Any]:
-    """Make one HTTP call; returns the status and the parsed or raw body."""
+    """Make an HTTP call.
+
+    Returns:
+        Status, and the body: parsed if it is JSON, else as text.
+    """
     parts = urllib.parse.urlsplit(url)
     connection = http.client.HTTPConnection(
         parts.hostname or "", parts.port, timeout=timeout_s
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,7 +1,7 @@
-"""TCP relays that can cut a link, in one direction or both, delay it or reset it.
+"""TCP relays that can block traffic in one or both directions, delay it or reset it.
 
-A cut link looks like a network partition: connections stay open, nothing gets through,
-and what was sent meanwhile arrives after the healing, as TCP sends it again.
+A cut behaves like a network partition: connections stay open, no data gets through, and
+data sent meanwhile arrives after the partition heals, since TCP retransmits it.
 """
 
 import asyncio
@@ -25,7 +25,7 @@
 
 
 class Relays:
-    """All relays of a scenario, in a thread of their own."""
+    """All relays of a scenario, in a thread with an event loop of its own."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -40,15 +40,21 @@
     def start(
         self, name: str, listen: tuple[str, int], target: tuple[str, int]
     ) -> None:
-        """Relay what comes to an address; `name` is used to cut it."""
+        """Start a relay from the address `listen` to `target`."""
         self._call(self._start(name, listen, target))
 
     def cut(self, name: str, direction: str, source: str | None = None) -> None:
-        """Hold back what goes through a relay in a direction, from a source or all."""
+        """Block the traffic of a relay in one direction.
+
+        Args:
+            name: The relay.
+            direction: `TO_SERVER` or `TO_CLIENT`.
+            source: Host of the client whose connections are affected; None for all.
+        """
         self._call(self._set_cuts(self._cuts | {_Cut(name, source, direction)}))
 
     def heal(self, name: str | None = None) -> None:
-        """End all cuts and delays, or those of one relay."""
+        """Remove the cuts and delays of one relay, or of all."""
         for delayed in list(self._delays) if name is None else [name]:
             self._delays.pop(delayed, None)
         remaining = {
@@ -57,15 +63,15 @@
         self._call(self._set_cuts(remaining))
 
     def delay(self, name: str, seconds: float) -> None:
-        """Hold back each piece that goes through a relay for some time."""
+        """Delay each chunk of data that goes through a relay."""
         self._delays[name] = seconds
 
     def reset(self, name: str) -> None:
-        """Reset every connection that goes through a relay."""
+        """Reset all connections through a relay."""
         self._call(self._reset(name))
 
     def stop(self) -> None:
-        """End the relays and their connections."""
+        """Stop all relays and close their connections."""
         self._call(self._stop())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
@@ -134,7 +140,7 @@
             await self._wait_until_healed(name, source, direction)
             writer.write(data)
             await writer.drain()
-        # A close is no news either while the link is cut.
+        # During a partition, the end of a connection must not get through either.
         await self._wait_until_healed(name, source, direction)
 
     async def _wait_until_healed(self, name: str, source: str, direction: str) -> None:
--- a/standins/route_server.py
+++ b/standins/route_server.py
@@ -1,8 +1,7 @@
-"""Stand-in for a server behind routes: an engine with stages, or a plain service.
+"""Stand-in for a backend server of routes: an engine with a stage, or a plain server.
 
-It speaks the server side of the users' platform over real sockets, one request at a
-time on a connection, and misbehaves on command: each request takes the next fault of
-its list.
+It implements the server side of the platform's HTTP API over real sockets, with one
+request at a time per connection. Each request consumes the next injected fault.
 """
 
 import asyncio
@@ -23,10 +22,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReceivedRequest:
-    """One request that arrived.
+    """A received request.
 
     Attributes:
-        kind: `prefill` for a prompt that is only read, `run`, or the call's path.
+        kind: `prefill` for a request that only prefills a prompt, `run` for one that is
+            executed, or the path of another call.
+        fields: Header fields by lower-case name.
     """
 
     kind: str
@@ -37,34 +38,37 @@
 
 
 class RouteServer:
-    """One life of a server.
+    """A backend server.
 
     Args:
-        server_id: Its id; a request that expects another one is misdirected.
-        service: Service it belongs to.
-        failure_domain: Where it stands.
+        server_id: Server id; a request that expects another id gets status 421.
+        service: Service that the server belongs to.
+        failure_domain: Failure domain of the server.
         stage: `prefill`, `decode`, or None for a plain server.
 
     Attributes:
-        faults: Taken one by one by requests that read or run; empty text for none.
-            `decline`, `reset`, `cut` (in the middle of an event), `no proof`,
-            `other first` (an answer to another request comes first), `fail`, `silent`,
-            `slow` and `late` (pauses before the answer), `late cut` (both), `stuck` (it
-            stays queued for longer than any client waits), `from the start` (a resumed
-            stream begins anew).
-        received: What arrived, in order.
-        arrival_times: When each of these arrived, by the event loop's clock.
-        advertised_address: Address of its entry, if that is not its own.
-        cancelled: Ids of requests whose connection closed while they ran.
-        freed_handles: Handles that were freed.
-        unresponsive: It answers no report either.
-        started_ms: Unix time of its start in milliseconds; None if it does not say.
-        restart_before_order: It starts again when it has given its next report.
-        queued, running: Ids of requests that it has, for its report.
-        fatal_body: A request with this body ends the process soon after it begins to
-            run; None if there is none.
-        crashed: The process has ended by such a request.
-        crashed_at: When, by the event loop's clock.
+        faults: Faults of the next `prefill` and `run` requests, one per request; an
+            empty string is no fault. `decline` (503, not executed), `reset`, `cut` (in
+            the middle of an event), `no proof` (response without a seal),
+            `other first` (preceded by a response to another request), `fail` (500),
+            `silent` (no response), `slow` and `late` (delayed response), `late cut`
+            (both), `stuck` (queued for longer than any client waits), `from the start`
+            (a resumed stream starts at its first event).
+        received: Received requests, in order.
+        arrival_times: Times of their arrival, by the event loop's clock.
+        advertised_address: Address to list the server under, if it is not its own.
+        cancelled: Ids of requests whose client closed the connection before the
+            response.
+        freed_handles: KV handles that were freed.
+        orders: Accepted orders of the current incarnation.
+        unresponsive: Whether requests for its report get no response either.
+        started_ms: Unix time of its start in milliseconds; None if not reported.
+        restart_before_order: Whether it restarts after its next report.
+        queued, running: Ids of queued and running requests, for its report.
+        fatal_body: A request with this body crashes the server soon after it starts to
+            run; None for no such request.
+        crashed: Whether the server has crashed.
+        crashed_at: Time of the crash, by the event loop's clock.
     """
 
     def __init__(
@@ -105,7 +109,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Close the address and every connection."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
@@ -113,7 +117,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def crash(self) -> None:
-        """End the process: every connection closes and none is accepted."""
+        """Simulate a crash: reset all connections and accept no more."""
         self.crashed = True
         self.crashed_at = asyncio.get_running_loop().time()
         if self._server is not None:
@@ -122,7 +126,7 @@
             connection.reset()
 
     def restart(self, started_ms: int) -> None:
-        """Start a new life under the same id and address."""
+        """Start a new incarnation with the same id and address."""
         self.started_ms = started_ms
         self.orders = []
         self.queued, self.running = set(), set()
@@ -130,7 +134,7 @@
             connection.reset()
 
     def entry(self) -> dict[str, typing.Any]:
-        """Return what the server writes about itself into the store."""
+        """Return the entry that the server writes to the store."""
         entry: dict[str, typing.Any] = {
             "service": self.service,
             "address": f"127.0.0.1:{self.port}",
@@ -148,7 +152,7 @@
         return entry
 
     def count_runs(self, request_id: str) -> int:
-        """Return how often a request ran here."""
+        """Return how often the server executed a request."""
         return sum(
             item.kind == "run" and item.fields.get("x-request-id") == request_id
             for item in self.received
@@ -176,7 +180,7 @@
     async def _respond(
         self, connection: "_Connection", request: ReceivedRequest
     ) -> bool:
-        """Answer a request; False if the connection is to be closed."""
+        """Respond to a request; returns False if the connection must be closed."""
         expected = request.fields.get("x-expect-instance", self.server_id)
         self.received.append(request)
         self.arrival_times.append(asyncio.get_running_loop().time())
@@ -309,7 +313,7 @@
 
 
 class _Connection:
-    """One connection."""
+    """A server connection."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -319,7 +323,7 @@
         self._parser = h11.Connection(h11.SERVER)
 
     async def read_request(self) -> ReceivedRequest | None:
-        """Return the next request, or None at the connection's end."""
+        """Return the next request, or None at the end of the connection."""
         if self._parser.our_state is h11.DONE:
             self._parser.start_next_cycle()
         head: h11.Request | None = None
@@ -348,7 +352,15 @@
         *,
         expected: bool = True,
     ) -> None:
-        """Send a whole answer; without `end`, one more than was asked for."""
+        """Send a full response.
+
+        Args:
+            status: HTTP status.
+            fields: Header fields other than the content length.
+            body: Body of the response.
+            expected: Whether it is the response to the current request. False sends an
+                additional response ahead of that one.
+        """
         if not expected:
             head = b"".join(n + b": " + v + b"\r\n" for n, v in fields)
             length = b"content-length: %d\r\n\r\n" % len(body)
@@ -360,13 +372,13 @@
         await self.send_end()
 
     async def send_head(self, status: int, fields: list[tuple[bytes, bytes]]) -> None:
-        """Send status and header."""
+        """Send the status line and header fields."""
         response = h11.Response(status_code=status, headers=fields)
         self._writer.write(self._parser.send(response) or b"")
         await self._writer.drain()
 
     async def send_chunk(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
         if data:
             self._writer.write(self._parser.send(h11.Data(data)) or b"")
             await self._writer.drain()
@@ -377,13 +389,13 @@
         await self._writer.drain()
 
     async def wait_closed(self) -> None:
-        """Wait until the other side closes the connection."""
+        """Wait until the client closes the connection."""
         with contextlib.suppress(ConnectionError):
             while await self._reader.read(65_536):
                 pass
 
     def reset(self) -> None:
-        """Close the connection so that the other side sees a reset."""
+        """Reset the connection."""
         self._writer.transport.abort()
 
 
