--- a/standins/callers.py
+++ b/standins/callers.py
@@ -1,4 +1,4 @@
-"""Callers of an entry instance, for scenarios."""
+"""HTTP client for completions, as used by callers of an entry instance."""
 
 import asyncio
 import dataclasses
@@ -15,27 +15,28 @@
 
 _LONG = datetime.timedelta(seconds=60)
 
-__all__ = ["Reply", "complete", "expected_text", "many"]
+__all__ = ["Reply", "complete", "expected_text", "complete_concurrently"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """What a caller received.
+    """Response that a caller received.
 
     Attributes:
-        status: HTTP status, or 0 when the connection failed.
-        whole: Whether the stream ended with its end marker.
-        error: The error record, if one came.
+        status: HTTP status, or 0 if the connection failed.
+        text: Concatenated tokens.
+        is_complete: Whether the stream ended with its end marker.
+        error: Error record, if the response contained one.
     """
 
     status: int
     text: str
-    whole: bool
+    is_complete: bool
     error: dict[str, typing.Any] | None = None
 
 
 def expected_text(prompt: str, max_tokens: int) -> str:
-    """Return the whole answer of a stand-in engine to a prompt."""
+    """Return the complete output of an `engine.Engine` for a prompt."""
     return "".join(engine.answer_token(prompt, i) for i in range(max_tokens))
 
 
@@ -45,7 +46,7 @@
     body: dict[str, typing.Any],
     headers: dict[str, str] | None = None,
 ) -> Reply:
-    """Ask for a streamed completion and read it to its end."""
+    """Send a streaming completion request and read the response to its end."""
     text: list[str] = []
     error = None
     try:
@@ -61,33 +62,37 @@
         raw = b"".join([chunk async for chunk in response.read_chunks()])
     except connections.ANSWER_FAILURES as failure:
         return Reply(0, "".join(text), False, {"message": repr(failure)})
-    whole = False
+    is_complete = False
     for event in raw.split(b"\n\n"):
         data = event.removeprefix(b"data: ")
         if data == b"[DONE]":
-            whole = True
+            is_complete = True
         elif data:
             parsed = json.loads(data)
             error = parsed.get("error", error)
             text += [choice["text"] for choice in parsed.get("choices", ())]
-    return Reply(200, "".join(text), whole, error)
+    return Reply(200, "".join(text), is_complete, error)
 
 
-async def _many(
-    asks: typing.Sequence[tuple[str, dict[str, typing.Any], dict[str, str]]],
+async def _complete_concurrently(
+    calls: typing.Sequence[tuple[str, dict[str, typing.Any], dict[str, str]]],
 ) -> list[Reply]:
-    pool = aiosonic.pools.PoolConfig(size=max(1, len(asks)))
+    pool = aiosonic.pools.PoolConfig(size=max(1, len(calls)))
     connector = aiosonic.connectors.TCPConnector(pool_configs={":default": pool})
     async with aiosonic.HTTPClient(connector) as client:
         return list(
             await asyncio.gather(
-                *(complete(client, url, body, headers) for url, body, headers in asks)
+                *(complete(client, url, body, headers) for url, body, headers in calls)
             )
         )
 
 
-def many(
-    asks: typing.Sequence[tuple[str, dict[str, typing.Any], dict[str, str]]],
+def complete_concurrently(
+    calls: typing.Sequence[tuple[str, dict[str, typing.Any], dict[str, str]]],
 ) -> list[Reply]:
-    """Ask for many completions at once: (url, body, headers) each."""
-    return asyncio.run(_many(asks))
+    """Send completion requests concurrently.
+
+    Args:
+        calls: (url, body, headers) of each request.
+    """
+    return asyncio.run(_complete_concurrently(calls))
--- a/standins/control_api.py
+++ b/standins/control_api.py
@@ -1,4 +1,7 @@
-"""Stand-in for the platform's interface for reports and orders of one holder."""
+"""Stand-in for the platform's control API: usage reports and server orders.
+
+Only the leader calls it; fencing tokens reject calls of a former leader.
+"""
 
 import asyncio
 import collections
@@ -8,64 +11,68 @@
 
 from starlette import applications, requests, responses, routing
 
-__all__ = ["ControlApi", "Received", "build"]
+__all__ = ["ControlApi", "ReceivedCall", "build"]
 
-_SILENT_S = 3.0
+_RESPONSE_DELAY_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Received:
-    """A call that arrived.
+class ReceivedCall:
+    """A received call.
 
     Attributes:
-        path: What was called.
-        done: It was carried out.
+        path: URL path.
+        holder: Instance that sent the call as leader.
+        fence: Fencing token of the call.
+        executed: Whether the call took effect.
     """
 
     path: str
     holder: str
     fence: int
     body: dict[str, typing.Any]
-    done: bool
+    executed: bool
 
 
 class ControlApi:
-    """Checks fences and misbehaves on command.
+    """Checks fencing tokens and injects faults.
 
     Attributes:
-        received: Calls in the order of their arrival.
-        faults: Taken one by one by calls; empty text for none. `busy` refuses with
-            429, `silent` carries out and answers too late for any caller.
-        fences: Highest fence by path and subject.
+        received: Calls in the order of arrival.
+        faults: Faults of the next calls, one per call; an empty string is no fault.
+            `busy` refuses with 429; `silent` executes the call, but responds after the
+            timeout of every caller.
+        fences: Highest fencing token by path and subject.
         servers: Ordered servers by service, failure domain and kind.
-        none_to_be_had: Failure domains in which orders for more are refused.
+        exhausted_domains: Failure domains without capacity: orders that increase the
+            number of servers are refused.
     """
 
     def __init__(self) -> None:
-        self.received: list[Received] = []
+        self.received: list[ReceivedCall] = []
         self.faults: collections.deque[str] = collections.deque()
         self.fences: dict[tuple[str, str], int] = {}
         self.servers: dict[tuple[str, str, bool], int] = {}
-        self.none_to_be_had: set[str] = set()
+        self.exhausted_domains: set[str] = set()
 
-    def done(self, path: str) -> list[Received]:
-        """Return the calls of a path that were carried out."""
-        return [call for call in self.received if call.path == path and call.done]
+    def executed_calls(self, path: str) -> list[ReceivedCall]:
+        """Return the calls to a path that took effect."""
+        return [call for call in self.received if call.path == path and call.executed]
 
     async def call(self, request: requests.Request) -> responses.Response:
-        """Take a call."""
+        """Handle a usage report or an order."""
         body = json.loads(await request.body())
         fault = self.faults.popleft() if self.faults else ""
         fence = int(request.headers["x-fence-token"])
         path = request.url.path
-        status = 429 if fault == "busy" else self._carry_out(path, fence, body)
+        status = 429 if fault == "busy" else self._execute(path, fence, body)
         holder = request.headers["x-duty-holder"]
-        self.received.append(Received(path, holder, fence, body, status == 200))
+        self.received.append(ReceivedCall(path, holder, fence, body, status == 200))
         if fault == "silent":
-            await asyncio.sleep(_SILENT_S)
+            await asyncio.sleep(_RESPONSE_DELAY_S)
         return responses.JSONResponse({}, status)
 
-    def _carry_out(self, path: str, fence: int, body: dict[str, typing.Any]) -> int:
+    def _execute(self, path: str, fence: int, body: dict[str, typing.Any]) -> int:
         subject = f"{body.get('service', '')}/{body.get('zone', '')}"
         if fence < self.fences.get((path, subject), 0):
             return 409
@@ -76,17 +83,16 @@
 
     def _scale(self, body: dict[str, typing.Any]) -> int:
         key = (body["service"], body["zone"], bool(body.get("spot", False)))
-        more = body["desired"] > self.servers.get(key, 0)
-        if more and body["zone"] in self.none_to_be_had:
+        scales_up = body["desired"] > self.servers.get(key, 0)
+        if scales_up and body["zone"] in self.exhausted_domains:
             return 409
         self.servers[key] = body["desired"]
         return 200
 
 
-def build(held: ControlApi) -> typing.Any:
+def build(api: ControlApi) -> typing.Any:
     """Return the ASGI application of the stand-in."""
     routes = [
-        routing.Route(path, held.call, methods=["POST"])
-        for path in ("/usage", "/scale")
+        routing.Route(path, api.call, methods=["POST"]) for path in ("/usage", "/scale")
     ]
     return applications.Starlette(routes=routes)
--- a/standins/faults.py
+++ b/standins/faults.py
@@ -1,13 +1,13 @@
-"""Fault commands that every stand-in takes at `POST /faults`.
+"""Fault injection, controlled by commands at `POST /faults` of each stand-in.
 
-A command is a JSON object: `kind` names the fault, `times` says how many calls it
-hits (None: until cleared), `sender` limits it to one calling instance, `path` to
-paths that begin so, `method` limits `drop_reply` to one HTTP method, and `seconds`
-sets a delay. `{"kind": "clear"}` ends them all.
+A command is a JSON object: `kind` is the fault, `times` the number of calls that it
+affects (null: until cleared), `sender` limits it to one calling instance, `path` to a
+prefix of the path, `method` limits `drop_reply` to one HTTP method, and `seconds` is
+the delay of `slow`. `{"kind": "clear"}` removes all faults.
 
-Kinds: `slow` delays the call, `refuse` answers 503 before any effect, `drop_reply`
-closes the connection after the effect, `hang` never answers (a cut link), `crash`
-ends the process.
+Kinds: `slow` delays the call, `refuse` returns 503 before any effect, `drop_reply`
+executes the call and closes the connection without a response, `hang` never responds,
+like a network partition, and `crash` terminates the process.
 """
 
 import asyncio
@@ -17,14 +17,14 @@
 
 from starlette import requests, responses
 
-__all__ = ["Fault", "Faults"]
+__all__ = ["Fault", "FaultInjector"]
 
 CRASH_EXIT_CODE = 70
 
 
 @dataclasses.dataclass(slots=True)
 class Fault:
-    """One fault that is in force."""
+    """An active fault; the fields are those of the command."""
 
     kind: str
     times: int | None = None
@@ -33,8 +33,8 @@
     seconds: float = 0.0
     method: str | None = None
 
-    def hits(self, path: str, sender: str | None, method: str) -> bool:
-        """Tell whether the fault applies to a call."""
+    def applies_to(self, path: str, sender: str | None, method: str) -> bool:
+        """Return whether the fault affects a call."""
         if self.times == 0:
             return False
         if self.sender is not None and self.sender != sender:
@@ -44,13 +44,13 @@
         return path.startswith(self.path)
 
 
-class Faults:
-    """The faults in force at one stand-in."""
+class FaultInjector:
+    """Active faults of a stand-in."""
 
     def __init__(self) -> None:
         self._faults: list[Fault] = []
 
-    async def command(self, request: requests.Request) -> responses.Response:
+    async def handle_command(self, request: requests.Request) -> responses.Response:
         """Handle `POST /faults`."""
         body = await request.json()
         if body["kind"] == "clear":
@@ -61,21 +61,21 @@
             self._faults.append(Fault(**body))
         return responses.JSONResponse({})
 
-    def take(
+    def trigger(
         self, kind: str, path: str, sender: str | None, method: str = ""
     ) -> Fault | None:
-        """Return the first fault of a kind that hits the call, and count it."""
+        """Return the first fault of a kind that affects the call, and count it."""
         for fault in self._faults:
-            if fault.kind == kind and fault.hits(path, sender, method):
+            if fault.kind == kind and fault.applies_to(path, sender, method):
                 if fault.times is not None:
                     fault.times -= 1
                 return fault
         return None
 
     def middleware(self, application: typing.Any) -> typing.Any:
-        """Wrap an ASGI application so that the faults hit its calls."""
+        """Return an ASGI application that injects the faults into its calls."""
 
-        async def faulty(
+        async def inject(
             scope: typing.Any, receive: typing.Any, send: typing.Any
         ) -> None:
             if scope["type"] != "http" or scope["path"] == "/faults":
@@ -84,27 +84,27 @@
             headers = dict(scope["headers"])
             sender = headers.get(b"x-instance", b"").decode() or None
             path = scope["path"]
-            if self.take("hang", path, sender):
+            if self.trigger("hang", path, sender):
                 await asyncio.Event().wait()
-            if slow := self.take("slow", path, sender):
+            if slow := self.trigger("slow", path, sender):
                 await asyncio.sleep(slow.seconds)
-            if self.take("refuse", path, sender):
+            if self.trigger("refuse", path, sender):
                 refusal = responses.JSONResponse({"ran": False}, status_code=503)
                 await refusal(scope, receive, send)
                 return
-            if self.take("drop_reply", path, sender, scope["method"]):
+            if self.trigger("drop_reply", path, sender, scope["method"]):
                 await application(scope, receive, _discard)
-                # An application that raises before it answers is answered for, with
-                # status 500. A body that is promised and never sent makes the server
-                # close the connection.
-                await send(_PROMISE)
+                # If an application raises before it responds, the server sends status
+                # 500. A response head whose body never follows makes the server close
+                # the connection instead.
+                await send(_INCOMPLETE_RESPONSE)
                 return
             await application(scope, receive, send)
 
-        return faulty
+        return inject
 
 
-_PROMISE = {
+_INCOMPLETE_RESPONSE = {
     "type": "http.response.start",
     "status": 200,
     "headers": [(b"content-length", b"1")],
@@ -112,4 +112,4 @@
 
 
 async def _discard(message: typing.Any) -> None:
-    """Swallow a message of an answer that is to be lost."""
+    """Discard an ASGI message of a response that is dropped."""
--- a/standins/memory_engine.py
+++ b/standins/memory_engine.py
@@ -1,4 +1,4 @@
-"""A model engine in memory, and the client through which one actor orders it."""
+"""In-memory model engine, and the client through which an actor sends it orders."""
 
 import asyncio
 import dataclasses
@@ -9,7 +9,10 @@
 
 from pimentolatch import settings
 from pimentolatch.backend import order_client
-from tests.support import history, schedule
+from tests.support import (
+    history,
+    schedule,
+)
 
 __all__ = ["EngineKind", "Links", "MemoryEngine", "MemoryOrderClient"]
 
@@ -18,24 +21,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineKind:
-    """How an engine is made.
+    """Properties of an engine.
 
     Attributes:
-        checks_fencing: Whether it refuses an order with an old fencing number.
-        closes_late: Whether it closes a connection whose order is late. Only a test
-            of what happens without the safeguard turns it off.
-        counts_streams: Whether its state tells of its streams; likewise.
+        checks_fencing: Whether orders with an old fencing token are refused.
+        rejects_late_orders: Whether an order is rejected if its body arrives after
+            the read timeout. Only a test of the effect of this safeguard disables it.
+        reports_streams: Whether the reported state counts the running streams. Only a
+            test of the effect of this safeguard disables it.
+        read_timeout_s: Timeout for receiving an order, in seconds.
+        change_s: Duration of a change, in seconds.
     """
 
     checks_fencing: bool
-    closes_late: bool = True
-    counts_streams: bool = True
+    rejects_late_orders: bool = True
+    reports_streams: bool = True
     read_timeout_s: float = 2.0
     change_s: float = 1.0
 
 
 class MemoryEngine:
-    """One engine; a start loses everything but its kind."""
+    """An engine; a restart loses all state but its kind.
+
+    Attributes:
+        crashes_during_change: Number of the next changes during which it crashes.
+    """
 
     def __init__(
         self,
@@ -50,44 +60,48 @@
         self.up = True
         self._plan = plan
         self._recorder = recorder
-        self._first_models = models
-        self.crash_in_change = 0
+        self._initial_models = models
+        self.crashes_during_change = 0
         self._start()
 
     def _start(self) -> None:
         self.incarnation = f"{self.name}/{next(_incarnations)}"
         self.role = "mixed"
-        self.models = self._first_models
+        self.models = self._initial_models
         self.fence = 0
         self.changing = False
         self.last_order: str | None = None
         self.streams: dict[str, asyncio.Event] = {}
 
     def state(self) -> order_client.EngineState:
-        """Return what the engine says of itself."""
+        """Return the state that the engine reports."""
         return order_client.EngineState(
             self.role,
             self.models,
             self.fence,
             self.changing,
             self.last_order,
-            len(self.streams) if self.kind.counts_streams else 0,
+            len(self.streams) if self.kind.reports_streams else 0,
             self.incarnation,
         )
 
-    async def crash(self, down: datetime.timedelta) -> None:
-        """Lose everything and come back after a while."""
+    async def crash(self, downtime: datetime.timedelta) -> None:
+        """Lose all state and restart after `downtime`."""
         if not self.up:
             return
         self.up = False
         self._cut("crash")
         self._recorder.add(history.EngineEnded(self._plan.now, self.name))
-        await self._plan.time.sleep(down)
+        await self._plan.time.sleep(downtime)
         self._start()
         self.up = True
 
     def begin_stream(self, request: str, sender: str) -> asyncio.Event | None:
-        """Take a request; returns the event of its being cut, or None if refused."""
+        """Accept a request.
+
+        Returns:
+            An event that is set when the stream is cut; None if the request is refused.
+        """
         if not self.up or self.changing:
             return None
         cut = self.streams[request] = asyncio.Event()
@@ -97,15 +111,18 @@
         return cut
 
     def end_stream(self, request: str) -> None:
-        """Finish a request."""
+        """Record the end of a request; no effect if it was cut."""
         if self.streams.pop(request, None) is not None:
             self._recorder.add(history.StreamEnded(self._plan.now, self.name, request))
 
-    async def take(
-        self, body: dict[str, typing.Any], opened: float
+    async def handle_order(
+        self, body: dict[str, typing.Any], opened_at: float
     ) -> order_client.Sent:
-        """Take an order whose last byte has just arrived."""
-        if self.kind.closes_late and self._plan.now > opened + self.kind.read_timeout_s:
+        """Handle an order whose last byte has just arrived on a connection."""
+        if (
+            self.kind.rejects_late_orders
+            and self._plan.now > opened_at + self.kind.read_timeout_s
+        ):
             return order_client.Refused("too slow")
         if self.kind.checks_fencing and body["fence"] < self.fence:
             return order_client.Refused("old fence")
@@ -134,8 +151,8 @@
             )
         )
         self._cut("order")
-        if self.crash_in_change > 0:
-            self.crash_in_change -= 1
+        if self.crashes_during_change > 0:
+            self.crashes_during_change -= 1
             self._plan.start(self._crash_soon())
         await self._plan.time.sleep(schedule.seconds(self.kind.change_s))
         if self.incarnation != incarnation or not self.up:
@@ -147,8 +164,8 @@
         return order_client.Taken(self.state())
 
     async def _crash_soon(self) -> None:
-        part = self._plan.random.uniform(0.1, 0.9)
-        await self._plan.time.sleep(schedule.seconds(part * self.kind.change_s))
+        fraction = self._plan.random.uniform(0.1, 0.9)
+        await self._plan.time.sleep(schedule.seconds(fraction * self.kind.change_s))
         await self.crash(schedule.seconds(self._plan.random.uniform(0.5, 4)))
 
     def _cut(self, cause: str) -> None:
@@ -162,18 +179,22 @@
 
 @dataclasses.dataclass(slots=True)
 class Links:
-    """Cut links: (from, to) pairs, one direction each."""
+    """Network partitions between actors.
+
+    Attributes:
+        cut: (sender, receiver) pairs, each for one direction.
+    """
 
     cut: set[tuple[str, str]] = dataclasses.field(default_factory=set)
 
-    def carries(self, sender: str, receiver: str) -> bool:
-        """Tell whether messages pass in this direction."""
-        # A link belongs to an instance, whichever start of it.
+    def can_reach(self, sender: str, receiver: str) -> bool:
+        """Return whether messages get through in this direction."""
+        # A partition applies to all incarnations of an instance.
         return (sender.split("/")[0], receiver.split("/")[0]) not in self.cut
 
 
 class MemoryOrderClient:
-    """`orders.OrderClient` of one actor; engines are told apart by their ports."""
+    """`orders.OrderClient` of one actor; the port of an address selects the engine."""
 
     def __init__(
         self,
@@ -193,10 +214,10 @@
         """See `orders.OrderClient.state`."""
         engine = self._engines[address.port]
         await self._plan.point(self._actor, "state")
-        answer = engine.state()
-        reached = engine.up and self._reaches(engine)
+        state = engine.state()
+        reached = engine.up and self._is_connected(engine)
         await self._plan.point(self._actor, "state seen")
-        return answer if reached else order_client.Unreachable("no answer")
+        return state if reached else order_client.Unreachable("no response")
 
     async def open(
         self, address: settings.Address, body: dict[str, typing.Any]
@@ -204,36 +225,36 @@
         """See `orders.OrderClient.open`."""
         engine = self._engines[address.port]
         await self._plan.point(self._actor, "open")
-        if not engine.up or not self._reaches(engine):
+        if not engine.up or not self._is_connected(engine):
             return order_client.Unreachable("no connection")
         attempt = _Attempt(self, engine, body, self._plan.now)
         await self._plan.point(self._actor, "opened")
         return attempt
 
-    def _reaches(self, engine: MemoryEngine) -> bool:
-        out = self._links.carries(self._actor, engine.name)
-        return out and self._links.carries(engine.name, self._actor)
+    def _is_connected(self, engine: MemoryEngine) -> bool:
+        outbound = self._links.can_reach(self._actor, engine.name)
+        return outbound and self._links.can_reach(engine.name, self._actor)
 
     async def exchange(self, attempt: "_Attempt") -> order_client.Sent:
-        """Write the order's bytes and wait for the answer."""
+        """Send the order and wait for the response."""
         await self._plan.point(self._actor, "send")
-        # Once written, the bytes are on their way whatever becomes of the sender.
-        on_the_way = self._plan.start(self._deliver(attempt))
-        sent: order_client.Sent = await asyncio.shield(on_the_way)
+        # Once sent, the bytes are delivered even if the sender is cancelled.
+        delivery = self._plan.start(self._deliver(attempt))
+        sent: order_client.Sent = await asyncio.shield(delivery)
         await self._plan.point(self._actor, "sent")
-        if not self._links.carries(attempt.engine.name, self._actor):
-            return order_client.Unreachable("the answer was lost")
+        if not self._links.can_reach(attempt.engine.name, self._actor):
+            return order_client.Unreachable("response lost")
         return sent
 
     async def _deliver(self, attempt: "_Attempt") -> order_client.Sent:
         engine = attempt.engine
-        late = self._plan.random.choices((0.001, 0.01, 0.2, 3.0), (50, 30, 15, 5))[0]
-        await self._plan.time.sleep(schedule.seconds(late))
-        reached = self._links.carries(self._actor, engine.name)
-        # A connection belongs to one start of the engine.
+        latency = self._plan.random.choices((0.001, 0.01, 0.2, 3.0), (50, 30, 15, 5))[0]
+        await self._plan.time.sleep(schedule.seconds(latency))
+        reached = self._links.can_reach(self._actor, engine.name)
+        # A connection does not survive a restart of the engine.
         if engine.incarnation != attempt.incarnation or not engine.up or not reached:
             return order_client.Unreachable("connection reset")
-        return await engine.take(attempt.body, attempt.opened)
+        return await engine.handle_order(attempt.body, attempt.opened_at)
 
 
 class _Attempt:
@@ -242,13 +263,13 @@
         client: MemoryOrderClient,
         engine: MemoryEngine,
         body: dict[str, typing.Any],
-        opened: float,
+        opened_at: float,
     ) -> None:
         self._client = client
         self.engine = engine
         self.incarnation = engine.incarnation
         self.body = body
-        self.opened = opened
+        self.opened_at = opened_at
 
     async def send(self) -> order_client.Sent:
         """See `orders.Attempt.send`."""
--- a/standins/memory_store.py
+++ b/standins/memory_store.py
@@ -1,8 +1,8 @@
-"""The platform's store in memory, with faults on command, for logic tests.
+"""In-memory store of the platform with injected faults, for logic tests.
 
-It wraps the object table of the platform stand-in, so versions and conditional
-updates are those that the processes meet. Several stores over one table stand for
-several instances, each with its own link to the platform.
+It wraps the object table of the platform stand-in, so versions and conditional updates
+behave as they do between processes. Several stores that share a table represent several
+instances, each with its own link to the platform.
 """
 
 import asyncio
@@ -12,12 +12,12 @@
 from collections import abc
 
 from pimentolatch import clock, store
-from standins import objects
+from standins import object_table
 
 __all__ = ["MemoryStore", "Pause", "StoreFaults", "no_pause"]
 
-# Awaited before a call's effect and again before its reply, with a name such as
-# `put order-slots` or `put order-slots done`.
+# Hook awaited before the effect of a call and again before its response, with a name
+# such as `put order-slots` or `put order-slots done`.
 Pause = typing.Callable[[str], abc.Awaitable[None]]
 
 _OUTAGE = store.Unavailable("outage", effect_unknown=False)
@@ -25,31 +25,32 @@
 
 
 async def no_pause(point: str) -> None:
-    """Go on at once."""
+    """Return without a pause."""
 
 
 @dataclasses.dataclass(slots=True)
 class StoreFaults:
-    """Faults in force on the links to a store; share one among several links.
+    """Faults on the links to a store; several stores can share one object.
 
     Attributes:
-        outage: Every call fails and has no effect.
-        cut: Names of links whose calls fail and have no effect.
-        lost_replies: So many of the next writes take effect without an answer.
-        late_writes: So many of the next writes take effect only `lateness` after
-            the caller was told that their outcome is unknown.
-        delay: Time each call takes before its effect.
+        outage: All calls fail without an effect.
+        cut: Names of links whose calls fail without an effect.
+        lost_replies: Number of the next writes that take effect, but whose response is
+            lost.
+        late_writes: Number of the next writes that take effect only after
+            `late_write_delay`; the caller learns at once that the outcome is unknown.
+        delay: Time before the effect of each call.
     """
 
     outage: bool = False
     cut: set[str] = dataclasses.field(default_factory=set)
     lost_replies: int = 0
     late_writes: int = 0
-    lateness: datetime.timedelta = datetime.timedelta(seconds=5)
+    late_write_delay: datetime.timedelta = datetime.timedelta(seconds=5)
     delay: datetime.timedelta = _NO_TIME
 
-    def end(self) -> None:
-        """End every fault."""
+    def clear(self) -> None:
+        """Remove all faults."""
         self.outage = False
         self.cut.clear()
         self.lost_replies = self.late_writes = 0
@@ -57,20 +58,21 @@
 
 
 class MemoryStore:
-    """`store.Store` over an object table; `link` names this instance's link.
+    """`store.Store` on an object table.
 
     Args:
-        table: The objects; share one table among the instances of a test.
+        table: Objects; the instances of a test share one table.
         time: Clock for delays.
-        link: Name that `StoreFaults.cut` uses.
-        faults: Faults in force; None for a store that never fails.
-        instances: Shows the platform's instance list; a callable, so that it changes.
-        pause: Hook for schedules, awaited before each effect and each reply.
+        link: Name of this store's link in `StoreFaults.cut`.
+        faults: Injected faults; None for a store that never fails.
+        instances: Returns the platform's current instance list.
+        pause: Hook awaited before each effect and each response, so that a test can
+            schedule them.
     """
 
     def __init__(
         self,
-        table: objects.ObjectTable,
+        table: object_table.ObjectTable,
         *,
         time: clock.Clock,
         link: str = "",
@@ -84,14 +86,14 @@
         self._faults = StoreFaults() if faults is None else faults
         self._instances = instances
         self._pause = pause
-        self._late: set[asyncio.Task[None]] = set()
+        self._late_writes: set[asyncio.Task[None]] = set()
         self.calls = 0
 
     async def get(
         self, kind: str, name: str
     ) -> store.Found | store.Absent | store.Unavailable:
         """See `store.Store.get`."""
-        if failed := await self._begin(f"get {kind}"):
+        if failed := await self._start_call(f"get {kind}"):
             return failed
         row = self._table.get(kind, name)
         await self._pause(f"get {kind} done")
@@ -103,7 +105,7 @@
         self, kind: str, name: str, value: store.Json, *, if_version: int
     ) -> store.Written | store.Conflict | store.Unavailable:
         """See `store.Store.put`."""
-        if failed := await self._begin(f"put {kind}"):
+        if failed := await self._start_call(f"put {kind}"):
             return failed
         if self._faults.late_writes > 0:
             self._faults.late_writes -= 1
@@ -120,7 +122,7 @@
         self, kind: str, name: str, *, if_version: int
     ) -> store.Written | store.Absent | store.Conflict | store.Unavailable:
         """See `store.Store.delete`."""
-        if failed := await self._begin(f"delete {kind}"):
+        if failed := await self._start_call(f"delete {kind}"):
             return failed
         if self._table.get(kind, name) is None:
             return store.Absent(name)
@@ -132,7 +134,7 @@
         self, kind: str, prefix: str = ""
     ) -> store.Listing | store.Unavailable:
         """See `store.Store.list_objects`."""
-        if failed := await self._begin(f"list {kind}"):
+        if failed := await self._start_call(f"list {kind}"):
             return failed
         listing = self._listing(self._table.list_objects(kind, prefix))
         await self._pause(f"list {kind} done")
@@ -141,16 +143,16 @@
     async def watch(
         self, kind: str, *, after: int, wait: datetime.timedelta
     ) -> store.Changes | store.HistoryGone | store.Unavailable:
-        """See `store.Store.watch`; waits in steps of the clock that was passed in."""
-        if failed := await self._begin(f"watch {kind}"):
+        """See `store.Store.watch`; polls the table by the clock of this store."""
+        if failed := await self._start_call(f"watch {kind}"):
             return failed
-        end = self._clock.monotonic() + wait
+        deadline = self._clock.monotonic() + wait
         step = datetime.timedelta(seconds=0.1)
         while not self._table.changes(kind, after):
-            if self._clock.monotonic() >= end or self._cut_off:
+            if self._clock.monotonic() >= deadline or self._unreachable:
                 break
             await self._clock.sleep(step)
-        if after < self._table.history_from:
+        if after < self._table.compacted_revision:
             return store.HistoryGone()
         rows = self._table.changes(kind, after)
         return store.Changes(
@@ -161,27 +163,27 @@
 
     async def instances(self) -> tuple[store.Instance, ...] | store.Unavailable:
         """See `store.Store.instances`."""
-        if failed := await self._begin("instances"):
+        if failed := await self._start_call("instances"):
             return failed
         return self._instances()
 
     @property
-    def _cut_off(self) -> bool:
+    def _unreachable(self) -> bool:
         return self._faults.outage or self._link in self._faults.cut
 
-    async def _begin(self, call: str) -> store.Unavailable | None:
+    async def _start_call(self, call: str) -> store.Unavailable | None:
         self.calls += 1
         await self._pause(call)
         if self._faults.delay > _NO_TIME:
             await self._clock.sleep(self._faults.delay)
-        return _OUTAGE if self._cut_off else None
+        return _OUTAGE if self._unreachable else None
 
     async def _write(
         self, kind: str, name: str, value: store.Json, if_version: int
     ) -> store.Written | store.Conflict:
         try:
             row = await self._table.put(kind, name, value, if_version)
-        except objects.VersionConflictError as conflict:
+        except object_table.VersionConflictError as conflict:
             return store.Conflict(conflict.version)
         return store.Written(row.version)
 
@@ -189,16 +191,16 @@
         self, kind: str, name: str, value: store.Json, if_version: int
     ) -> None:
         async def write() -> None:
-            await self._clock.sleep(self._faults.lateness)
+            await self._clock.sleep(self._faults.late_write_delay)
             await self._write(kind, name, value, if_version)
 
         task = asyncio.create_task(write())
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        self._late_writes.add(task)
+        task.add_done_callback(self._late_writes.discard)
 
-    def _listing(self, rows: list[objects.Row]) -> store.Listing:
+    def _listing(self, rows: list[object_table.Row]) -> store.Listing:
         return store.Listing(self._table.revision, tuple(_found(row) for row in rows))
 
 
-def _found(row: objects.Row) -> store.Found:
+def _found(row: object_table.Row) -> store.Found:
     return store.Found(row.name, row.version, row.value)
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,7 +1,7 @@
 """Starts the system and its stand-ins as separate processes on loopback addresses.
 
-Each test run takes a network of its own in 127.0.0.0/8, derived from its process id,
-so that runs side by side never meet.
+Each test run uses a network of its own in 127.0.0.0/8, derived from its process id, so
+that concurrent runs do not conflict.
 """
 
 import dataclasses
@@ -26,23 +26,23 @@
 
 
 class Network:
-    """Hands out loopback IP numbers that no other test run uses."""
+    """Allocates loopback IP addresses that no other test run uses."""
 
-    _taken = 0
+    _allocated = 0
 
     def __init__(self) -> None:
         pid = os.getpid()
         self._prefix = f"127.{1 + (pid >> 8) % 254}.{pid % 256}"
 
     def address(self) -> str:
-        """Return an unused IP number."""
-        Network._taken += 1
-        return f"{self._prefix}.{1 + Network._taken % 254}"
+        """Return an unused IP address."""
+        Network._allocated += 1
+        return f"{self._prefix}.{1 + Network._allocated % 254}"
 
 
 @dataclasses.dataclass(slots=True)
 class Process:
-    """A started process; `url` answers its health check."""
+    """A started process; `url` is its health check."""
 
     name: str
     module: str
@@ -52,20 +52,20 @@
     log: pathlib.Path
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its end."""
         self.popen.kill()
         self.popen.wait()
 
-    def freeze(self) -> None:
-        """Stop the process in its tracks."""
+    def suspend(self) -> None:
+        """Suspend the process with SIGSTOP."""
         self.popen.send_signal(signal.SIGSTOP)
 
-    def wake(self) -> None:
-        """Let a frozen process go on."""
+    def resume(self) -> None:
+        """Resume a suspended process with SIGCONT."""
         self.popen.send_signal(signal.SIGCONT)
 
     def stop(self) -> int:
-        """Ask the process to end and return its exit code."""
+        """Terminate the process with SIGTERM and return its exit code."""
         self.popen.send_signal(signal.SIGTERM)
         return self.popen.wait(_STOP_TIMEOUT_S)
 
@@ -74,7 +74,7 @@
     """The processes of one scenario."""
 
     def __init__(self) -> None:
-        self._folder = tempfile.TemporaryDirectory(prefix="pimentolatch-")
+        self._directory = tempfile.TemporaryDirectory(prefix="pimentolatch-")
         self._by_name: dict[str, Process] = {}
 
     def __getitem__(self, name: str) -> Process:
@@ -87,8 +87,8 @@
         settings: dict[str, typing.Any],
         health: str,
     ) -> Process:
-        """Start `python -m command --settings FILE`; does not wait for it."""
-        path = pathlib.Path(self._folder.name) / f"{name}.json"
+        """Start `python -m command --settings FILE` without waiting for its health."""
+        path = pathlib.Path(self._directory.name) / f"{name}.json"
         path.write_text(json.dumps(settings), encoding="utf-8")
         log = path.with_suffix(".log")
         with log.open("ab") as output:
@@ -102,36 +102,47 @@
         return process
 
     def wait_healthy(self, names: typing.Iterable[str] | None = None) -> None:
-        """Wait until the processes answer their health checks with 200 or 404."""
+        """Wait until the health checks of the processes return 200 or 404."""
         for name in self._by_name if names is None else names:
             process = self._by_name[name]
-            answers = functools.partial(_answers, process)
-            wait_for(answers, f"{name}: {process.log}")
+            healthy = functools.partial(_is_healthy, process)
+            wait_for(healthy, f"the health check of {name}; log: {process.log}")
 
     def stop_all(self) -> None:
-        """End every process of the scenario."""
+        """Kill all processes of the scenario and delete their files."""
         for process in self._by_name.values():
             if process.popen.poll() is None:
                 process.popen.kill()
         for process in self._by_name.values():
             process.popen.wait()
-        self._folder.cleanup()
+        self._directory.cleanup()
 
 
 def wait_for(
-    condition: typing.Callable[[], bool], what: str, limit_s: float = _START_TIMEOUT_S
+    condition: typing.Callable[[], bool],
+    description: str,
+    timeout_s: float = _START_TIMEOUT_S,
 ) -> None:
-    """Poll until a condition holds; fails with a message after a generous limit."""
-    end = time.monotonic() + limit_s
+    """Poll until a condition holds.
+
+    Raises:
+        AssertionError: If it does not hold within the timeout.
+    """
+    deadline = time.monotonic() + timeout_s
     while not condition():
-        if time.monotonic() > end:
-            raise AssertionError(f"never came true: {what}")
+        if time.monotonic() > deadline:
+            raise AssertionError(
+                f"timed out after {timeout_s:g} s waiting for {description}"
+            )
         time.sleep(_POLL_S)
 
 
-def _answers(process: Process) -> bool:
+def _is_healthy(process: Process) -> bool:
     if process.popen.poll() is not None:
-        raise AssertionError(f"{process.name} ended: {process.log.read_text()}")
+        raise AssertionError(
+            f"{process.name} exited with code {process.popen.returncode}; its log:\n"
+            f"{process.log.read_text()}"
+        )
     try:
         return call("GET", process.url)[0] in (200, 404)
     except OSError:
@@ -145,7 +156,11 @@
     headers: dict[str, str] | None = None,
     timeout_s: float = 30.0,
 ) -> tuple[int, typing.Any]:
-    """Make one HTTP call; returns the status and the parsed or raw body."""
+    """Make an HTTP call.
+
+    Returns:
+        Status, and the body: parsed if it is JSON, else as text.
+    """
     parts = urllib.parse.urlsplit(url)
     connection = http.client.HTTPConnection(
         parts.hostname or "", parts.port, timeout=timeout_s
--- a/standins/relay.py
+++ b/standins/relay.py
@@ -1,7 +1,7 @@
-"""TCP relays that can cut a link, in one direction or both, delay it or reset it.
+"""TCP relays that can block traffic in one or both directions, delay it or reset it.
 
-A cut link looks like a network partition: connections stay open, nothing gets through,
-and what was sent meanwhile arrives after the healing, as TCP sends it again.
+A cut behaves like a network partition: connections stay open, no data gets through, and
+data sent meanwhile arrives after the partition heals, since TCP retransmits it.
 """
 
 import asyncio
@@ -13,19 +13,19 @@
 __all__ = ["Relays"]
 
 _CHUNK = 65_536
-TOWARDS = "towards"
-BACK = "back"
+TO_SERVER = "to server"
+TO_CLIENT = "to client"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Cut:
-    target: str
+    relay: str
     source: str | None
     direction: str
 
 
 class Relays:
-    """All relays of a scenario, in a thread of their own."""
+    """All relays of a scenario, in a thread with an event loop of its own."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -33,35 +33,45 @@
         self._thread.start()
         self._cuts: set[_Cut] = set()
         self._delays: dict[str, float] = {}
-        self._open: dict[str, set[asyncio.StreamWriter]] = {}
-        self._changed = asyncio.Condition()
+        self._writers: dict[str, set[asyncio.StreamWriter]] = {}
+        self._cuts_changed = asyncio.Condition()
         self._servers: list[asyncio.Server] = []
 
-    def start(self, name: str, listen: tuple[str, int], to: tuple[str, int]) -> None:
-        """Relay what comes to an address; `name` is used to cut it."""
-        self._call(self._start(name, listen, to))
+    def start(
+        self, name: str, listen: tuple[str, int], target: tuple[str, int]
+    ) -> None:
+        """Start a relay from the address `listen` to `target`."""
+        self._call(self._start(name, listen, target))
 
     def cut(self, name: str, direction: str, source: str | None = None) -> None:
-        """Hold back what goes through a relay in a direction, from a source or all."""
-        self._call(self._change(self._cuts | {_Cut(name, source, direction)}))
+        """Block the traffic of a relay in one direction.
+
+        Args:
+            name: The relay.
+            direction: `TO_SERVER` or `TO_CLIENT`.
+            source: Host of the client whose connections are affected; None for all.
+        """
+        self._call(self._set_cuts(self._cuts | {_Cut(name, source, direction)}))
 
     def heal(self, name: str | None = None) -> None:
-        """End all cuts and delays, or those of one relay."""
+        """Remove the cuts and delays of one relay, or of all."""
         for delayed in list(self._delays) if name is None else [name]:
             self._delays.pop(delayed, None)
-        kept = {cut for cut in self._cuts if name is not None and cut.target != name}
-        self._call(self._change(kept))
+        remaining = {
+            cut for cut in self._cuts if name is not None and cut.relay != name
+        }
+        self._call(self._set_cuts(remaining))
 
     def delay(self, name: str, seconds: float) -> None:
-        """Hold back each piece that goes through a relay for some time."""
+        """Delay each chunk of data that goes through a relay."""
         self._delays[name] = seconds
 
     def reset(self, name: str) -> None:
-        """Reset every connection that goes through a relay."""
+        """Reset all connections through a relay."""
         self._call(self._reset(name))
 
     def stop(self) -> None:
-        """End the relays and their connections."""
+        """Stop all relays and close their connections."""
         self._call(self._stop())
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
@@ -71,49 +81,53 @@
         asyncio.run_coroutine_threadsafe(work, self._loop).result()
 
     async def _start(
-        self, name: str, listen: tuple[str, int], to: tuple[str, int]
+        self, name: str, listen: tuple[str, int], target: tuple[str, int]
     ) -> None:
         async def serve(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            await self._serve(name, to, reader, writer)
+            await self._serve(name, target, reader, writer)
 
         self._servers.append(await asyncio.start_server(serve, *listen))
 
     async def _serve(
         self,
         name: str,
-        to: tuple[str, int],
+        target: tuple[str, int],
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         source = writer.get_extra_info("peername")[0]
         try:
-            await self._wait_open(name, source, TOWARDS)
-            far_reader, far_writer = await asyncio.open_connection(
-                *to, local_addr=(source, 0)
+            await self._wait_until_healed(name, source, TO_SERVER)
+            server_reader, server_writer = await asyncio.open_connection(
+                *target, local_addr=(source, 0)
             )
         except OSError:
             writer.close()
             return
-        ends = {writer, far_writer}
-        opened = self._open.setdefault(name, set())
-        opened |= ends
-        pumps = (
-            asyncio.create_task(self._pump(name, source, TOWARDS, reader, far_writer)),
-            asyncio.create_task(self._pump(name, source, BACK, far_reader, writer)),
+        writers = {writer, server_writer}
+        open_writers = self._writers.setdefault(name, set())
+        open_writers |= writers
+        forwarders = (
+            asyncio.create_task(
+                self._forward(name, source, TO_SERVER, reader, server_writer)
+            ),
+            asyncio.create_task(
+                self._forward(name, source, TO_CLIENT, server_reader, writer)
+            ),
         )
         try:
-            await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(forwarders, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for pump in pumps:
-                pump.cancel()
-            await asyncio.gather(*pumps, return_exceptions=True)
-            opened -= ends
+            for forwarder in forwarders:
+                forwarder.cancel()
+            await asyncio.gather(*forwarders, return_exceptions=True)
+            open_writers -= writers
             writer.close()
-            far_writer.close()
+            server_writer.close()
 
-    async def _pump(
+    async def _forward(
         self,
         name: str,
         source: str,
@@ -123,35 +137,37 @@
     ) -> None:
         while data := await reader.read(_CHUNK):
             await asyncio.sleep(self._delays.get(name, 0.0))
-            await self._wait_open(name, source, direction)
+            await self._wait_until_healed(name, source, direction)
             writer.write(data)
             await writer.drain()
-        # A close is no news either while the link is cut.
-        await self._wait_open(name, source, direction)
+        # During a partition, the end of a connection must not get through either.
+        await self._wait_until_healed(name, source, direction)
 
-    async def _wait_open(self, name: str, source: str, direction: str) -> None:
-        async with self._changed:
-            await self._changed.wait_for(
+    async def _wait_until_healed(self, name: str, source: str, direction: str) -> None:
+        async with self._cuts_changed:
+            await self._cuts_changed.wait_for(
                 lambda: not self._is_cut(name, source, direction)
             )
 
     def _is_cut(self, name: str, source: str, direction: str) -> bool:
-        return any(_Cut(name, who, direction) in self._cuts for who in (source, None))
+        return any(
+            _Cut(name, client, direction) in self._cuts for client in (source, None)
+        )
 
     async def _reset(self, name: str) -> None:
-        for writer in list(self._open.get(name, ())):
+        for writer in list(self._writers.get(name, ())):
             writer.transport.abort()
 
-    async def _change(self, cuts: set[_Cut]) -> None:
-        async with self._changed:
+    async def _set_cuts(self, cuts: set[_Cut]) -> None:
+        async with self._cuts_changed:
             self._cuts = cuts
-            self._changed.notify_all()
+            self._cuts_changed.notify_all()
 
     async def _stop(self) -> None:
         for server in self._servers:
             server.close()
         current = asyncio.current_task()
-        rest = [task for task in asyncio.all_tasks() if task is not current]
-        for task in rest:
+        tasks = [task for task in asyncio.all_tasks() if task is not current]
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*rest, return_exceptions=True)
+        await asyncio.gather(*tasks, return_exceptions=True)
--- a/tests/features/steps/capacity_steps.py
+++ b/tests/features/steps/capacity_steps.py
@@ -8,13 +8,31 @@
 import behave
 import logbook
 
-from pimentolatch import clock, settings
+from pimentolatch import (
+    clock,
+    settings,
+)
 from pimentolatch.decisions import server_plan
-from pimentolatch.gateway import capacity_controller, fleet_state
-from pimentolatch.platform import configuration, control_api
-from pimentolatch.routes import route_table, servers
-from standins import memory_store, objects
-from tests.support import route_world, scaling_world
+from pimentolatch.gateway import (
+    capacity_controller,
+    fleet_state,
+)
+from pimentolatch.platform import (
+    configuration,
+    control_api,
+)
+from pimentolatch.routes import (
+    route_table,
+    servers,
+)
+from standins import (
+    memory_store,
+    object_table,
+)
+from tests.support import (
+    route_world,
+    scaling_world,
+)
 
 SECOND = datetime.timedelta(seconds=1)
 PRICES = {"north": 1.0, "east": 0.8, "south": 1.25, "west": 0.9}
@@ -203,7 +221,7 @@
         self.counts = {(domain, False): 2 for domain in PRICES}
         self.revision = 0
         self.time = clock.ManualClock()
-        self.table = objects.ObjectTable()
+        self.table = object_table.ObjectTable()
         self.orders = []
         self.list()
 
--- a/tests/features/steps/config_logic_steps.py
+++ b/tests/features/steps/config_logic_steps.py
@@ -27,7 +27,7 @@
 from pimentolatch.protocol import messages
 from standins import (
     memory_store,
-    objects,
+    object_table,
 )
 from tests.support import (
     config_history,
@@ -184,7 +184,7 @@
 
 async def _collect(seed, kind):
     plan = schedule.Schedule(seed)
-    table = objects.ObjectTable()
+    table = object_table.ObjectTable()
     unreadable = []
     removed = []
 
--- a/tests/support/request_parts.py
+++ b/tests/support/request_parts.py
@@ -9,8 +9,16 @@
 import random
 import typing
 
-from pimentolatch import fleet, results, settings
-from pimentolatch.backend import instance_client, outcomes, plain_client
+from pimentolatch import (
+    fleet,
+    results,
+    settings,
+)
+from pimentolatch.backend import (
+    instance_client,
+    outcomes,
+    plain_client,
+)
 from pimentolatch.decisions import outstanding_work
 from pimentolatch.document import schema
 from pimentolatch.requests import (
@@ -21,8 +29,14 @@
     service_call,
     tickets,
 )
-from standins import memory_store, objects
-from tests.support import request_history, virtual_time
+from standins import (
+    memory_store,
+    object_table,
+)
+from tests.support import (
+    request_history,
+    virtual_time,
+)
 
 __all__ = ["Grounds", "LogicInstance", "Safeguards", "Server", "document_of"]
 
@@ -53,7 +67,7 @@
         self.safeguards = safeguards
         self.time = virtual_time.LoopClock()
         self.history = request_history.RequestHistory()
-        self.table = objects.ObjectTable()
+        self.table = object_table.ObjectTable()
         self.store_faults = memory_store.StoreFaults()
         self.servers: dict[str, Server] = {}
         self.instances: dict[str, LogicInstance] = {}
