--- a/benchmarks/gateway_cost.py
+++ b/benchmarks/gateway_cost.py
@@ -23,14 +23,8 @@
 
 from benchmarks import rows
 from pimentolatch import clock
-from pimentolatch.gateway import (
-    process,
-    settings,
-)
-from pimentolatch.platform import (
-    configuration,
-    server_entries,
-)
+from pimentolatch.gateway import process, settings
+from pimentolatch.platform import configuration, server_entries
 from pimentolatch.protocol import beacons
 from pimentolatch.routes import servers
 from standins import route_server
--- a/benchmarks/load_fakes.py
+++ b/benchmarks/load_fakes.py
@@ -11,10 +11,7 @@
 import statistics
 import typing
 
-from pimentolatch import (
-    fleet,
-    results,
-)
+from pimentolatch import fleet, results
 from pimentolatch.backend import outcomes
 from pimentolatch.decisions import (
     dispatcher,
--- a/benchmarks/peer_member.py
+++ b/benchmarks/peer_member.py
@@ -16,13 +16,7 @@
 import logbook
 import psutil
 
-from pimentolatch import (
-    clock,
-    fleet,
-    metrics,
-    settings,
-    validation,
-)
+from pimentolatch import clock, fleet, metrics, settings, validation
 from pimentolatch.decisions import work_reports
 from pimentolatch.entry import control_plane
 
--- a/benchmarks/simulation.py
+++ b/benchmarks/simulation.py
@@ -9,16 +9,8 @@
 import math
 from collections import abc
 
-from benchmarks import (
-    fakes,
-    patterns,
-    simulation_types,
-)
-from pimentolatch.decisions import (
-    demand,
-    disaggregation,
-    engine_states,
-)
+from benchmarks import fakes, patterns, simulation_types
+from pimentolatch.decisions import demand, disaggregation, engine_states
 
 __all__ = ["WINDOW_S", "Simulation", "simulate"]
 
--- a/benchmarks/slopes_state.py
+++ b/benchmarks/slopes_state.py
@@ -15,28 +15,13 @@
 import zlib
 
 from benchmarks import fits
-from pimentolatch import (
-    clock,
-    fleet,
-    settings,
-)
-from pimentolatch.control import (
-    heads,
-    local_document,
-    parts,
-)
-from pimentolatch.decisions import (
-    dispatcher,
-    model_queues,
-)
+from pimentolatch import clock, fleet, settings
+from pimentolatch.control import heads, local_document, parts
+from pimentolatch.decisions import dispatcher, model_queues
 from pimentolatch.document import schema
 from pimentolatch.requests import key_claims
-from standins import (
-    memory_store,
-)
-from standins import (
-    object_table as table,
-)
+from standins import memory_store
+from standins import object_table as table
 
 __all__ = ["StateSlopes", "document_of", "measure"]
 
--- a/src/pimentolatch/cli/commands.py
+++ b/src/pimentolatch/cli/commands.py
@@ -10,21 +10,10 @@
 
 import cyclopts
 
-from pimentolatch import (
-    logs as process_logs,
-)
-from pimentolatch import (
-    settings,
-    validation,
-)
-from pimentolatch.cli import (
-    explanation,
-    operator_client,
-)
-from pimentolatch.document import (
-    document_diff,
-    schema,
-)
+from pimentolatch import logs as process_logs
+from pimentolatch import settings, validation
+from pimentolatch.cli import explanation, operator_client
+from pimentolatch.document import document_diff, schema
 from pimentolatch.entry import process
 from pimentolatch.gateway import daemon
 from pimentolatch.platform import http_headers
--- a/src/pimentolatch/control/local_document.py
+++ b/src/pimentolatch/control/local_document.py
@@ -7,16 +7,8 @@
 
 import logbook
 
-from pimentolatch import (
-    clock,
-    fleet,
-    validation,
-)
-from pimentolatch.control import (
-    configuration,
-    heads,
-    parts,
-)
+from pimentolatch import clock, fleet, validation
+from pimentolatch.control import configuration, heads, parts
 from pimentolatch.document import schema
 
 __all__ = ["Adopted", "LocalDocument", "Stale", "Unreadable"]
--- a/src/pimentolatch/control/reconciler.py
+++ b/src/pimentolatch/control/reconciler.py
@@ -13,13 +13,7 @@
 from collections import abc
 
 from pimentolatch.backend import order_client
-from pimentolatch.control import (
-    change_budget,
-    drain,
-    orders,
-    slots,
-    targets,
-)
+from pimentolatch.control import change_budget, drain, orders, slots, targets
 from pimentolatch.decisions import roles
 from pimentolatch.document import schema
 
--- a/src/pimentolatch/control/step_executor.py
+++ b/src/pimentolatch/control/step_executor.py
@@ -6,11 +6,7 @@
 import logbook
 
 from pimentolatch.audit import trail
-from pimentolatch.control import (
-    orders,
-    reconciler,
-    slots,
-)
+from pimentolatch.control import orders, reconciler, slots
 
 __all__ = ["StepExecutor"]
 
--- a/src/pimentolatch/control/view_publisher.py
+++ b/src/pimentolatch/control/view_publisher.py
@@ -5,16 +5,9 @@
 
 import logbook
 
-from pimentolatch import (
-    fleet,
-    store,
-)
+from pimentolatch import fleet, store
 from pimentolatch.audit import trail
-from pimentolatch.control import (
-    drain,
-    slot_cache,
-    slots,
-)
+from pimentolatch.control import drain, slot_cache, slots
 from pimentolatch.membership import views
 
 __all__ = ["ViewPublisher"]
--- a/src/pimentolatch/decisions/access.py
+++ b/src/pimentolatch/decisions/access.py
@@ -14,10 +14,7 @@
 import enum
 from collections import abc
 
-from pimentolatch.routes import (
-    customers,
-    route_table,
-)
+from pimentolatch.routes import customers, route_table
 
 __all__ = ["Access", "Denial", "authorize", "still_authorized"]
 
--- a/src/pimentolatch/decisions/crash_suspects.py
+++ b/src/pimentolatch/decisions/crash_suspects.py
@@ -25,10 +25,7 @@
 import math
 from collections import abc
 
-from pimentolatch.decisions import (
-    crash_evidence,
-    rendezvous,
-)
+from pimentolatch.decisions import crash_evidence, rendezvous
 from pimentolatch.requests import digests
 from pimentolatch.routes import servers
 
--- a/src/pimentolatch/decisions/dispatcher.py
+++ b/src/pimentolatch/decisions/dispatcher.py
@@ -14,10 +14,7 @@
 import dataclasses
 import datetime
 
-from pimentolatch import (
-    fleet,
-    results,
-)
+from pimentolatch import fleet, results
 from pimentolatch.backend import outcomes
 from pimentolatch.decisions import (
     admission,
--- a/src/pimentolatch/decisions/dispatches.py
+++ b/src/pimentolatch/decisions/dispatches.py
@@ -15,12 +15,7 @@
 import dataclasses
 import datetime
 
-from pimentolatch.decisions import (
-    health,
-    outstanding_work,
-    request_work,
-    work_reports,
-)
+from pimentolatch.decisions import health, outstanding_work, request_work, work_reports
 from pimentolatch.document import schema
 
 __all__ = ["Dispatches", "Ended"]
--- a/src/pimentolatch/decisions/model_queues.py
+++ b/src/pimentolatch/decisions/model_queues.py
@@ -9,12 +9,7 @@
 from collections import abc
 
 from pimentolatch import results
-from pimentolatch.decisions import (
-    admission,
-    engine_selection,
-    fair_queue,
-    request_work,
-)
+from pimentolatch.decisions import admission, engine_selection, fair_queue, request_work
 from pimentolatch.document import schema
 
 __all__ = ["ModelQueue", "Request", "TrackedRequest"]
--- a/src/pimentolatch/decisions/outstanding_work.py
+++ b/src/pimentolatch/decisions/outstanding_work.py
@@ -13,10 +13,7 @@
 import dataclasses
 import datetime
 
-from pimentolatch.decisions import (
-    request_work,
-    work_reports,
-)
+from pimentolatch.decisions import request_work, work_reports
 
 __all__ = ["Load", "OutstandingWork", "uncounted_streams"]
 
--- a/src/pimentolatch/decisions/plain_routing.py
+++ b/src/pimentolatch/decisions/plain_routing.py
@@ -16,10 +16,7 @@
 from collections import abc
 
 from pimentolatch import fleet
-from pimentolatch.decisions import (
-    health,
-    outstanding_work,
-)
+from pimentolatch.decisions import health, outstanding_work
 from pimentolatch.document import schema
 
 __all__ = ["PlainRouter"]
--- a/src/pimentolatch/decisions/stage_plan.py
+++ b/src/pimentolatch/decisions/stage_plan.py
@@ -21,16 +21,8 @@
 import statistics
 from collections import abc
 
-from pimentolatch.decisions import (
-    engine_loads,
-    placement,
-    smoothed_demand,
-    stage_split,
-)
-from pimentolatch.routes import (
-    route_table,
-    servers,
-)
+from pimentolatch.decisions import engine_loads, placement, smoothed_demand, stage_split
+from pimentolatch.routes import route_table, servers
 
 __all__ = ["STREAM_DRAIN_TIME", "Change", "StagePlanner"]
 
--- a/src/pimentolatch/decisions/work_accounting.py
+++ b/src/pimentolatch/decisions/work_accounting.py
@@ -10,12 +10,7 @@
 from collections import abc
 
 from pimentolatch import results
-from pimentolatch.decisions import (
-    model_queues,
-    rate_limits,
-    request_work,
-    work_reports,
-)
+from pimentolatch.decisions import model_queues, rate_limits, request_work, work_reports
 from pimentolatch.document import schema
 
 __all__ = ["WorkAccounting"]
--- a/src/pimentolatch/document/schema.py
+++ b/src/pimentolatch/document/schema.py
@@ -6,10 +6,7 @@
 
 import pydantic
 
-from pimentolatch import (
-    settings,
-    validation,
-)
+from pimentolatch import settings, validation
 
 __all__ = [
     "AdmissionPolicy",
--- a/src/pimentolatch/entry/caller_front_end.py
+++ b/src/pimentolatch/entry/caller_front_end.py
@@ -8,37 +8,12 @@
 from collections import abc
 
 import logbook
-from starlette import (
-    applications,
-    exceptions,
-    requests,
-    responses,
-    routing,
-)
-
-from pimentolatch import (
-    clock,
-    document_index,
-    fleet,
-    metrics,
-    results,
-    settings,
-)
-from pimentolatch.backend import (
-    instance_client,
-    outcomes,
-)
-from pimentolatch.entry import (
-    graceful_shutdown,
-    http_responses,
-    request_parsing,
-)
-from pimentolatch.requests import (
-    completion,
-    completion_stream,
-    identity,
-    service_call,
-)
+from starlette import applications, exceptions, requests, responses, routing
+
+from pimentolatch import clock, document_index, fleet, metrics, results, settings
+from pimentolatch.backend import instance_client, outcomes
+from pimentolatch.entry import graceful_shutdown, http_responses, request_parsing
+from pimentolatch.requests import completion, completion_stream, identity, service_call
 
 __all__ = ["CallerFrontEnd", "TicketIssuer"]
 
--- a/src/pimentolatch/entry/control_plane.py
+++ b/src/pimentolatch/entry/control_plane.py
@@ -5,15 +5,7 @@
 import random
 import typing
 
-from pimentolatch import (
-    call_budget,
-    clock,
-    fleet,
-    metrics,
-    settings,
-    store,
-    tasks,
-)
+from pimentolatch import call_budget, clock, fleet, metrics, settings, store, tasks
 from pimentolatch.control import (
     configuration,
     document_exchange,
--- a/src/pimentolatch/entry/http_responses.py
+++ b/src/pimentolatch/entry/http_responses.py
@@ -10,12 +10,7 @@
 import logbook
 from starlette import responses
 
-from pimentolatch import (
-    clock,
-    metrics,
-    results,
-    reusable_timeout,
-)
+from pimentolatch import clock, metrics, results, reusable_timeout
 from pimentolatch.backend import instance_client
 from pimentolatch.entry import bounded_http
 from pimentolatch.requests import completion_stream
--- a/src/pimentolatch/entry/operator_front_end.py
+++ b/src/pimentolatch/entry/operator_front_end.py
@@ -5,34 +5,13 @@
 import json
 import typing
 
-from starlette import (
-    applications,
-    requests,
-    responses,
-    routing,
-)
+from starlette import applications, requests, responses, routing
 
-from pimentolatch import (
-    clock,
-    fleet,
-    metrics,
-    results,
-    settings,
-    store,
-    validation,
-)
+from pimentolatch import clock, fleet, metrics, results, settings, store, validation
 from pimentolatch.audit import trail
-from pimentolatch.control import (
-    configuration,
-    domain_controller,
-    heads,
-)
+from pimentolatch.control import configuration, domain_controller, heads
 from pimentolatch.document import schema
-from pimentolatch.entry import (
-    control_plane,
-    graceful_shutdown,
-    request_parsing,
-)
+from pimentolatch.entry import control_plane, graceful_shutdown, request_parsing
 from pimentolatch.requests import identity
 
 __all__ = ["OperatorFrontEnd"]
--- a/src/pimentolatch/entry/planner.py
+++ b/src/pimentolatch/entry/planner.py
@@ -5,16 +5,8 @@
 from collections import abc
 
 from pimentolatch import fleet
-from pimentolatch.control import (
-    role_planning,
-    slots,
-)
-from pimentolatch.decisions import (
-    demand,
-    engine_states,
-    roles,
-    state_tracker,
-)
+from pimentolatch.control import role_planning, slots
+from pimentolatch.decisions import demand, engine_states, roles, state_tracker
 
 __all__ = ["DemandPlanner"]
 
--- a/src/pimentolatch/entry/process.py
+++ b/src/pimentolatch/entry/process.py
@@ -6,13 +6,7 @@
 
 import logbook
 
-from pimentolatch import (
-    clock,
-    fleet,
-    metrics,
-    settings,
-    tasks,
-)
+from pimentolatch import clock, fleet, metrics, settings, tasks
 from pimentolatch.backend import order_client
 from pimentolatch.control import domain_controller
 from pimentolatch.decisions import outstanding_work
--- a/src/pimentolatch/entry/request_parsing.py
+++ b/src/pimentolatch/entry/request_parsing.py
@@ -9,10 +9,7 @@
 import pydantic
 from starlette import requests
 
-from pimentolatch import (
-    results,
-    validation,
-)
+from pimentolatch import results, validation
 
 __all__ = [
     "CompletionBody",
--- a/src/pimentolatch/gateway/beacon_exchange.py
+++ b/src/pimentolatch/gateway/beacon_exchange.py
@@ -8,10 +8,7 @@
 import logbook
 
 from pimentolatch import clock
-from pimentolatch.decisions import (
-    demand_rate,
-    neighbours,
-)
+from pimentolatch.decisions import demand_rate, neighbours
 from pimentolatch.gateway import (
     cache_updates,
     datagrams,
@@ -21,9 +18,7 @@
     peer_table,
     quarantine,
 )
-from pimentolatch.gateway import (
-    settings as gateway_settings,
-)
+from pimentolatch.gateway import settings as gateway_settings
 from pimentolatch.protocol import beacons
 
 __all__ = ["BeaconExchange"]
--- a/src/pimentolatch/gateway/capacity_controller.py
+++ b/src/pimentolatch/gateway/capacity_controller.py
@@ -5,19 +5,10 @@
 
 import logbook
 
-from pimentolatch import (
-    clock,
-    store,
-)
+from pimentolatch import clock, store
 from pimentolatch.decisions import server_plan
-from pimentolatch.gateway import (
-    fleet_state,
-    leadership,
-)
-from pimentolatch.platform import (
-    control_api,
-    objects,
-)
+from pimentolatch.gateway import fleet_state, leadership
+from pimentolatch.platform import control_api, objects
 from pimentolatch.routes import route_table
 
 __all__ = ["CapacityController"]
--- a/src/pimentolatch/gateway/decode_client.py
+++ b/src/pimentolatch/gateway/decode_client.py
@@ -4,16 +4,8 @@
 import datetime
 
 from pimentolatch.backend import channel
-from pimentolatch.decisions import (
-    placement_types,
-    stall_check,
-)
-from pimentolatch.gateway import (
-    client_request,
-    dispatch,
-    request_progress,
-    sse,
-)
+from pimentolatch.decisions import placement_types, stall_check
+from pimentolatch.gateway import client_request, dispatch, request_progress, sse
 from pimentolatch.platform import http_headers
 
 __all__ = ["DecodeClient"]
--- a/src/pimentolatch/gateway/dispatch_check.py
+++ b/src/pimentolatch/gateway/dispatch_check.py
@@ -2,12 +2,7 @@
 
 from pimentolatch import results
 from pimentolatch.decisions import access
-from pimentolatch.gateway import (
-    client_request,
-    fleet_state,
-    quarantine,
-    refusals,
-)
+from pimentolatch.gateway import client_request, fleet_state, quarantine, refusals
 
 __all__ = ["DispatchCheck"]
 
--- a/src/pimentolatch/gateway/front_end.py
+++ b/src/pimentolatch/gateway/front_end.py
@@ -7,18 +7,9 @@
 
 import logbook
 
-from pimentolatch import (
-    clock,
-    results,
-)
-from pimentolatch.decisions import (
-    access,
-    repeat_budget,
-)
-from pimentolatch.entry import (
-    bounded_http,
-    graceful_shutdown,
-)
+from pimentolatch import clock, results
+from pimentolatch.decisions import access, repeat_budget
+from pimentolatch.entry import bounded_http, graceful_shutdown
 from pimentolatch.gateway import (
     client_request,
     dispatch_check,
--- a/src/pimentolatch/gateway/leader_tasks.py
+++ b/src/pimentolatch/gateway/leader_tasks.py
@@ -16,10 +16,7 @@
     usage_exchange,
     usage_reports,
 )
-from pimentolatch.platform import (
-    control_api,
-    objects,
-)
+from pimentolatch.platform import control_api, objects
 
 __all__ = ["LeaderTasks"]
 
--- a/src/pimentolatch/gateway/leadership.py
+++ b/src/pimentolatch/gateway/leadership.py
@@ -6,10 +6,7 @@
 
 from pimentolatch import clock
 from pimentolatch.decisions import leader_election
-from pimentolatch.gateway import (
-    lease,
-    peer_table,
-)
+from pimentolatch.gateway import lease, peer_table
 from pimentolatch.protocol import beacons
 
 __all__ = ["Leadership"]
--- a/src/pimentolatch/gateway/load_exchange.py
+++ b/src/pimentolatch/gateway/load_exchange.py
@@ -4,15 +4,8 @@
 import math
 from collections import abc
 
-from pimentolatch.decisions import (
-    engine_loads,
-    peer_loads,
-    rendezvous,
-)
-from pimentolatch.gateway import (
-    cache_updates,
-    fleet_state,
-)
+from pimentolatch.decisions import engine_loads, peer_loads, rendezvous
+from pimentolatch.gateway import cache_updates, fleet_state
 from pimentolatch.protocol import beacons
 from pimentolatch.routes import servers
 
--- a/src/pimentolatch/gateway/peer_table.py
+++ b/src/pimentolatch/gateway/peer_table.py
@@ -5,11 +5,7 @@
 import random
 
 from pimentolatch import clock
-from pimentolatch.decisions import (
-    demand_rate,
-    neighbours,
-    store_readers,
-)
+from pimentolatch.decisions import demand_rate, neighbours, store_readers
 from pimentolatch.protocol import beacons
 
 __all__ = ["Peer", "PeerTable"]
--- a/src/pimentolatch/gateway/plain_forwarder.py
+++ b/src/pimentolatch/gateway/plain_forwarder.py
@@ -4,10 +4,7 @@
 import datetime
 
 from pimentolatch import clock
-from pimentolatch.decisions import (
-    repeat_budget,
-    server_choice,
-)
+from pimentolatch.decisions import repeat_budget, server_choice
 from pimentolatch.gateway import (
     client_request,
     dispatch,
--- a/src/pimentolatch/gateway/prefill_client.py
+++ b/src/pimentolatch/gateway/prefill_client.py
@@ -5,20 +5,9 @@
 
 import logbook
 
-from pimentolatch.decisions import (
-    engine_loads,
-    placement_types,
-    wait_policy,
-)
-from pimentolatch.gateway import (
-    client_request,
-    dispatch,
-    request_progress,
-)
-from pimentolatch.platform import (
-    engines,
-    http_headers,
-)
+from pimentolatch.decisions import engine_loads, placement_types, wait_policy
+from pimentolatch.gateway import client_request, dispatch, request_progress
+from pimentolatch.platform import engines, http_headers
 
 __all__ = ["PrefillClient"]
 
--- a/src/pimentolatch/gateway/process.py
+++ b/src/pimentolatch/gateway/process.py
@@ -10,21 +10,9 @@
 
 import logbook
 
-from pimentolatch import (
-    clock,
-    logs,
-    tasks,
-    validation,
-)
-from pimentolatch.decisions import (
-    neighbours,
-    repeat_budget,
-    server_choice,
-)
-from pimentolatch.entry import (
-    graceful_shutdown,
-    http_server,
-)
+from pimentolatch import clock, logs, tasks, validation
+from pimentolatch.decisions import neighbours, repeat_budget, server_choice
+from pimentolatch.entry import graceful_shutdown, http_server
 from pimentolatch.gateway import (
     beacon_exchange,
     cache_updates,
--- a/src/pimentolatch/gateway/prompt_placer.py
+++ b/src/pimentolatch/gateway/prompt_placer.py
@@ -11,11 +11,7 @@
     rendezvous,
     wait_policy,
 )
-from pimentolatch.gateway import (
-    client_request,
-    request_log,
-    request_progress,
-)
+from pimentolatch.gateway import client_request, request_log, request_progress
 from pimentolatch.routes import servers
 
 __all__ = ["PromptPlacer", "jitter"]
--- a/src/pimentolatch/gateway/quarantine.py
+++ b/src/pimentolatch/gateway/quarantine.py
@@ -8,11 +8,7 @@
 import logbook
 
 from pimentolatch import clock
-from pimentolatch.decisions import (
-    crash_evidence,
-    crash_notices,
-    crash_suspects,
-)
+from pimentolatch.decisions import crash_evidence, crash_notices, crash_suspects
 from pimentolatch.gateway import client_request
 from pimentolatch.protocol import beacons
 from pimentolatch.requests import digests
--- a/src/pimentolatch/gateway/request_progress.py
+++ b/src/pimentolatch/gateway/request_progress.py
@@ -3,11 +3,7 @@
 import dataclasses
 import datetime
 
-from pimentolatch import (
-    clock,
-    results,
-    settings,
-)
+from pimentolatch import clock, results, settings
 from pimentolatch.decisions import (
     engine_loads,
     placement_types,
--- a/src/pimentolatch/gateway/route_metrics.py
+++ b/src/pimentolatch/gateway/route_metrics.py
@@ -7,10 +7,7 @@
 import typing
 
 import prometheus_client
-from prometheus_client import (
-    core,
-    registry,
-)
+from prometheus_client import core, registry
 
 from pimentolatch import results
 from pimentolatch.decisions import prompt_sizes
--- a/src/pimentolatch/gateway/stage_controller.py
+++ b/src/pimentolatch/gateway/stage_controller.py
@@ -6,22 +6,10 @@
 import logbook
 
 from pimentolatch import clock
-from pimentolatch.decisions import (
-    demand_rate,
-    engine_loads,
-    stage_plan,
-)
-from pimentolatch.gateway import (
-    dispatch,
-    fleet_state,
-    leadership,
-    peer_table,
-)
+from pimentolatch.decisions import demand_rate, engine_loads, stage_plan
+from pimentolatch.gateway import dispatch, fleet_state, leadership, peer_table
 from pimentolatch.platform import engines
-from pimentolatch.routes import (
-    route_table,
-    servers,
-)
+from pimentolatch.routes import route_table, servers
 
 __all__ = ["StageController"]
 
--- a/src/pimentolatch/gateway/stall_checker.py
+++ b/src/pimentolatch/gateway/stall_checker.py
@@ -6,19 +6,10 @@
 from collections import abc
 
 from pimentolatch import clock
-from pimentolatch.decisions import (
-    engine_loads,
-    stall_check,
-)
-from pimentolatch.gateway import (
-    dispatch,
-    request_log,
-)
+from pimentolatch.decisions import engine_loads, stall_check
+from pimentolatch.gateway import dispatch, request_log
 from pimentolatch.platform import engines
-from pimentolatch.routes import (
-    engine_reports,
-    servers,
-)
+from pimentolatch.routes import engine_reports, servers
 
 __all__ = ["StallChecker"]
 
--- a/src/pimentolatch/gateway/usage_exchange.py
+++ b/src/pimentolatch/gateway/usage_exchange.py
@@ -9,19 +9,9 @@
 
 import logbook
 
-from pimentolatch import (
-    clock,
-    settings,
-)
-from pimentolatch.decisions import (
-    rendezvous,
-    usage,
-)
-from pimentolatch.gateway import (
-    datagrams,
-    leadership,
-    peer_table,
-)
+from pimentolatch import clock, settings
+from pimentolatch.decisions import rendezvous, usage
+from pimentolatch.gateway import datagrams, leadership, peer_table
 from pimentolatch.protocol import usage_rows
 
 __all__ = ["NullUsageCounter", "UsageCounter", "UsageExchange"]
--- a/src/pimentolatch/gateway/usage_reports.py
+++ b/src/pimentolatch/gateway/usage_reports.py
@@ -6,19 +6,10 @@
 
 import logbook
 
-from pimentolatch import (
-    clock,
-    store,
-)
+from pimentolatch import clock, store
 from pimentolatch.decisions import usage
-from pimentolatch.gateway import (
-    leadership,
-    peer_table,
-)
-from pimentolatch.platform import (
-    control_api,
-    objects,
-)
+from pimentolatch.gateway import leadership, peer_table
+from pimentolatch.platform import control_api, objects
 
 __all__ = ["UsageReporter"]
 
--- a/src/pimentolatch/platform/configuration.py
+++ b/src/pimentolatch/platform/configuration.py
@@ -4,10 +4,7 @@
 import typing
 from collections import abc
 
-from pimentolatch.routes import (
-    customers,
-    route_table,
-)
+from pimentolatch.routes import customers, route_table
 
 __all__ = ["CONFIGURATION_KIND", "CONFIGURATION_NAME", "DECODE_ERRORS", "decode"]
 
--- a/src/pimentolatch/platform/engines.py
+++ b/src/pimentolatch/platform/engines.py
@@ -6,10 +6,7 @@
 
 import logbook
 
-from pimentolatch.routes import (
-    engine_reports,
-    servers,
-)
+from pimentolatch.routes import engine_reports, servers
 
 __all__ = [
     "ORDER_TARGET",
--- a/src/pimentolatch/platform/objects.py
+++ b/src/pimentolatch/platform/objects.py
@@ -7,11 +7,7 @@
 import typing
 import urllib.parse
 
-from pimentolatch import (
-    clock,
-    settings,
-    store,
-)
+from pimentolatch import clock, settings, store
 from pimentolatch.backend import channel
 
 __all__ = ["ObjectStore"]
--- a/src/pimentolatch/protocol/messages.py
+++ b/src/pimentolatch/protocol/messages.py
@@ -7,10 +7,7 @@
 
 import dataclasses
 
-from pimentolatch.decisions import (
-    demand,
-    work_reports,
-)
+from pimentolatch.decisions import demand, work_reports
 
 __all__ = [
     "Acknowledgement",
--- a/src/pimentolatch/requests/completion_stream.py
+++ b/src/pimentolatch/requests/completion_stream.py
@@ -9,24 +9,10 @@
 
 import logbook
 
-from pimentolatch import (
-    backoff,
-    clock,
-    results,
-    reusable_timeout,
-    settings,
-)
-from pimentolatch.backend import (
-    engine_client,
-    outcomes,
-)
+from pimentolatch import backoff, clock, results, reusable_timeout, settings
+from pimentolatch.backend import engine_client, outcomes
 from pimentolatch.document import schema
-from pimentolatch.requests import (
-    digests,
-    identity,
-    kv_transfer,
-    suspect_completions,
-)
+from pimentolatch.requests import digests, identity, kv_transfer, suspect_completions
 
 __all__ = [
     "Completion",
--- a/src/pimentolatch/requests/service_call.py
+++ b/src/pimentolatch/requests/service_call.py
@@ -4,26 +4,11 @@
 import datetime
 import typing
 
-from pimentolatch import (
-    clock,
-    document_index,
-    fleet,
-    results,
-    settings,
-)
-from pimentolatch.backend import (
-    outcomes,
-    plain_client,
-)
-from pimentolatch.decisions import (
-    outstanding_work,
-    plain_routing,
-)
+from pimentolatch import clock, document_index, fleet, results, settings
+from pimentolatch.backend import outcomes, plain_client
+from pimentolatch.decisions import outstanding_work, plain_routing
 from pimentolatch.document import schema
-from pimentolatch.requests import (
-    idempotency_keys,
-    identity,
-)
+from pimentolatch.requests import idempotency_keys, identity
 
 __all__ = [
     "KeyedCallRunner",
--- a/src/pimentolatch/requests/suspect_completions.py
+++ b/src/pimentolatch/requests/suspect_completions.py
@@ -6,11 +6,7 @@
 from collections import abc
 
 from pimentolatch import clock
-from pimentolatch.decisions import (
-    crash_evidence,
-    crash_notices,
-    crash_suspects,
-)
+from pimentolatch.decisions import crash_evidence, crash_notices, crash_suspects
 from pimentolatch.protocol import messages
 from pimentolatch.requests import digests
 from pimentolatch.routes import servers
--- a/standins/memory_engine.py
+++ b/standins/memory_engine.py
@@ -9,10 +9,7 @@
 
 from pimentolatch import settings
 from pimentolatch.backend import order_client
-from tests.support import (
-    history,
-    schedule,
-)
+from tests.support import history, schedule
 
 __all__ = ["EngineKind", "Links", "MemoryEngine", "MemoryOrderClient"]
 
--- a/tests/features/steps/capacity_steps.py
+++ b/tests/features/steps/capacity_steps.py
@@ -8,31 +8,13 @@
 import behave
 import logbook
 
-from pimentolatch import (
-    clock,
-    settings,
-)
+from pimentolatch import clock, settings
 from pimentolatch.decisions import server_plan
-from pimentolatch.gateway import (
-    capacity_controller,
-    fleet_state,
-)
-from pimentolatch.platform import (
-    configuration,
-    control_api,
-)
-from pimentolatch.routes import (
-    route_table,
-    servers,
-)
-from standins import (
-    memory_store,
-    object_table,
-)
-from tests.support import (
-    route_world,
-    scaling_world,
-)
+from pimentolatch.gateway import capacity_controller, fleet_state
+from pimentolatch.platform import configuration, control_api
+from pimentolatch.routes import route_table, servers
+from standins import memory_store, object_table
+from tests.support import route_world, scaling_world
 
 SECOND = datetime.timedelta(seconds=1)
 PRICES = {"north": 1.0, "east": 0.8, "south": 1.25, "west": 0.9}
--- a/tests/features/steps/config_logic_steps.py
+++ b/tests/features/steps/config_logic_steps.py
@@ -7,11 +7,7 @@
 import behave
 import logbook
 
-from pimentolatch import (
-    clock,
-    fleet,
-    store,
-)
+from pimentolatch import clock, fleet, store
 from pimentolatch.control import (
     configuration,
     document_exchange,
@@ -20,20 +16,10 @@
     local_document,
     parts,
 )
-from pimentolatch.document import (
-    document_diff,
-    schema,
-)
+from pimentolatch.document import document_diff, schema
 from pimentolatch.protocol import messages
-from standins import (
-    memory_store,
-    object_table,
-)
-from tests.support import (
-    config_history,
-    config_world,
-    schedule,
-)
+from standins import memory_store, object_table
+from tests.support import config_history, config_world, schedule
 from tests.support.proofs import promise_9
 
 INF = float("inf")
--- a/tests/features/steps/experiment_steps.py
+++ b/tests/features/steps/experiment_steps.py
@@ -4,12 +4,7 @@
 
 import behave
 
-from benchmarks import (
-    comparison,
-    experiment,
-    trials,
-    variants,
-)
+from benchmarks import comparison, experiment, trials, variants
 
 PLAYS = {day: trials.Trial("site", day, 1) for day in ("bad", "fair", "good")}
 WORTH = {"bad": 0.2, "fair": 0.5, "good": 0.9}
--- a/tests/features/steps/load_steps.py
+++ b/tests/features/steps/load_steps.py
@@ -12,15 +12,8 @@
 import hypothesis
 from hypothesis import strategies
 
-from benchmarks import (
-    load_cases,
-    load_fakes,
-)
-from pimentolatch import (
-    clock,
-    fleet,
-    results,
-)
+from benchmarks import load_cases, load_fakes
+from pimentolatch import clock, fleet, results
 from pimentolatch.backend import outcomes
 from pimentolatch.decisions import (
     admission,
@@ -34,19 +27,9 @@
     work_reports,
 )
 from pimentolatch.document import schema
-from pimentolatch.requests import (
-    completion_scheduler,
-    completion_stream,
-)
-from standins import (
-    callers,
-    deployments,
-    processes,
-)
-from tests.support import (
-    completions,
-    virtual_time,
-)
+from pimentolatch.requests import completion_scheduler, completion_stream
+from standins import callers, deployments, processes
+from tests.support import completions, virtual_time
 
 POLICIES = {"baseline": load_fakes.Baseline, "decisions": load_fakes.Ours}
 REPEATABLE = hypothesis.settings(
--- a/tests/features/steps/orders_duty_steps.py
+++ b/tests/features/steps/orders_duty_steps.py
@@ -9,21 +9,10 @@
 from pimentolatch import clock
 from pimentolatch.audit import trail
 from pimentolatch.backend import order_client
-from pimentolatch.control import (
-    drain,
-    leader_lease,
-    reconciler,
-    slots,
-)
-from pimentolatch.decisions import (
-    roles,
-    serving_floor,
-)
+from pimentolatch.control import drain, leader_lease, reconciler, slots
+from pimentolatch.decisions import roles, serving_floor
 from pimentolatch.document import schema
-from standins import (
-    memory_store,
-    object_table,
-)
+from standins import memory_store, object_table
 
 DOMAIN = "north"
 STEP = datetime.timedelta(milliseconds=100)
--- a/tests/features/steps/requests_http_steps.py
+++ b/tests/features/steps/requests_http_steps.py
@@ -12,11 +12,7 @@
 import hypothesis
 from hypothesis import strategies
 
-from pimentolatch import (
-    metrics,
-    results,
-    settings,
-)
+from pimentolatch import metrics, results, settings
 from pimentolatch.entry import (
     bounded_http,
     http_responses,
@@ -24,15 +20,8 @@
     request_parsing,
 )
 from pimentolatch.requests import completion_stream
-from standins import (
-    callers,
-    deployments,
-    processes,
-)
-from tests.support import (
-    completions,
-    virtual_time,
-)
+from standins import callers, deployments, processes
+from tests.support import completions, virtual_time
 
 ONE = deployments.Layout("one", ("north",), 1, 1, 1)
 TWO_ENGINES = deployments.Layout("two", ("north",), 1, 2, 1)
--- a/tests/features/steps/routes_fleet_steps.py
+++ b/tests/features/steps/routes_fleet_steps.py
@@ -16,15 +16,8 @@
 from pimentolatch.gateway import cache_updates
 from pimentolatch.protocol import beacons
 from pimentolatch.requests import prompts
-from pimentolatch.routes import (
-    engine_reports,
-    route_table,
-    servers,
-)
-from tests.support import (
-    fleet_parts,
-    route_world,
-)
+from pimentolatch.routes import engine_reports, route_table, servers
+from tests.support import fleet_parts, route_world
 
 NOW = datetime.timedelta(seconds=100)
 SECOND = datetime.timedelta(seconds=1)
--- a/tests/features/steps/routes_incarnations_steps.py
+++ b/tests/features/steps/routes_incarnations_steps.py
@@ -4,10 +4,7 @@
 
 import behave
 
-from pimentolatch import (
-    clock,
-    settings,
-)
+from pimentolatch import clock, settings
 from pimentolatch.decisions import (
     crash_suspects,
     engine_loads,
@@ -28,21 +25,12 @@
     quarantine,
     stage_controller,
 )
-from pimentolatch.gateway import (
-    settings as gateway_settings,
-)
+from pimentolatch.gateway import settings as gateway_settings
 from pimentolatch.platform import configuration
 from pimentolatch.protocol import beacons
 from pimentolatch.requests import prompts
-from pimentolatch.routes import (
-    engine_reports,
-    servers,
-)
-from standins import (
-    memory_store,
-    object_table,
-    route_server,
-)
+from pimentolatch.routes import engine_reports, servers
+from standins import memory_store, object_table, route_server
 from tests.support import route_world
 
 NOW = datetime.timedelta(seconds=100)
--- a/tests/support/completion_crashes.py
+++ b/tests/support/completion_crashes.py
@@ -15,14 +15,8 @@
     view_table,
     work_exchange,
 )
-from pimentolatch.protocol import (
-    codec,
-    messages,
-)
-from pimentolatch.requests import (
-    completion_stream,
-    suspect_completions,
-)
+from pimentolatch.protocol import codec, messages
+from pimentolatch.requests import completion_stream, suspect_completions
 
 
 class Engines:
--- a/tests/support/request_parts.py
+++ b/tests/support/request_parts.py
@@ -9,16 +9,8 @@
 import random
 import typing
 
-from pimentolatch import (
-    fleet,
-    results,
-    settings,
-)
-from pimentolatch.backend import (
-    instance_client,
-    outcomes,
-    plain_client,
-)
+from pimentolatch import fleet, results, settings
+from pimentolatch.backend import instance_client, outcomes, plain_client
 from pimentolatch.decisions import outstanding_work
 from pimentolatch.document import schema
 from pimentolatch.requests import (
@@ -29,14 +21,8 @@
     service_call,
     tickets,
 )
-from standins import (
-    memory_store,
-    object_table,
-)
-from tests.support import (
-    request_history,
-    virtual_time,
-)
+from standins import memory_store, object_table
+from tests.support import request_history, virtual_time
 
 __all__ = ["Grounds", "LogicInstance", "Safeguards", "Server", "document_of"]
 
--- a/tests/support/unsafe.py
+++ b/tests/support/unsafe.py
@@ -16,10 +16,7 @@
     refusals,
     sse,
 )
-from pimentolatch.platform import (
-    configuration,
-    server_entries,
-)
+from pimentolatch.platform import configuration, server_entries
 
 __all__ = ["SAFEGUARDS", "main"]
 
