--- a/src/pimentolatch/control/configuration.py
+++ b/src/pimentolatch/control/configuration.py
@@ -129,12 +129,12 @@
         self,
         objects: store.Store,
         time: clock.Clock,
-        chance: random.Random,
+        rng: random.Random,
         attempt_time: datetime.timedelta = _ATTEMPT_TIME,
     ) -> None:
         self._store = objects
         self._clock = time
-        self._chance = chance
+        self._rng = rng
         self._attempt_time = attempt_time
 
     async def current(self) -> Current | store.Unavailable:
@@ -295,7 +295,7 @@
                 await self._clock.sleep(pauses.next_pause())
 
     def _pauses(self) -> backoff.Backoff:
-        return backoff.Backoff(_MIN_PAUSE, _MAX_PAUSE, self._chance)
+        return backoff.Backoff(_MIN_PAUSE, _MAX_PAUSE, self._rng)
 
 
 def _decided_outcome(
--- a/src/pimentolatch/control/document_exchange.py
+++ b/src/pimentolatch/control/document_exchange.py
@@ -49,12 +49,12 @@
         documents: local_document.LocalDocument,
         network: interfaces.Network,
         time: clock.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._document = documents
         self._network = network
         self._clock = time
-        self._chance = chance
+        self._rng = rng
         self._peer_numbers: dict[int, int] = {}
         self._transfer: _Transfer | None = None
         self._due: datetime.timedelta | None = None
@@ -88,7 +88,7 @@
         self._measure_dissemination()
         if number > self._document.known_number and not self.busy:
             max_delay = min(_MAX_DELAY, _DELAY_PER_PEER * len(self._peer_numbers))
-            self._due = self._clock.monotonic() + max_delay * self._chance.random()
+            self._due = self._clock.monotonic() + max_delay * self._rng.random()
             self.wake.set()
 
     def closed(self, link: int) -> None:
@@ -131,7 +131,7 @@
         )
         if not candidates:
             return
-        link = self._chance.choice(candidates)
+        link = self._rng.choice(candidates)
         self._transfer = _Transfer(link, self._clock.monotonic())
         self._network.send(link, messages.WantHead())
 
--- a/src/pimentolatch/control/store_watch.py
+++ b/src/pimentolatch/control/store_watch.py
@@ -51,18 +51,18 @@
         handler: _Handler,
         watches: typing.Callable[[], bool],
         time: clock.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._store = objects
         self._handler = handler
         self._watches = watches
         self._clock = time
-        self._chance = chance
+        self._rng = rng
 
     async def run(self) -> None:
         """Follow changes until cancelled."""
         revision: int | None = None
-        pauses = backoff.Backoff(_MIN_PAUSE, _MAX_PAUSE, self._chance)
+        pauses = backoff.Backoff(_MIN_PAUSE, _MAX_PAUSE, self._rng)
         while True:
             watching = self._watches()
             changes = await self._changes(revision, watching)
@@ -102,7 +102,7 @@
 
     def _check_interval(self) -> datetime.timedelta:
         width = _MAX_CHECK_INTERVAL - _MIN_CHECK_INTERVAL
-        return _MIN_CHECK_INTERVAL + width * self._chance.random()
+        return _MIN_CHECK_INTERVAL + width * self._rng.random()
 
 
 class DocumentHandler:
--- a/src/pimentolatch/decisions/crash_suspects.py
+++ b/src/pimentolatch/decisions/crash_suspects.py
@@ -68,14 +68,14 @@
     max_quarantine: datetime.timedelta = datetime.timedelta(days=1)
     exempt: frozenset[digests.RequestDigest] = frozenset()
 
-    def duration(self, ends: int) -> datetime.timedelta:
+    def duration(self, crashes: int) -> datetime.timedelta:
         """Return the duration of a quarantine, counted from the request's last crash.
 
         An innocent request with three coincident crashes is cleared when it may run
         again. A request that crashes a server each time must soon be stopped, so the
         duration grows with each further crash.
         """
-        further = ends - self.crashes
+        further = crashes - self.crashes
         if further >= crash_evidence.MAX_AMBIGUOUS_CRASHES:
             return self.max_quarantine
         return min(
--- a/src/pimentolatch/decisions/dispatcher.py
+++ b/src/pimentolatch/decisions/dispatcher.py
@@ -91,7 +91,7 @@
         self.health = health.ServerHealth()
         self.retries = retries.RetryBudget()
         self._prefixes = recent_prefixes.RecentPrefixes()
-        self._accounts = work_accounting.WorkAccounting(self.peers)
+        self._accounting = work_accounting.WorkAccounting(self.peers)
         self._dispatches = dispatches.Dispatches(
             self.outstanding, self.peers, self.health
         )
@@ -107,31 +107,33 @@
         self._prefills = prefill_dispatches.PrefillDispatches(
             self.outstanding, self.router.load
         )
-        self._lanes: dict[str, model_queues.ModelQueue] = {}
-        self._held: dict[str, model_queues.TrackedRequest] = {}
+        self._model_queues: dict[str, model_queues.ModelQueue] = {}
+        self._tracked: dict[str, model_queues.TrackedRequest] = {}
         self._document: schema.FleetDocument | None = None
 
     @property
     def waiting(self) -> int:
         """Number of requests in the queues."""
-        return sum(len(lane.queue) for lane in self._lanes.values())
+        return sum(
+            len(model_queue.queue) for model_queue in self._model_queues.values()
+        )
 
     @property
     def busy(self) -> bool:
         """Whether any request is queued or running."""
-        return bool(self._held)
+        return bool(self._tracked)
 
     def set_instances(self, own_domain: frozenset[str], everywhere: int) -> None:
         """Set the instances of the own domain and the number of all instances."""
         self.router.set_instances(own_domain)
-        self._accounts.set_instances(everywhere)
+        self._accounting.set_instances(everywhere)
 
     def shares(self, now: datetime.timedelta) -> work_reports.WorkReport:
         """Return the work of this instance that is reported to its peers."""
         self.peers.expire(now)
         totals = dataclasses.replace(self._demand, uptime_s=now.total_seconds())
         return work_reports.WorkReport(
-            self.outstanding.shares(), self._accounts.shares(now), (totals,)
+            self.outstanding.shares(), self._accounting.shares(now), (totals,)
         )
 
     def arrive(
@@ -143,54 +145,57 @@
         if not engines or document is None:
             return _no_engine()
         self._learn_document(document)
-        lane = self._lane(request.model, engines)
-        held = self._accounts.track(request, lane, engines, now)
-        work = held.expected_work
+        model_queue = self._model_queue(request.model, engines)
+        tracked = self._accounting.track(request, model_queue, engines, now)
+        work = tracked.expected_work
         self._demand = self._demand.plus(work.prompt_tokens, work.output_tokens)
-        if refusal := self._accounts.check_limit(held, now):
+        if refusal := self._accounting.check_limit(tracked, now):
             return refusal
         found = self.router.candidates(view, request.model, request.prompt, now)
-        forecast = lane.forecast(held, found)
+        forecast = model_queue.forecast(tracked, found)
         decision = admission.decide(forecast, document.admission, request.deadline, now)
         if isinstance(decision, results.Refusal):
-            return lane.with_retry_time(decision, held, now)
-        self._accounts.charge(held, held.units, now)
-        self._held[request.request_id] = held
-        lane.queue.put(held.queue_entry(decision.latest_start))
+            return model_queue.with_retry_time(decision, tracked, now)
+        self._accounting.charge(tracked, tracked.units, now)
+        self._tracked[request.request_id] = tracked
+        model_queue.queue.put(tracked.queue_entry(decision.latest_start))
         return Queued()
 
     def start(self, view: fleet.View, now: datetime.timedelta) -> list[Start]:
         """Dispatch from the queues what engines have room for."""
         self._dispatches.check(now)
         started: list[Start] = []
-        for lane in self._lanes.values():
-            while item := lane.queue.peek():
-                held = self._held[item.request_id]
-                found = self._choose(view, held, now)
+        for model_queue in self._model_queues.values():
+            while item := model_queue.queue.peek():
+                tracked = self._tracked[item.request_id]
+                found = self._choose(view, tracked, now)
                 if found is None:
                     break
-                lane.queue.take()
-                lane.drain.drained(held.units, now, len(lane.queue))
-                held.waits.observe(held.predicted_wait, now - held.arrived)
-                started.append(self._begin(view, held, found, now))
+                model_queue.queue.take()
+                model_queue.drain.drained(tracked.units, now, len(model_queue.queue))
+                tracked.waits.observe(tracked.predicted_wait, now - tracked.arrived)
+                started.append(self._begin(view, tracked, found, now))
         return started
 
     def expire(self, now: datetime.timedelta) -> list[Expired]:
         """Remove from the queues what can no longer be answered before its deadline."""
         expired = []
-        for lane in self._lanes.values():
-            for item in lane.queue.expire(now):
-                held = self._held.pop(item.request_id)
-                held.waits.observe(held.predicted_wait, now - held.arrived)
-                self._accounts.charge(held, -held.units, now)
+        for model_queue in self._model_queues.values():
+            for item in model_queue.queue.expire(now):
+                tracked = self._tracked.pop(item.request_id)
+                tracked.waits.observe(tracked.predicted_wait, now - tracked.arrived)
+                self._accounting.charge(tracked, -tracked.units, now)
                 expired.append(
-                    Expired(item.request_id, lane.expired_refusal(held, now))
+                    Expired(item.request_id, model_queue.expired_refusal(tracked, now))
                 )
         return expired
 
     def next_expiry(self) -> datetime.timedelta | None:
         """Return when `expire` next has something to return, or None."""
-        times = [lane.queue.next_expiry() for lane in self._lanes.values()]
+        times = [
+            model_queue.queue.next_expiry()
+            for model_queue in self._model_queues.values()
+        ]
         return min((time for time in times if time is not None), default=None)
 
     def resume(
@@ -206,17 +211,17 @@
         client is reading the broken stream. The retry budget is spent only on
         dispatches that may have cost an engine work and produced no token.
         """
-        held = self._held.get(request_id)
+        tracked = self._tracked.get(request_id)
         document = view.document
-        if held is None or document is None:
+        if tracked is None or document is None:
             return None
-        wasted = held.maybe_ran and not held.delivered
+        wasted = tracked.maybe_ran and not tracked.delivered
         if wasted and not self.retries.spend():
             return None
-        found = self._choose(view, held, now, failed, force=True)
+        found = self._choose(view, tracked, now, failed, force=True)
         if found is None:
             return None
-        return self._begin(view, held, found, now)
+        return self._begin(view, tracked, found, now)
 
     def prefill_ended(self, request_id: str) -> None:
         """Count a prefill on a separate engine as ended or abandoned."""
@@ -235,34 +240,34 @@
         """Count a dispatch as ended; the outcome is None if the caller disconnected."""
         failed = isinstance(outcome, outcomes.OutcomeUnknown | outcomes.NotRun)
         over = self._dispatches.end(request_id, now, failed=failed)
-        held = self._held.get(request_id)
-        if over is None or held is None:
+        tracked = self._tracked.get(request_id)
+        if over is None or tracked is None:
             return
-        held.delivered += over.tokens
-        held.maybe_ran |= isinstance(outcome, outcomes.OutcomeUnknown)
+        tracked.delivered += over.tokens
+        tracked.maybe_ran |= isinstance(outcome, outcomes.OutcomeUnknown)
         if failed:
             self._prefixes.forget(over.engine)
         elif isinstance(outcome, outcomes.Finished):
-            self._finished(held, outcome.length, now)
+            self._finished(tracked, outcome.length, now)
 
     def leave(self, request_id: str, now: datetime.timedelta) -> None:
         """Remove a request that has ended or whose caller has disconnected."""
         self._prefills.end(request_id)
         self._dispatches.end(request_id, now, failed=False)
-        held = self._held.pop(request_id, None)
-        if held is None:
+        tracked = self._tracked.pop(request_id, None)
+        if tracked is None:
             return
-        lane = self._lanes.get(held.request.model)
-        if lane is not None and lane.queue.remove(request_id):
-            self._accounts.charge(held, -held.units, now)
+        model_queue = self._model_queues.get(tracked.request.model)
+        if model_queue is not None and model_queue.queue.remove(request_id):
+            self._accounting.charge(tracked, -tracked.units, now)
 
     def _finished(
-        self, held: model_queues.TrackedRequest, tokens: int, now: datetime.timedelta
+        self, tracked: model_queues.TrackedRequest, tokens: int, now: datetime.timedelta
     ) -> None:
-        request = held.request
-        lane = self._lanes[request.model]
-        lane.runs.observe(held.predicted_run, now - held.started)
-        self._accounts.settle(held, lane, tokens, now)
+        request = tracked.request
+        model_queue = self._model_queues[request.model]
+        model_queue.runs.observe(tracked.predicted_run, now - tracked.started)
+        self._accounting.settle(tracked, model_queue, tokens, now)
         assert self._document is not None
         self.retries.succeeded(self._document.routing.retry_share)
 
@@ -270,58 +275,58 @@
         if document is self._document:
             return
         self._document = document
-        self._accounts.set_callers(document.callers)
+        self._accounting.set_callers(document.callers)
         self.health.retain({server.name for server in document.backend_servers})
 
-    def _lane(
+    def _model_queue(
         self, model: str, engines: tuple[schema.Engine, ...]
     ) -> model_queues.ModelQueue:
-        if model not in self._lanes:
+        if model not in self._model_queues:
             rate = sum(engine.prefill_tokens_per_s for engine in engines)
-            self._lanes[model] = model_queues.ModelQueue(
+            self._model_queues[model] = model_queues.ModelQueue(
                 rate / len(self.router.instances)
             )
-        return self._lanes[model]
+        return self._model_queues[model]
 
     def _choose(
         self,
         view: fleet.View,
-        held: model_queues.TrackedRequest,
+        tracked: model_queues.TrackedRequest,
         now: datetime.timedelta,
         avoid: frozenset[str] = frozenset(),
         *,
         force: bool = False,
     ) -> engine_selection.Candidate | None:
-        request = held.request
+        request = tracked.request
         candidates = self.router.candidates(
             view, request.model, request.prompt, now, avoid
         )
         left = request.deadline - now
         return engine_selection.choose(
-            candidates, held.expected_work, left, force=force
+            candidates, tracked.expected_work, left, force=force
         )
 
     def _begin(
         self,
         view: fleet.View,
-        held: model_queues.TrackedRequest,
+        tracked: model_queues.TrackedRequest,
         found: engine_selection.Candidate,
         now: datetime.timedelta,
     ) -> Start:
-        request = held.request
+        request = tracked.request
         name = found.engine.name
-        held.started = now
+        tracked.started = now
         if found.probe_due:
             self.health.probed(name, now)
-        left = max(1, held.expected_work.output_tokens - held.delivered)
-        uncached = max(0, held.expected_work.prompt_tokens - found.cached_tokens)
-        prefill_engine = self._prefill_engine(view, held, found)
+        left = max(1, tracked.expected_work.output_tokens - tracked.delivered)
+        uncached = max(0, tracked.expected_work.prompt_tokens - found.cached_tokens)
+        prefill_engine = self._prefill_engine(view, tracked, found)
         if prefill_engine is not None:
             self._prefills.begin(request.request_id, prefill_engine, uncached)
             uncached = 0
         sent = request_work.Work(uncached, left)
         first = found.time_to_finish(
-            request_work.Work(held.expected_work.prompt_tokens, 1)
+            request_work.Work(tracked.expected_work.prompt_tokens, 1)
         )
         self._dispatches.begin(request.request_id, found.engine, sent, first, now)
         self._prefixes.record(request.prompt, name, now)
@@ -330,18 +335,18 @@
     def _prefill_engine(
         self,
         view: fleet.View,
-        held: model_queues.TrackedRequest,
+        tracked: model_queues.TrackedRequest,
         found: engine_selection.Candidate,
     ) -> schema.Engine | None:
         document = view.document
-        model = held.request.model
+        model = tracked.request.model
         prefill_engines = self.router.prefill_engines(view, model)
         if not prefill_engines or document is None:
             return None
         role = routing.role_of(view, found.engine)
         decode_engine = self._prefills.load_of(found.engine, role, found.cached_tokens)
         return self._prefills.choose(
-            document, model, decode_engine, prefill_engines, held.expected_work
+            document, model, decode_engine, prefill_engines, tracked.expected_work
         )
 
 
--- a/src/pimentolatch/decisions/neighbours.py
+++ b/src/pimentolatch/decisions/neighbours.py
@@ -79,11 +79,11 @@
 
 
 def domain_weights(
-    known: abc.Iterable[Place], heard: abc.Iterable[Place]
+    known: abc.Iterable[Place], reporting: abc.Iterable[Place]
 ) -> dict[str, float]:
     """Return how many instances of its domain each reporting instance stands for."""
     sizes = collections.Counter(place.failure_domain for place in known)
-    found = collections.Counter(place.failure_domain for place in heard)
+    found = collections.Counter(place.failure_domain for place in reporting)
     return {
         domain: min(_MAX_WEIGHT, max(1.0, sizes[domain] / count))
         for domain, count in found.items()
--- a/src/pimentolatch/decisions/placement.py
+++ b/src/pimentolatch/decisions/placement.py
@@ -120,7 +120,7 @@
             return min(on_time, key=lambda item: item[0])[1]
         over = min(place.expected for _, place in found) - request.time_to_deadline
         return placement_types.Infeasible(
-            max(over, _MIN_RETRY_AFTER) * (1 + _RETRY_JITTER * request.lot)
+            max(over, _MIN_RETRY_AFTER) * (1 + _RETRY_JITTER * request.jitter)
         )
 
     def choose_decode_engine(
@@ -244,7 +244,7 @@
         cost = 2 * milliseconds + (_LATE_MS if late else 0)
         cost += fetched + _RECOMPUTE_MS * _shared(request.prompt, tokens)
         level = urgency.level_of(
-            request.rank, late=late, large=request.large, lot=request.lot
+            request.rank, late=late, large=request.large, jitter=request.jitter
         )
         return cost, placement_types.Colocated(
             decode_engine, tokens, kv_source, level, expected
@@ -264,7 +264,7 @@
         cost = fetched + _RECOMPUTE_MS * _shared(request.prompt, tokens)
         for late in (False, True):
             level = urgency.level_of(
-                request.rank, late=late, large=request.large, lot=request.lot
+                request.rank, late=late, large=request.large, jitter=request.jitter
             )
             work = prefill_engine.total_prefill_tokens(
                 now, level
--- a/src/pimentolatch/decisions/placement_types.py
+++ b/src/pimentolatch/decisions/placement_types.py
@@ -86,7 +86,7 @@
         large: Whether it is large among the prompts of its route.
         time_to_target: Time left until the route's latency target for the first event.
         time_to_deadline: Time the client still waits for the first event.
-        lot: Uniform random number from 0 to 1, fixed for the request.
+        jitter: Uniform random number from 0 to 1, fixed for the request.
     """
 
     prompt: prompts.Prompt
@@ -94,4 +94,4 @@
     large: bool
     time_to_target: datetime.timedelta
     time_to_deadline: datetime.timedelta
-    lot: float
+    jitter: float
--- a/src/pimentolatch/decisions/stall_check.py
+++ b/src/pimentolatch/decisions/stall_check.py
@@ -37,18 +37,20 @@
 
 
 def request_status(
-    report: engine_reports.EngineReport | None, request_id: str, born: int | None = None
+    report: engine_reports.EngineReport | None,
+    request_id: str,
+    started_ms: int | None = None,
 ) -> Verdict:
     """Return the state of a request that an engine has not answered.
 
     Args:
         report: The engine's current report; None if it did not answer.
         request_id: The request; it was dispatched before the report was made.
-        born: Start of the incarnation that the request was sent to, if known.
+        started_ms: Start of the incarnation that the request was sent to, if known.
     """
     if report is None:
         return Verdict.SILENT
-    if born is not None and report.started_ms not in (None, born):
+    if started_ms is not None and report.started_ms not in (None, started_ms):
         return Verdict.REBORN
     if report.queued or request_id in report.decoding_ids:
         return Verdict.HAS_IT
--- a/src/pimentolatch/decisions/urgency.py
+++ b/src/pimentolatch/decisions/urgency.py
@@ -27,7 +27,7 @@
 _PROMOTED_SHARE = 0.35
 
 
-def level_of(rank: int, *, late: bool, large: bool, lot: float) -> int:
+def level_of(rank: int, *, late: bool, large: bool, jitter: float) -> int:
     """Return the priority level of a request, 0 first.
 
     Args:
@@ -37,9 +37,9 @@
         time
             would make all prompts large while engines have empty prefix caches, and the
             largest would be served least, since others would be promoted instead.
-        lot: Uniform random number from 0 to 1 of the request.
+        jitter: Uniform random number from 0 to 1 of the request.
     """
     offset = _LATE_LARGE if large else _LATE
-    if not late or (large and lot < _PROMOTED_SHARE):
+    if not late or (large and jitter < _PROMOTED_SHARE):
         offset = _ON_TIME
     return min(LEVELS - 1, _LEVELS_PER_RANK * rank + offset)
--- a/src/pimentolatch/decisions/wait_policy.py
+++ b/src/pimentolatch/decisions/wait_policy.py
@@ -52,28 +52,30 @@
 _RETRY_SPREAD_MS = 700.0
 
 
-def recheck_interval(rank: int, lot: float) -> datetime.timedelta:
+def recheck_interval(rank: int, jitter: float) -> datetime.timedelta:
     """Return the pause before a waiting request checks for an engine again.
 
     Args:
         rank: Rank of its route, 0 first.
-        lot: Uniform random number from 0 to 1 of the request.
+        jitter: Uniform random number from 0 to 1 of the request.
     """
     milliseconds = _RECHECK_MS + _RANK_MS * min(rank, _MAX_RANKS)
-    return datetime.timedelta(milliseconds=milliseconds * (0.75 + 0.5 * lot))
+    return datetime.timedelta(milliseconds=milliseconds * (0.75 + 0.5 * jitter))
 
 
 def client_timeout(
-    latency_target: datetime.timedelta, pause_target: datetime.timedelta
+    latency_target: datetime.timedelta, event_gap_target: datetime.timedelta
 ) -> datetime.timedelta:
     """Return how long a client of a stream waits for an event before it disconnects.
 
     Args:
         latency_target: The route's target for the time to the first event.
-        pause_target: The route's longest pause between events.
+        event_gap_target: The route's longest pause between events.
     """
     by_target = _CLIENT_TIMEOUT_TARGETS * latency_target
-    return max(_MIN_CLIENT_TIMEOUT, by_target, _CLIENT_TIMEOUT_PAUSES * pause_target)
+    return max(
+        _MIN_CLIENT_TIMEOUT, by_target, _CLIENT_TIMEOUT_PAUSES * event_gap_target
+    )
 
 
 def refusal_time(client_gives_up_at: datetime.timedelta) -> datetime.timedelta:
@@ -95,6 +97,6 @@
     return client_wait > _MARGIN and waiting < MAX_WAITING
 
 
-def retry_after(lot: float) -> datetime.timedelta:
+def retry_after(jitter: float) -> datetime.timedelta:
     """Return when a request that waited in vain should be retried."""
-    return datetime.timedelta(milliseconds=_MIN_RETRY_MS + _RETRY_SPREAD_MS * lot)
+    return datetime.timedelta(milliseconds=_MIN_RETRY_MS + _RETRY_SPREAD_MS * jitter)
--- a/src/pimentolatch/entry/control_plane.py
+++ b/src/pimentolatch/entry/control_plane.py
@@ -82,7 +82,7 @@
         report_table: work_exchange.PeerWorkTable | None = None,
     ) -> None:
         self._clock = time
-        chance = random.Random()
+        rng = random.Random()
         dial_address = chosen.peers.dial_address
         self._identity = incarnations.Identity(
             incarnations.new_incarnation(chosen.instance, time),
@@ -100,16 +100,16 @@
             call_budget.CallBudget(chosen.platform.calls_per_second, time),
             measured,
         )
-        self._documents = configuration.ConfigurationObjects(self._store, time, chance)
-        self._keeper = local_document.LocalDocument(own_fleet, time)
+        self._documents = configuration.ConfigurationObjects(self._store, time, rng)
+        self._local_document = local_document.LocalDocument(own_fleet, time)
         self._table = view_table.ViewTable(
-            own_fleet.adopt_view, self._keeper.set_views_known
+            own_fleet.adopt_view, self._local_document.set_views_known
         )
         self._links = links.Links(
             self._identity, chosen.peers.address, time, chosen.peers.suspect_after_s
         )
-        self._spread = document_exchange.DocumentExchange(
-            self._keeper, self._links, time, chance
+        self._document_exchange = document_exchange.DocumentExchange(
+            self._local_document, self._links, time, rng
         )
         interval = datetime.timedelta(seconds=chosen.peers.heartbeat_interval_s)
         self._leaving = leaving_servers.LeavingServers(
@@ -120,7 +120,7 @@
             self._identity,
             chosen.peers,
             objects=self._store,
-            documents=self._spread,
+            documents=self._document_exchange,
             table=self._table,
             work=work_exchange.WorkExchange(
                 report_source, report_table or NullReportTable(), time, interval
@@ -128,26 +128,26 @@
             leaving=self._leaving,
             crashes=crashes,
             time=time,
-            chance=chance,
+            rng=rng,
             peer_links=self._links,
         )
         crashes.on_update(self._peering.node.send_crash_notices)
-        self._keeper.on_adopted(self._peering.node.configuration_changed)
+        self._local_document.on_adopted(self._peering.node.configuration_changed)
         self._collector = garbage_collector.PartCollector(self._store, self._documents)
-        self._followers = (
+        self._store_watchers = (
             store_watch.StoreWatcher(
                 self._store,
-                store_watch.DocumentHandler(self._documents, self._keeper),
+                store_watch.DocumentHandler(self._documents, self._local_document),
                 lambda: self._peering.rank("documents") < _WATCHERS,
                 time,
-                chance,
+                rng,
             ),
             store_watch.StoreWatcher(
                 self._store,
                 store_watch.ViewHandler(self._peering.node),
                 lambda: self._peering.rank("views") < _WATCHERS,
                 time,
-                chance,
+                rng,
             ),
         )
         self._tasks: list[asyncio.Task[typing.Any]] = []
@@ -200,19 +200,19 @@
 
     def status(self) -> dict[str, typing.Any]:
         """Return the state of the peers and of the configuration's dissemination."""
-        spread_time = self._spread.dissemination_time
-        delay = self._keeper.adoption_delay
+        dissemination_time = self._document_exchange.dissemination_time
+        delay = self._local_document.adoption_delay
         return {
             "incarnation": self._identity.incarnation,
             "peers": sorted(self._links.linked),
             "suspected": list(self._peering.suspected),
             "views": self._table.numbers,
             "views_known": self._table.complete,
-            "peers_behind": self._spread.peers_behind,
+            "peers_behind": self._document_exchange.peers_behind,
             "in_force_after_s": None if delay is None else delay.total_seconds(),
             "peers_had_it_after_s": None
-            if spread_time is None
-            else spread_time.total_seconds(),
+            if dissemination_time is None
+            else dissemination_time.total_seconds(),
             "peer_bytes_sent": self._links.bytes_sent,
             "peer_bytes_received": self._links.bytes_received,
             "peer_frames": self._links.frames,
@@ -227,15 +227,15 @@
             ),
             "peers_behind": (
                 "Linked peers with an older document.",
-                lambda: self._spread.peers_behind,
+                lambda: self._document_exchange.peers_behind,
             ),
             "configuration_in_force_seconds": (
                 "Time from the last document's submission to its adoption here.",
-                lambda: _seconds(self._keeper.adoption_delay),
+                lambda: _seconds(self._local_document.adoption_delay),
             ),
             "configuration_at_peers_seconds": (
                 "Time from adoption here until every linked peer had the document.",
-                lambda: _seconds(self._spread.dissemination_time),
+                lambda: _seconds(self._document_exchange.dissemination_time),
             ),
             "peer_bytes_sent": (
                 "Bytes of frames sent to peers.",
@@ -250,7 +250,7 @@
         submission = await asyncio.to_thread(configuration.with_pieces, submission)
         outcome = await self._documents.submit(submission)
         if isinstance(outcome, configuration.Accepted) and not outcome.replaced_by:
-            self._keeper.adopt_submitted(outcome.head, submission)
+            self._local_document.adopt_submitted(outcome.head, submission)
             if self._collector.is_due(outcome.head.number):
                 self._collect()
         return outcome
@@ -267,8 +267,8 @@
             OSError: The address for peers can't be bound.
         """
         await self._peering.start()
-        for follower in self._followers:
-            supervised = tasks.keep_running("follower", follower.run, self._clock)
+        for watcher in self._store_watchers:
+            supervised = tasks.keep_running("follower", watcher.run, self._clock)
             self._tasks.append(asyncio.create_task(supervised))
 
     async def stop(self) -> None:
--- a/src/pimentolatch/entry/operator_front_end.py
+++ b/src/pimentolatch/entry/operator_front_end.py
@@ -39,7 +39,7 @@
 
 _DOCUMENT_LIMIT_BYTES = 16_000_000
 _DOCUMENT_READ_TIME = datetime.timedelta(seconds=30)
-_DOCUMENT_BOOK = "documents"
+_DOCUMENT_TRAIL = "documents"
 _AUDIT_DEFAULT_RECORDS = 100
 _AUDIT_MAX_RECORDS = 5000
 _RETRY_AFTER = datetime.timedelta(seconds=2)
@@ -52,7 +52,7 @@
         chosen: Settings of this instance.
         own_fleet: Holds the configuration in force.
         control: Submits documents and reports on peers.
-        duty: Reports on the role changes of the failure domain.
+        controller: Reports on the role changes of the failure domain.
         shutdown: Tracks readiness and requests in flight.
         time: Clock of submissions and audit records.
         measured: Metrics of this instance.
@@ -64,7 +64,7 @@
         *,
         own_fleet: fleet.Fleet,
         control: control_plane.ControlPlane,
-        duty: domain_controller.DomainController,
+        controller: domain_controller.DomainController,
         shutdown: graceful_shutdown.GracefulShutdown,
         time: clock.Clock,
         measured: metrics.Metrics,
@@ -72,12 +72,12 @@
         self._settings = chosen
         self._fleet = own_fleet
         self._control = control
-        self._duty = duty
+        self._domain_controller = controller
         self._shutdown = shutdown
         self._clock = time
         self._metrics = measured
         self._trail = trail.AuditTrail(
-            control.store, _DOCUMENT_BOOK, control.incarnation, time
+            control.store, _DOCUMENT_TRAIL, control.incarnation, time
         )
 
     def application(self) -> applications.Starlette:
@@ -133,7 +133,7 @@
                 "roles": dict(view.roles),
             }
             | self._control.status()
-            | {"duty": _duty_status(self._duty.status())}
+            | {"duty": _leader_status(self._domain_controller.status())}
         )
 
     async def document(self, request: requests.Request) -> responses.Response:
@@ -257,7 +257,7 @@
     return body
 
 
-def _duty_status(status: domain_controller.ControllerStatus) -> dict[str, typing.Any]:
+def _leader_status(status: domain_controller.ControllerStatus) -> dict[str, typing.Any]:
     changes = [
         {
             "engine": change.engine,
--- a/src/pimentolatch/entry/process.py
+++ b/src/pimentolatch/entry/process.py
@@ -85,7 +85,7 @@
         self._peer_counts = peer_reports.PeerCountUpdater(
             decisions, self._control, time
         )
-        self._duty = self._build_duty_holder()
+        self._domain_controller = self._build_domain_controller()
         self._sender = service_call.CallSender(
             own_fleet=self._fleet,
             own_domain=chosen.failure_domain,
@@ -102,7 +102,7 @@
         )
         self._tasks: list[asyncio.Task[None]] = []
 
-    def _build_duty_holder(self) -> domain_controller.DomainController:
+    def _build_domain_controller(self) -> domain_controller.DomainController:
         return domain_controller.DomainController(
             self._control.store,
             self._fleet,
@@ -153,7 +153,7 @@
             self._settings,
             own_fleet=self._fleet,
             control=self._control,
-            duty=self._duty,
+            controller=self._domain_controller,
             shutdown=self._shutdown,
             time=self._clock,
             measured=self._metrics,
@@ -171,7 +171,7 @@
         for work in (
             self._completions.scheduler.run,
             self._peer_counts.run,
-            self._duty.run,
+            self._domain_controller.run,
         ):
             supervised = tasks.keep_running(work.__qualname__, work, self._clock)
             self._tasks.append(asyncio.create_task(supervised))
@@ -187,7 +187,7 @@
         self._shutdown.announce_stop()
         await self._clock.sleep(notice)
         self._shutdown.stop()
-        await self._duty.stop()
+        await self._domain_controller.stop()
         grace = datetime.timedelta(seconds=self._settings.stop_grace_s)
         if not await self._shutdown.wait_drained(grace):
             _log.warn(
--- a/src/pimentolatch/gateway/decode_client.py
+++ b/src/pimentolatch/gateway/decode_client.py
@@ -300,9 +300,9 @@
         self, generation: request_progress.Generation, now: datetime.timedelta
     ) -> None:
         """Measure latencies as the client sees them, across all engines."""
-        progress, measured = generation.progress, self._context.measured
+        progress, metrics = generation.progress, self._context.metrics
         if progress.last_event_at is None:
-            measured.first_event((now - generation.request.arrived_at).total_seconds())
+            metrics.first_event((now - generation.request.arrived_at).total_seconds())
         else:
-            measured.pause((now - progress.last_event_at).total_seconds())
+            metrics.pause((now - progress.last_event_at).total_seconds())
         progress.last_event_at = now
--- a/src/pimentolatch/gateway/prompt_placer.py
+++ b/src/pimentolatch/gateway/prompt_placer.py
@@ -122,7 +122,7 @@
                 time_to_target=request.arrived_at + request.route.latency_target - now,
                 time_to_deadline=request_progress.client_gives_up_at(request, progress)
                 - now,
-                lot=jitter(request),
+                jitter=jitter(request),
             ),
             request.service.engine,
             now,
--- a/src/pimentolatch/gateway/quarantine.py
+++ b/src/pimentolatch/gateway/quarantine.py
@@ -24,7 +24,7 @@
 # Pairs of request and server in one beacon, some twenty bytes each.
 _MAX_PAIRS = 24
 # Requests in or close to quarantine whose pairs are added to each beacon, in rotation.
-_MAX_SERIOUS = 2
+_MAX_REPEATED = 2
 # How often each pair is sent, since datagrams may be lost.
 _SEND_COUNT = 3
 
@@ -125,12 +125,12 @@
     def take_near(self) -> tuple[beacons.CrashReport, ...]:
         """Return the evidence to send to near peers."""
         evidence = self._near.take(_MAX_PAIRS, self._suspects.crash_count)
-        return self._rows(evidence + self._next_serious())
+        return self._rows(evidence + self._next_repeated())
 
     def take_far(self) -> tuple[beacons.CrashReport, ...]:
         """Return the evidence to send to peers in other failure domains."""
         evidence = self._far.take(_MAX_PAIRS, self._suspects.crash_count)
-        return self._rows(evidence + self._next_serious())
+        return self._rows(evidence + self._next_repeated())
 
     def receive(self, rows: typing.Iterable[beacons.CrashReport]) -> None:
         """Apply the evidence that a peer has sent."""
@@ -169,14 +169,14 @@
             self._near.add(pair)
             self._far.add(pair)
 
-    def _next_serious(self) -> list[crash_evidence.SuspectedCrash]:
+    def _next_repeated(self) -> list[crash_evidence.SuspectedCrash]:
         """Return all pairs of the next requests in the rotation."""
-        serious = self._suspects.repeated_crashes()
-        if not serious:
+        repeated = self._suspects.repeated_crashes()
+        if not repeated:
             return []
-        self._turn += _MAX_SERIOUS
-        chosen = {(self._turn + n) % len(serious) for n in range(_MAX_SERIOUS)}
-        return [pair for number in chosen for pair in serious[number]]
+        self._turn += _MAX_REPEATED
+        chosen = {(self._turn + n) % len(repeated) for n in range(_MAX_REPEATED)}
+        return [pair for number in chosen for pair in repeated[number]]
 
     def _rows(
         self, pairs: typing.Iterable[crash_evidence.SuspectedCrash]
--- a/src/pimentolatch/gateway/request_progress.py
+++ b/src/pimentolatch/gateway/request_progress.py
@@ -61,7 +61,7 @@
     dispatch_check: dispatch_check.DispatchCheck
     usage: usage_exchange.UsageCounter
     log: request_log.RequestLog
-    measured: route_metrics.RouteMetrics
+    metrics: route_metrics.RouteMetrics
     clock: clock.Clock
 
     def record_cached_prompt(
--- a/src/pimentolatch/gateway/route_metrics.py
+++ b/src/pimentolatch/gateway/route_metrics.py
@@ -218,8 +218,8 @@
 class MetricsEndpoint:
     """ASGI application that answers every request with the metrics."""
 
-    def __init__(self, measured: RouteMetrics) -> None:
-        self._metrics = measured
+    def __init__(self, metrics: RouteMetrics) -> None:
+        self._metrics = metrics
 
     async def __call__(
         self, scope: typing.Any, receive: typing.Any, send: typing.Any
--- a/src/pimentolatch/gateway/stream_forwarder.py
+++ b/src/pimentolatch/gateway/stream_forwarder.py
@@ -58,7 +58,7 @@
         check: dispatch_check.DispatchCheck,
         usage: usage_exchange.UsageCounter,
         log: request_log.RequestLog,
-        measured: route_metrics.RouteMetrics,
+        metrics: route_metrics.RouteMetrics,
     ) -> None:
         stall_checks = stall_checker.StallChecker(client, log, time)
         self._context = request_progress.Context(
@@ -70,7 +70,7 @@
             check,
             usage,
             log,
-            measured,
+            metrics,
             time,
         )
         self._prefill_client = prefill_client.PrefillClient(self._context)
@@ -99,7 +99,7 @@
         try:
             await self._run(request, response, progress)
         finally:
-            self._context.measured.prompt_ended(
+            self._context.metrics.prompt_ended(
                 size,
                 response.status,
                 whole=response.outcome == client_request.PASSED_ON,
--- a/src/pimentolatch/membership/dialer.py
+++ b/src/pimentolatch/membership/dialer.py
@@ -30,13 +30,13 @@
         peer_links: links.Links,
         seeds: tuple[settings.Address, ...],
         time: clock.Clock,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
         self._own = own
         self._links = peer_links
         self._seeds = seeds
         self._clock = time
-        self._chance = chance
+        self._rng = rng
         self._listed: dict[str, store.Instance] = {}
         self._chosen: frozenset[str] = frozenset()
         self._chosen_for: frozenset[str] | None = None
@@ -71,7 +71,7 @@
             if key not in self._targets:
                 wait = _SECOND_DIAL_AFTER if name < self._own.instance else _NOTHING
                 wait *= bool(name)
-                self._targets[key] = _Target(now + wait, self._chance, name)
+                self._targets[key] = _Target(now + wait, self._rng, name)
             target = self._targets[key]
             if target.name in linked or key in self._tasks:
                 continue
@@ -143,13 +143,11 @@
 
 
 class _Target:
-    def __init__(
-        self, due: datetime.timedelta, chance: random.Random, name: str
-    ) -> None:
+    def __init__(self, due: datetime.timedelta, rng: random.Random, name: str) -> None:
         self.due = due
         self.name = name
         self.failures = 0
-        self._backoff = backoff.Backoff(_FIRST_RETRY, _MAX_RETRY, chance)
+        self._backoff = backoff.Backoff(_FIRST_RETRY, _MAX_RETRY, rng)
 
     def set_name(self, instance: str) -> None:
         """Record the instance that answers; a seed has no name before."""
--- a/src/pimentolatch/membership/interfaces.py
+++ b/src/pimentolatch/membership/interfaces.py
@@ -48,11 +48,13 @@
 class CrashTable(typing.Protocol):
     """Records of completions during which engines crashed."""
 
-    def take(self, told: abc.Iterable[messages.EngineCrash], *, near: bool) -> None:
+    def receive(
+        self, crashes: abc.Iterable[messages.EngineCrash], *, near: bool
+    ) -> None:
         """Record crashes that a peer reported.
 
         Args:
-            told: The crashes.
+            crashes: The crashes.
             near: Whether the peer belongs to the own failure domain.
         """
 
@@ -62,5 +64,5 @@
     def take_far(self, most: int) -> tuple[messages.EngineCrash, ...]:
         """Return up to `most` crashes to report to peers of other failure domains."""
 
-    def serious(self) -> tuple[messages.EngineCrash, ...]:
+    def repeated_crashes(self) -> tuple[messages.EngineCrash, ...]:
         """Return the crashes that an instance must know when it starts."""
--- a/src/pimentolatch/membership/node.py
+++ b/src/pimentolatch/membership/node.py
@@ -140,9 +140,9 @@
             if self._is_leader:
                 notice = messages.LeaderNotice(self._own.failure_domain)
                 self._network.send(number, notice)
-        serious = self._crashes.serious()
-        if serious:
-            self._network.send(number, messages.CrashNotice(serious))
+        crashes = self._crashes.repeated_crashes()
+        if crashes:
+            self._network.send(number, messages.CrashNotice(crashes))
         self._send_heartbeats()
 
     def closed(self, number: int) -> None:
@@ -190,7 +190,7 @@
                 self._leaving.receive(message.servers)
             case messages.CrashNotice():
                 near = link.peer.failure_domain == self._own.failure_domain
-                self._crashes.take(message.crashes, near=near)
+                self._crashes.receive(message.crashes, near=near)
             case messages.Hello():
                 self._network.close(number, "unexpected second hello")
             case _:
--- a/src/pimentolatch/membership/peering.py
+++ b/src/pimentolatch/membership/peering.py
@@ -64,7 +64,7 @@
         leaving: leaving_servers.LeavingServers,
         crashes: interfaces.CrashTable,
         time: clock.Clock,
-        chance: random.Random,
+        rng: random.Random,
         peer_links: links.Links,
     ) -> None:
         self._own = own
@@ -73,7 +73,7 @@
         self._documents = documents
         self._table = table
         self._clock = time
-        self._chance = chance
+        self._rng = rng
         self._links = peer_links
         self._node = node.Node(
             own,
@@ -87,7 +87,7 @@
             suspect_after=datetime.timedelta(seconds=chosen.suspect_after_s),
             list_lag=datetime.timedelta(seconds=chosen.list_lag_bound_s),
         )
-        self._dialer = dialer.Dialer(own, peer_links, chosen.seeds, time, chance)
+        self._dialer = dialer.Dialer(own, peer_links, chosen.seeds, time, rng)
         self._registrations = registrations.Registrations(objects, own)
         self._rows: tuple[store.Instance, ...] = ()
         self._announced: dict[str, int] = {}
@@ -166,7 +166,7 @@
             self._node.tick()
 
     async def _read_list(self) -> None:
-        pauses = backoff.Backoff(_FIRST_PAUSE, _MAX_PAUSE, self._chance)
+        pauses = backoff.Backoff(_FIRST_PAUSE, _MAX_PAUSE, self._rng)
         while True:
             requested_at = self._clock.monotonic()
             rows = await self._store.instances()
@@ -188,7 +188,7 @@
         near = len(self._node.detector.steady(self._own.failure_domain)) + 1
         interval = datetime.timedelta(seconds=self._settings.list_interval_s)
         now = self._clock.monotonic()
-        full = now + interval * near * (0.5 + self._chance.random())
+        full = now + interval * near * (0.5 + self._rng.random())
         short = now + interval * min(near, _MAX_TURNS_WHILE_MISSING)
         while now < (short if self._acknowledgements_missing() else full):
             await self._clock.sleep(min(_ROUND, interval))
@@ -196,7 +196,7 @@
 
     async def _join(self) -> None:
         """Register and then read the views, in this order; see `acknowledgements`."""
-        pauses = backoff.Backoff(_FIRST_PAUSE, _MAX_PAUSE, self._chance)
+        pauses = backoff.Backoff(_FIRST_PAUSE, _MAX_PAUSE, self._rng)
         while not await self._registrations.register():
             await self._clock.sleep(pauses.next_pause())
         pauses.reset()
--- a/src/pimentolatch/protocol/beacons.py
+++ b/src/pimentolatch/protocol/beacons.py
@@ -270,9 +270,9 @@
 
 
 def _engine(row: typing.Any) -> servers.Incarnation:
-    server_id, born = row
+    server_id, started_ms = row
     return servers.shared_incarnation(
-        fields.text(server_id), None if born is None else fields.count(born)
+        fields.text(server_id), None if started_ms is None else fields.count(started_ms)
     )
 
 
--- a/src/pimentolatch/protocol/snapshots.py
+++ b/src/pimentolatch/protocol/snapshots.py
@@ -109,17 +109,28 @@
 
 
 def _server(row: typing.Any) -> servers.Server:
-    name, born, service, address, domain, leaving, stage, slots, cold, spot = row
+    (
+        name,
+        started_ms,
+        service,
+        address,
+        domain,
+        draining,
+        stage,
+        slots,
+        warm_up,
+        spot,
+    ) = row
     return servers.Server(
         server_id=_text(name),
         service=_text(service),
         address=settings.Address.from_text(address),
         failure_domain=_text(domain),
-        draining=bool(leaving),
+        draining=bool(draining),
         stage=None if stage is None else servers.Stage(stage),
         slots=int(slots),
-        remaining_warm_up=float(cold) * _MS,
-        started_ms=None if born is None else int(born),
+        remaining_warm_up=float(warm_up) * _MS,
+        started_ms=None if started_ms is None else int(started_ms),
         spot=bool(spot),
     )
 
--- a/src/pimentolatch/requests/suspect_completions.py
+++ b/src/pimentolatch/requests/suspect_completions.py
@@ -75,16 +75,18 @@
         """Record that an engine has finished a completion."""
         self._publish(self._suspects.completed(digest))
 
-    def take(self, told: abc.Iterable[messages.EngineCrash], *, near: bool) -> None:
+    def receive(
+        self, crashes: abc.Iterable[messages.EngineCrash], *, near: bool
+    ) -> None:
         """Receive crash reports from a peer.
 
         Args:
-            told: The reported crashes.
+            crashes: The reported crashes.
             near: Whether the peer is in the own failure domain, to all of which it
                 reports itself.
         """
         now = self._clock.monotonic()
-        pairs = [self._from_message(end, now) for end in told]
+        pairs = [self._from_message(crash, now) for crash in crashes]
         new = self._suspects.merge(pairs, now)
         self._publish(new, near=not near)
 
@@ -100,7 +102,7 @@
             self._other_domains.take(most, self._suspects.crash_count)
         )
 
-    def serious(self) -> tuple[messages.EngineCrash, ...]:
+    def repeated_crashes(self) -> tuple[messages.EngineCrash, ...]:
         """Return the crashes that an instance needs to know when it starts.
 
         If there are too many, those of the completions with the most crashes are
@@ -122,12 +124,14 @@
             self._notify()
 
     def _from_message(
-        self, end: messages.EngineCrash, now: datetime.timedelta
+        self, reported: messages.EngineCrash, now: datetime.timedelta
     ) -> crash_evidence.SuspectedCrash:
-        at = now - end.age_ms * _MILLISECOND
-        crash = self._crash_of(end.engine, at)
-        lasted = end.ran_for_ms * _MILLISECOND
-        return crash_evidence.SuspectedCrash(end.digest, crash, end.cleared, at, lasted)
+        at = now - reported.age_ms * _MILLISECOND
+        crash = self._crash_of(reported.engine, at)
+        ran_for = reported.ran_for_ms * _MILLISECOND
+        return crash_evidence.SuspectedCrash(
+            reported.digest, crash, reported.cleared, at, ran_for
+        )
 
     def _crash_of(self, engine: str, at: datetime.timedelta) -> servers.Incarnation:
         """Return the crash of an engine at a time, with a new number if it is new."""
--- a/tests/features/steps/crashing_requests_steps.py
+++ b/tests/features/steps/crashing_requests_steps.py
@@ -113,7 +113,7 @@
     "crashes: an instance that starts is told of the one in a notice of one frame"
 )
 def told_the_worst(context):
-    told = context.fleet.instances[0].suspects.serious()
+    told = context.fleet.instances[0].suspects.repeated_crashes()
     assert sum(end.digest == completion_crashes.DIGEST for end in told) == 6
     frame = codec.encode([messages.CrashNotice(told)])
     assert len(frame) < codec.FRAME_LIMIT_BYTES, len(frame)
--- a/tests/features/steps/load_steps.py
+++ b/tests/features/steps/load_steps.py
@@ -454,7 +454,7 @@
 
     choice = AnyEngine(dispatcher.Dispatcher("entry-1", "x"), fleet.Fleet(), time)
     tries = completion_stream.ResumingStream(
-        Failing(), choice, time, chance=random.Random(seed)
+        Failing(), choice, time, rng=random.Random(seed)
     )
     completion = dataclasses.replace(
         asked("r"), deadline=time.monotonic() + 60 * SECOND
--- a/tests/features/steps/routes_logic_steps.py
+++ b/tests/features/steps/routes_logic_steps.py
@@ -141,14 +141,14 @@
 @behave.then("the urgency of a late request of a rank comes before the next rank")
 def ranks_in_order(context):
     for rank in (0, 1):
-        late = urgency.level_of(rank, late=True, large=False, lot=0.9)
-        following = urgency.level_of(rank + 1, late=False, large=False, lot=0.9)
+        late = urgency.level_of(rank, late=True, large=False, jitter=0.9)
+        following = urgency.level_of(rank + 1, late=False, large=False, jitter=0.9)
         assert late < following
 
 
 @behave.then("the least urgent fits what engines know")
 def fits(context):
-    assert urgency.level_of(50, late=True, large=False, lot=0.9) == 9
+    assert urgency.level_of(50, late=True, large=False, jitter=0.9) == 9
 
 
 def server(name, stage, domain="here"):
@@ -183,7 +183,7 @@
 
 @behave.given("each reading engine has {tokens:d} tokens of rank 2 to read")
 def each_has(context, tokens):
-    level = urgency.level_of(2, late=False, large=False, lot=0.9)
+    level = urgency.level_of(2, late=False, large=False, jitter=0.9)
     for name in ("p1", "p2"):
         context.loads.get(name).prefill_tokens[level] += tokens
 
@@ -242,7 +242,7 @@
 
 @behave.then("its urgency is less than that of a prompt on time")
 def less_urgent(context):
-    on_time = urgency.level_of(2, late=False, large=False, lot=0.9)
+    on_time = urgency.level_of(2, late=False, large=False, jitter=0.9)
     assert context.place.level > on_time, context.place
 
 
@@ -250,16 +250,18 @@
 def share_of_large(context):
     chance = random.Random(7)
     context.lots = [chance.random() for _ in range(1000)]
-    levels = [urgency.level_of(2, late=True, large=True, lot=x) for x in context.lots]
-    on_time = urgency.level_of(2, late=False, large=True, lot=0.9)
+    levels = [
+        urgency.level_of(2, late=True, large=True, jitter=x) for x in context.lots
+    ]
+    on_time = urgency.level_of(2, late=False, large=True, jitter=0.9)
     assert 250 < levels.count(on_time) < 450, levels.count(on_time)
 
 
 @behave.then("none of 1000 small late prompts is")
 def no_small(context):
-    on_time = urgency.level_of(2, late=False, large=False, lot=0.9)
+    on_time = urgency.level_of(2, late=False, large=False, jitter=0.9)
     for lot in context.lots:
-        assert urgency.level_of(2, late=True, large=False, lot=lot) > on_time
+        assert urgency.level_of(2, late=True, large=False, jitter=lot) > on_time
 
 
 @behave.then("a prompt of {tokens:d} tokens is read in place")
