--- a/src/pimentolatch/gateway/leader_tasks.py
+++ b/src/pimentolatch/gateway/leader_tasks.py
@@ -104,16 +104,16 @@
     ) -> None:
         name, own = self._settings.instance, self._settings.peers
         length = datetime.timedelta(seconds=chosen.usage_window_s)
-        book = usage.UsageCounter(
+        counter = usage.UsageCounter(
             usage.Origin(name, incarnation), length, self._clock.now()
         )
         self._exchange = usage_exchange.UsageExchange(
-            own.usage_address, book, self._peers, self.leadership, self._clock
+            own.usage_address, counter, self._peers, self.leadership, self._clock
         )
         reporter = usage_reports.UsageReporter(
             name,
             length,
-            book,
+            counter,
             self._peers,
             self.leadership,
             self._store,
--- a/src/pimentolatch/gateway/usage_exchange.py
+++ b/src/pimentolatch/gateway/usage_exchange.py
@@ -53,7 +53,7 @@
 
     Args:
         address: Local address; all instances use the same port.
-        book: Counts of this instance and those received from peers.
+        counter: Counts of this instance and those received from peers.
         peers: The live peers.
         own_leadership: Tells which instance is the leader and sends the reports.
         time: Clock of this instance.
@@ -62,20 +62,20 @@
     def __init__(
         self,
         address: settings.Address,
-        book: usage.UsageCounter,
+        counter: usage.UsageCounter,
         peers: peer_table.PeerTable,
         own_leadership: leadership.Leadership,
         time: clock.Clock,
     ) -> None:
         super().__init__(address)
-        self._book = book
+        self._counter = counter
         self._peers = peers
         self._leadership = own_leadership
         self._clock = time
 
     def record_start(self, customer: str | None, moment: datetime.datetime) -> None:
         """See `UsageCounter.record_start`."""
-        if customer is not None and not self._book.count_started(customer, moment):
+        if customer is not None and not self._counter.count_started(customer, moment):
             _log.warn("began in a window that has settled", customer=customer)
 
     async def run(self) -> None:
@@ -86,13 +86,13 @@
 
     def send_counts(self) -> None:
         """Send the counts of this instance, and of terminated ones, once."""
-        own = self._book.own_rows(self._clock.now())
+        own = self._counter.own_rows(self._clock.now())
         live = self._peers.live()
         leader_host = self._leadership.host
         receivers = set(self._backup_hosts(live))
         if leader_host is not None and leader_host != self._address.host:
             receivers.add(leader_host)
-            terminated = self._book.rows_of_terminated(_names(live))
+            terminated = self._counter.rows_of_terminated(_names(live))
             self.send({leader_host}, _datagrams(terminated))
         self.send(receivers, _datagrams(own))
 
@@ -104,7 +104,7 @@
                 "malformed usage datagram dropped", sender=addr[0], reason=row.reason
             )
             return
-        self._book.merge(row)
+        self._counter.merge(row)
 
     def _backup_hosts(self, live: abc.Iterable[peer_table.Peer]) -> list[str]:
         """Return the hosts of the peers that keep a copy of this instance's counts."""
--- a/src/pimentolatch/gateway/usage_reports.py
+++ b/src/pimentolatch/gateway/usage_reports.py
@@ -54,7 +54,7 @@
     Args:
         own_name: Name of this instance.
         length: Length of a window.
-        book: Counts of this instance and those received from peers.
+        counter: Counts of this instance and those received from peers.
         peers: The live peers, from which counts are expected.
         own_leadership: Tells whether this instance is the leader.
         source: The platform's store.
@@ -66,7 +66,7 @@
         self,
         own_name: str,
         length: datetime.timedelta,
-        book: usage.UsageCounter,
+        counter: usage.UsageCounter,
         peers: peer_table.PeerTable,
         own_leadership: leadership.Leadership,
         source: objects.ObjectStore,
@@ -75,7 +75,7 @@
     ) -> None:
         self._name = own_name
         self._length = length
-        self._book = book
+        self._counter = counter
         self._peers = peers
         self._leadership = own_leadership
         self._store = source
@@ -118,7 +118,7 @@
         if known is not None:
             return known
         live = [peer.beacon.instance for peer in self._peers.live()]
-        total = self._book.total(
+        total = self._counter.total(
             window, live, self._clock.now(), self._leadership.since
         )
         if total is None:
--- a/src/pimentolatch/membership/node.py
+++ b/src/pimentolatch/membership/node.py
@@ -248,8 +248,8 @@
         self._crashes_left -= max(len(near), len(far))
         for number, link in self._links.items():
             own_domain = link.peer.failure_domain == self._own.failure_domain
-            if ends := near if own_domain else far:
-                self._network.send(number, messages.CrashNotice(ends))
+            if crashes := near if own_domain else far:
+                self._network.send(number, messages.CrashNotice(crashes))
 
     def configuration_changed(self) -> None:
         """Notify the peers at once that another document is in force here."""
