--- a/src/pimentolatch/control/reconciler.py
+++ b/src/pimentolatch/control/reconciler.py
@@ -297,7 +297,7 @@
     if isinstance(idle, drain.InUse):
         return Blocked(engine.name, idle.reason)
     # The order is sent even if the engine already meets the newest target: only a newer
-    # order makes an engine that checks fencing tokens refuse the pending one for good.
+    # order makes an engine that checks fencing tokens refuse the pending one forever.
     target = targets.target_of(observed.document, engine, slot)
     return SendOrder(
         orders.OrderRequest(
--- a/src/pimentolatch/decisions/access.py
+++ b/src/pimentolatch/decisions/access.py
@@ -1,7 +1,7 @@
 """Decides which customer a request belongs to, whether it may run and with which rank.
 
 Load pattern: every request of a fleet with thousands of API keys is checked, including
-those that somebody sends with guessed keys at a high rate. So the check is one look-up,
+those with guessed keys that arrive at a high rate. So the check is one look-up,
 before the body is read and before any queue, and an unknown key costs no more than a
 known one.
 
--- a/src/pimentolatch/decisions/crash_evidence.py
+++ b/src/pimentolatch/decisions/crash_evidence.py
@@ -5,7 +5,7 @@
 at once, an innocent request can lose three servers in a row. Judged by the number of
 crashes alone, it would be quarantined like a request that crashes every server.
 
-The records of the crashes themselves tell the two apart:
+The records of the crashes themselves distinguish the two:
 
 - A request that crashes its servers does so about equally long after each dispatch. A
   request hit by other causes had run for varying times.
--- a/src/pimentolatch/decisions/disaggregation.py
+++ b/src/pimentolatch/decisions/disaggregation.py
@@ -88,7 +88,7 @@
         batch: Streams that the engine batches at most.
         prefill_tokens_per_s: Prefill rate.
         decode_tokens_per_s: Decode rate of a full batch.
-        streams: Requests dispatched there that have not ended.
+        streams: Requests dispatched there and still running.
         prompt_tokens: Prompt tokens dispatched there that are not yet prefilled.
         output_tokens: Output tokens still expected from it.
         cached_tokens: Estimate of the tokens of this prompt's prefix that it has
--- a/src/pimentolatch/decisions/leader_election.py
+++ b/src/pimentolatch/decisions/leader_election.py
@@ -6,10 +6,10 @@
 would cost hundreds of calls. If only the first one by name tried, a fault of its own
 would leave the leader tasks undone.
 
-All instances gossip the leader's latest claim. While it is current, nobody tries. Once
-it has expired, or the leader has released the lease, the reachable instances try one
-after the other by name, a second apart, until one claims the lease. The lease itself
-keeps two of them from acting at the same time.
+All instances gossip the leader's latest claim. While it is current, none of them tries.
+Once it has expired, or the leader has released the lease, the reachable instances try
+one after the other by name, a second apart, until one claims the lease. The lease
+itself keeps two of them from acting at the same time.
 """
 
 import dataclasses
@@ -43,8 +43,8 @@
     """The latest claim that one instance has received.
 
     Args:
-        now: When this instance began to listen. One that has just started has received
-            no claim yet, and after a restart of the whole fleet nobody has.
+        now: When this instance began to receive claims. One that has just started has
+            received none yet, and after a restart of the whole fleet none has.
 
     Attributes:
         claimed_at: When the latest claim was made.
@@ -78,7 +78,7 @@
         return self._claim if now - self.claimed_at <= _CLAIM_LIFETIME else None
 
     def host(self, now: datetime.timedelta) -> str | None:
-        """Return the leader's host; None if nobody seems to hold the lease."""
+        """Return the leader's host; None if no instance seems to hold the lease."""
         claim = self.current(now)
         return None if claim is None or claim.released else claim.host
 
--- a/src/pimentolatch/decisions/neighbours.py
+++ b/src/pimentolatch/decisions/neighbours.py
@@ -2,7 +2,7 @@
 
 Load pattern: a fleet grows from eight instances to hundreds. If each reports to all,
 the messages of each instance grow with the fleet and the total with its square. If each
-reports to a few at random, nobody knows the queue of any engine.
+reports to a few at random, no instance knows the queue of any engine.
 
 Instances of one failure domain send mostly to its own engines, so they report to each
 other first. Ranking pairs by a hash gives both ends the same order, so most neighbours
--- a/src/pimentolatch/decisions/stall_check.py
+++ b/src/pimentolatch/decisions/stall_check.py
@@ -4,8 +4,8 @@
 requests wait in the engines' queues longer than expected. If they were abandoned there
 and retried at a second engine, each would start at the end of another queue and the
 retries would add load: with 85 instances, 763 retries in 10 s where 743 were allowed. A
-missing answer alone does not tell an overloaded engine from a stopped one, and an
-instance that rarely uses an engine can't judge by that engine's other answers.
+missing answer alone does not distinguish an overloaded engine from a stopped one, and
+an instance that rarely uses an engine can't judge by that engine's other answers.
 
 So the engine is asked for a report. If it doesn't answer, it has stopped. If it answers
 with an empty queue and doesn't run the request, it has lost the request; so has an
--- a/src/pimentolatch/decisions/urgency.py
+++ b/src/pimentolatch/decisions/urgency.py
@@ -34,9 +34,9 @@
         rank: Rank of its route, 0 first.
         late: Its first event can't be on time.
         large: It is large among the prompts of its route. A bound on its own prefill
-        time
-            would make all prompts large while engines have empty prefix caches, and the
-            largest would be served least, since others would be promoted instead.
+            time would make all prompts large while engines have empty prefix caches,
+            and the largest would be served least, since others would be promoted
+            instead.
         jitter: Uniform random number from 0 to 1 of the request.
     """
     offset = _LATE_LARGE if large else _LATE
--- a/src/pimentolatch/decisions/wait_policy.py
+++ b/src/pimentolatch/decisions/wait_policy.py
@@ -7,9 +7,9 @@
 
 So a request waits as long as its client does and checks repeatedly for an engine.
 Requests of a higher rank check more often, so they get a returning engine first, and
-random jitter keeps checks apart. Just before its client would time out, the request is
-refused with a retry time. That guarantee lets a client retry a request that is not
-repeatable; a missing response does not.
+random jitter keeps requests from checking all at once. Just before its client would
+time out, the request is refused with a retry time. That guarantee lets a client retry a
+request that is not repeatable; a missing response does not.
 
 A prompt queued at an engine waits likewise, behind more urgent ones that arrive later
 and are served first. No engine reports when it would start, so the prompt is withdrawn
@@ -98,5 +98,5 @@
 
 
 def retry_after(jitter: float) -> datetime.timedelta:
-    """Return when a request that waited in vain should be retried."""
+    """Return when a request that got no engine in time should be retried."""
     return datetime.timedelta(milliseconds=_MIN_RETRY_MS + _RETRY_SPREAD_MS * jitter)
--- a/src/pimentolatch/decisions/work_reports.py
+++ b/src/pimentolatch/decisions/work_reports.py
@@ -25,7 +25,7 @@
 
     Attributes:
         server: Name of the backend server.
-        streams: Requests sent and not yet ended.
+        streams: Requests dispatched and still running.
         prompt_tokens: Prompt tokens not yet prefilled, as far as is known.
         output_tokens: Output tokens still expected.
     """
--- a/src/pimentolatch/entry/control_plane.py
+++ b/src/pimentolatch/entry/control_plane.py
@@ -222,7 +222,7 @@
         return {
             "peers": ("Linked peers.", lambda: len(self._links.linked)),
             "peers_suspected": (
-                "Processes that neither this instance nor a peer hears.",
+                "Processes from which neither this instance nor a peer gets messages.",
                 lambda: len(self._peering.suspected),
             ),
             "peers_behind": (
--- a/src/pimentolatch/entry/http_responses.py
+++ b/src/pimentolatch/entry/http_responses.py
@@ -70,7 +70,7 @@
 
     When the caller disconnects, the completion is cancelled at once: closing its
     events closes the engine's stream, so that no engine decodes for a caller that has
-    gone.
+    left.
 
     Args:
         request: The completion request.
--- a/src/pimentolatch/entry/planner.py
+++ b/src/pimentolatch/entry/planner.py
@@ -62,17 +62,15 @@
         return self._last_plan
 
 
-def _state(standing: role_planning.EngineStatus) -> engine_states.EngineState:
-    return engine_states.EngineState(
-        standing.engine, standing.role, _condition(standing)
-    )
+def _state(status: role_planning.EngineStatus) -> engine_states.EngineState:
+    return engine_states.EngineState(status.engine, status.role, _condition(status))
 
 
-def _condition(standing: role_planning.EngineStatus) -> engine_states.Condition:
-    if standing.engine.serving == "withdrawn":
+def _condition(status: role_planning.EngineStatus) -> engine_states.Condition:
+    if status.engine.serving == "withdrawn":
         return engine_states.Condition.WITHDRAWN
-    if standing.state is not slots.SlotState.SERVING:
+    if status.state is not slots.SlotState.SERVING:
         return engine_states.Condition.CHANGING
-    if standing.unreachable:
+    if status.unreachable:
         return engine_states.Condition.UNCERTAIN
     return engine_states.Condition.SERVING
--- a/src/pimentolatch/gateway/front_end.py
+++ b/src/pimentolatch/gateway/front_end.py
@@ -216,7 +216,7 @@
         """Forward a request until its response is finished or its client disconnects.
 
         When the client disconnects, the connection to the server is closed at once, so
-        that no server goes on working on a response that nobody receives.
+        that no server continues a response that no client will receive.
         """
         engines = request.head.prompt is not None and request.service.engine is not None
         forwarder = self._prompts if engines else self._plain
--- a/src/pimentolatch/gateway/load_exchange.py
+++ b/src/pimentolatch/gateway/load_exchange.py
@@ -179,9 +179,9 @@
 
 
 def _load(engine: engine_loads.EngineLoad, work: peer_loads.PeerLoad) -> beacons.Load:
-    reading = [max(0, int(tokens)) for tokens in work.prefill_tokens]
-    while reading and not reading[-1]:
-        reading.pop()
+    prefill_tokens = [max(0, int(tokens)) for tokens in work.prefill_tokens]
+    while prefill_tokens and not prefill_tokens[-1]:
+        prefill_tokens.pop()
     return beacons.Load(
-        engine.server.incarnation, tuple(reading), work.streams, work.kv_tokens
+        engine.server.incarnation, tuple(prefill_tokens), work.streams, work.kv_tokens
     )
--- a/src/pimentolatch/gateway/quarantine.py
+++ b/src/pimentolatch/gateway/quarantine.py
@@ -21,11 +21,12 @@
 __all__ = ["Quarantine"]
 
 _log = logbook.Logger("quarantine")
-# Pairs of request and server in one beacon, some twenty bytes each.
+# Suspected crashes (request, server) in one beacon, some twenty bytes each.
 _MAX_PAIRS = 24
-# Requests in or close to quarantine whose pairs are added to each beacon, in rotation.
+# Requests in or close to quarantine whose suspected crashes are added to each beacon,
+# in rotation.
 _MAX_REPEATED = 2
-# How often each pair is sent, since datagrams may be lost.
+# How often each suspected crash is sent, since datagrams may be lost.
 _SEND_COUNT = 3
 
 _MILLISECOND = datetime.timedelta(milliseconds=1)
@@ -170,7 +171,7 @@
             self._far.add(pair)
 
     def _next_repeated(self) -> list[crash_evidence.SuspectedCrash]:
-        """Return all pairs of the next requests in the rotation."""
+        """Return all suspected crashes of the next requests in the rotation."""
         repeated = self._suspects.repeated_crashes()
         if not repeated:
             return []
--- a/src/pimentolatch/gateway/route_metrics.py
+++ b/src/pimentolatch/gateway/route_metrics.py
@@ -54,11 +54,11 @@
             "answer_seconds", "Time from a request to the end of its answer.", _SECONDS
         )
         self._dispatches = self._counter(
-            "sendings", "Requests sent to servers, by what was asked.", "what"
+            "sendings", "Dispatches to servers, by what was requested.", "what"
         )
         self._quarantined = prometheus_client.Counter(
             _PREFIX + "quarantined_answers",
-            "Requests that were answered at once, since servers ended under them.",
+            "Requests refused at once, since they are suspected of crashing servers.",
             registry=self.registry,
         )
         self._prompts = self._counter("prompts", "Prompts, by where they are read.")
@@ -68,7 +68,7 @@
             "size",
         )
         self._stall_checks = self._counter(
-            "doubts", "Silent engines asked, by verdict."
+            "doubts", "Stall checks of unresponsive engines, by verdict."
         )
         self._expected = self._histogram(
             "expected_first_event_seconds",
@@ -143,8 +143,8 @@
         if "refused_for_ms" in fields:
             self._prompts.labels("refused").inc()
             return
-        apart = fields["reader"] != fields["writer"]
-        self._prompts.labels("apart" if apart else "in place").inc()
+        disaggregated = fields["reader"] != fields["writer"]
+        self._prompts.labels("apart" if disaggregated else "in place").inc()
         self._expected.observe(fields["expected_ms"] / _MS_PER_S)
 
     def _counter(self, name: str, text: str, *labels: str) -> prometheus_client.Counter:
@@ -207,9 +207,13 @@
                 "Whether the store does not answer.",
                 fleet.store_unreachable,
             ),
-            ("peers_heard", "Peers that were heard lately.", len(self._peers.live())),
+            (
+                "peers_heard",
+                "Peers from which beacons arrived recently.",
+                len(self._peers.live()),
+            ),
             ("fleet_instances", "Instances of the fleet.", self._peers.instances),
-            ("quarantined", "Requests kept from servers.", self._suspects.size),
+            ("quarantined", "Quarantined requests.", self._suspects.size),
             ("holds_duties", "Whether it reports and orders.", self._leadership.active),
         ):
             yield core.GaugeMetricFamily(_PREFIX + name, text, value=float(value))
--- a/src/pimentolatch/logs.py
+++ b/src/pimentolatch/logs.py
@@ -52,7 +52,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone for good.
+                # The process that read the log has closed its end for good.
                 self._buffer.clear()
                 self._buffered_bytes = 0
                 return
--- a/src/pimentolatch/membership/interfaces.py
+++ b/src/pimentolatch/membership/interfaces.py
@@ -59,10 +59,10 @@
         """
 
     def take_near(self, most: int) -> tuple[messages.EngineCrash, ...]:
-        """Return up to `most` crashes to report to peers of the own failure domain."""
+        """Dequeue up to `most` crashes for peers in the own failure domain."""
 
     def take_far(self, most: int) -> tuple[messages.EngineCrash, ...]:
-        """Return up to `most` crashes to report to peers of other failure domains."""
+        """Dequeue up to `most` crashes for peers in other failure domains."""
 
     def repeated_crashes(self) -> tuple[messages.EngineCrash, ...]:
         """Return the crashes that an instance must know when it starts."""
--- a/src/pimentolatch/requests/idempotency_keys.py
+++ b/src/pimentolatch/requests/idempotency_keys.py
@@ -224,6 +224,6 @@
 
 
 def fingerprint(service: str, operation: str, body: bytes) -> str:
-    """Return a hash that tells apart different requests with the same key."""
+    """Return a hash that distinguishes requests with the same key."""
     head = f"{service}\0{operation}\0".encode()
     return hashlib.sha256(head + body).hexdigest()[:32]
--- a/src/pimentolatch/requests/suspect_completions.py
+++ b/src/pimentolatch/requests/suspect_completions.py
@@ -82,8 +82,8 @@
 
         Args:
             crashes: The reported crashes.
-            near: Whether the peer is in the own failure domain, to all of which it
-                reports itself.
+            near: Whether the peer is in the own failure domain; it sends its reports
+                to all instances there itself.
         """
         now = self._clock.monotonic()
         pairs = [self._from_message(crash, now) for crash in crashes]
@@ -91,13 +91,13 @@
         self._publish(new, near=not near)
 
     def take_near(self, most: int) -> tuple[messages.EngineCrash, ...]:
-        """Return the reports to send to peers in the own failure domain."""
+        """Dequeue up to `most` reports for peers in the own failure domain."""
         return self._to_messages(
             self._own_domain.take(most, self._suspects.crash_count)
         )
 
     def take_far(self, most: int) -> tuple[messages.EngineCrash, ...]:
-        """Return the reports to send to peers in other failure domains."""
+        """Dequeue up to `most` reports for peers in other failure domains."""
         return self._to_messages(
             self._other_domains.take(most, self._suspects.crash_count)
         )
--- a/src/pimentolatch/tasks.py
+++ b/src/pimentolatch/tasks.py
@@ -23,8 +23,8 @@
 
     An exception ends an asyncio task silently: the instance would go on serving but
     never again receive a document, a view or notice of a leaving server. With restarts,
-    the work resumes once the cause (such as an unreadable object) is gone; until then
-    each failure is logged.
+    the work resumes once the cause (such as an unreadable object) is removed; until
+    then each failure is logged.
     """
     while True:
         try:
