--- a/src/pimentolatch/decisions/neighbours.py
+++ b/src/pimentolatch/decisions/neighbours.py
@@ -2,7 +2,7 @@
 
 Load pattern: a fleet grows from eight instances to hundreds. If each reports to all,
 the messages of each instance grow with the fleet and the total with its square. If each
-reports to a few at random, nobody knows the queue of any engine.
+reports to a few at random, no instance knows the queue of any engine.
 
 Instances of one failure domain send mostly to its own engines, so they report to each
 other first. Ranking pairs by a hash gives both ends the same order, so most neighbours
@@ -79,11 +79,11 @@
 
 
 def domain_weights(
-    known: abc.Iterable[Place], heard: abc.Iterable[Place]
+    known: abc.Iterable[Place], reporting: abc.Iterable[Place]
 ) -> dict[str, float]:
     """Return how many instances of its domain each reporting instance stands for."""
     sizes = collections.Counter(place.failure_domain for place in known)
-    found = collections.Counter(place.failure_domain for place in heard)
+    found = collections.Counter(place.failure_domain for place in reporting)
     return {
         domain: min(_MAX_WEIGHT, max(1.0, sizes[domain] / count))
         for domain, count in found.items()
--- a/src/pimentolatch/decisions/stall_check.py
+++ b/src/pimentolatch/decisions/stall_check.py
@@ -4,8 +4,8 @@
 requests wait in the engines' queues longer than expected. If they were abandoned there
 and retried at a second engine, each would start at the end of another queue and the
 retries would add load: with 85 instances, 763 retries in 10 s where 743 were allowed. A
-missing answer alone does not tell an overloaded engine from a stopped one, and an
-instance that rarely uses an engine can't judge by that engine's other answers.
+missing answer alone does not distinguish an overloaded engine from a stopped one, and
+an instance that rarely uses an engine can't judge by that engine's other answers.
 
 So the engine is asked for a report. If it doesn't answer, it has stopped. If it answers
 with an empty queue and doesn't run the request, it has lost the request; so has an
@@ -37,18 +37,20 @@
 
 
 def request_status(
-    report: engine_reports.EngineReport | None, request_id: str, born: int | None = None
+    report: engine_reports.EngineReport | None,
+    request_id: str,
+    started_ms: int | None = None,
 ) -> Verdict:
     """Return the state of a request that an engine has not answered.
 
     Args:
         report: The engine's current report; None if it did not answer.
         request_id: The request; it was dispatched before the report was made.
-        born: Start of the incarnation that the request was sent to, if known.
+        started_ms: Start of the incarnation that the request was sent to, if known.
     """
     if report is None:
         return Verdict.SILENT
-    if born is not None and report.started_ms not in (None, born):
+    if started_ms is not None and report.started_ms not in (None, started_ms):
         return Verdict.REBORN
     if report.queued or request_id in report.decoding_ids:
         return Verdict.HAS_IT
