--- a/src/pimentolatch/entry/control_plane.py
+++ b/src/pimentolatch/entry/control_plane.py
@@ -214,7 +214,7 @@
         return {
             "peers": ("Linked peers.", lambda: len(self._links.linked)),
             "peers_suspected": (
-                "Processes from which neither this instance nor a peer gets messages.",
+                "Processes that neither this instance nor a peer hears.",
                 lambda: len(self._peering.suspected),
             ),
             "peers_behind": (
--- a/src/pimentolatch/gateway/route_metrics.py
+++ b/src/pimentolatch/gateway/route_metrics.py
@@ -51,11 +51,11 @@
             "answer_seconds", "Time from a request to the end of its answer.", _SECONDS
         )
         self._dispatches = self._counter(
-            "sendings", "Dispatches to servers, by what was requested.", "what"
+            "sendings", "Requests sent to servers, by what was asked.", "what"
         )
         self._quarantined = prometheus_client.Counter(
             _PREFIX + "quarantined_answers",
-            "Requests refused at once, since they are suspected of crashing servers.",
+            "Requests that were answered at once, since servers ended under them.",
             registry=self.registry,
         )
         self._prompts = self._counter("prompts", "Prompts, by where they are read.")
@@ -65,7 +65,7 @@
             "size",
         )
         self._stall_checks = self._counter(
-            "doubts", "Stall checks of unresponsive engines, by verdict."
+            "doubts", "Silent engines asked, by verdict."
         )
         self._expected = self._histogram(
             "expected_first_event_seconds",
@@ -206,11 +206,11 @@
             ),
             (
                 "peers_heard",
-                "Peers from which beacons arrived recently.",
+                "Peers that were heard lately.",
                 len(self._peers.live()),
             ),
             ("fleet_instances", "Instances of the fleet.", self._peers.instances),
-            ("quarantined", "Quarantined requests.", self._suspects.size),
+            ("quarantined", "Requests kept from servers.", self._suspects.size),
             ("holds_duties", "Whether it reports and orders.", self._leadership.active),
         ):
             yield core.GaugeMetricFamily(_PREFIX + name, text, value=float(value))
--- a/src/pimentolatch/requests/at_most_once.py
+++ b/src/pimentolatch/requests/at_most_once.py
@@ -57,7 +57,7 @@
     Args:
         owner: This incarnation of this instance.
         pages: Claims in the platform's store.
-        office: Issues and verifies tickets.
+        ticket_issuer: Issues and verifies tickets.
         table: Keys that this instance owns.
         retirements: Records of the tickets of stopped instances.
         instances: Client of other instances.
