--- a/standins/memory_engine.py
+++ b/standins/memory_engine.py
@@ -9,7 +9,7 @@
 
 from pimentolatch import settings
 from pimentolatch.backend import order_client
-from tests.support import history, schedule
+from tests.support import control_history, seeded_scheduler
 
 __all__ = ["EngineKind", "Links", "MemoryEngine", "MemoryOrderClient"]
 
@@ -41,14 +41,14 @@
         self,
         name: str,
         kind: EngineKind,
-        plan: schedule.Schedule,
-        recorder: history.Recorder,
+        scheduler: seeded_scheduler.Scheduler,
+        recorder: control_history.Recorder,
         models: tuple[tuple[str, str], ...],
     ) -> None:
         self.name = name
         self.kind = kind
         self.up = True
-        self._plan = plan
+        self._scheduler = scheduler
         self._recorder = recorder
         self._first_models = models
         self.crash_in_change = 0
@@ -81,8 +81,10 @@
             return
         self.up = False
         self._cut("crash")
-        self._recorder.add(history.EngineEnded(self._plan.now, self.name))
-        await self._plan.time.sleep(down)
+        self._recorder.add(
+            control_history.EngineCrashed(self._scheduler.now, self.name)
+        )
+        await self._scheduler.time.sleep(down)
         self._start()
         self.up = True
 
@@ -92,20 +94,27 @@
             return None
         cut = self.streams[request] = asyncio.Event()
         self._recorder.add(
-            history.StreamBegan(self._plan.now, self.name, request, sender)
+            control_history.StreamStarted(
+                self._scheduler.now, self.name, request, sender
+            )
         )
         return cut
 
     def end_stream(self, request: str) -> None:
         """Finish a request."""
         if self.streams.pop(request, None) is not None:
-            self._recorder.add(history.StreamEnded(self._plan.now, self.name, request))
+            self._recorder.add(
+                control_history.StreamEnded(self._scheduler.now, self.name, request)
+            )
 
     async def take(
         self, body: dict[str, typing.Any], opened: float
     ) -> order_client.Sent:
         """Take an order whose last byte has just arrived."""
-        if self.kind.closes_late and self._plan.now > opened + self.kind.read_timeout_s:
+        if (
+            self.kind.closes_late
+            and self._scheduler.now > opened + self.kind.read_timeout_s
+        ):
             return order_client.Refused("too slow")
         if self.kind.checks_fencing and body["fence"] < self.fence:
             return order_client.Refused("old fence")
@@ -122,8 +131,8 @@
         self.last_order = body["order"]
         target = {"role": body["role"], "models": body["models"]}
         self._recorder.add(
-            history.OrderTaken(
-                self._plan.now,
+            control_history.OrderAccepted(
+                self._scheduler.now,
                 self.name,
                 body["order"],
                 body["fence"],
@@ -136,25 +145,35 @@
         self._cut("order")
         if self.crash_in_change > 0:
             self.crash_in_change -= 1
-            self._plan.start(self._crash_soon())
-        await self._plan.time.sleep(schedule.seconds(self.kind.change_s))
+            self._scheduler.start(self._crash_soon())
+        await self._scheduler.time.sleep(seeded_scheduler.seconds(self.kind.change_s))
         if self.incarnation != incarnation or not self.up:
             return order_client.Unreachable("crashed")
         self.role = body["role"]
         self.models = tuple(sorted(body["models"].items()))
         self.changing = False
-        self._recorder.add(history.OrderDone(self._plan.now, self.name, body["order"]))
+        self._recorder.add(
+            control_history.OrderCompleted(
+                self._scheduler.now, self.name, body["order"]
+            )
+        )
         return order_client.Taken(self.state())
 
     async def _crash_soon(self) -> None:
-        part = self._plan.random.uniform(0.1, 0.9)
-        await self._plan.time.sleep(schedule.seconds(part * self.kind.change_s))
-        await self.crash(schedule.seconds(self._plan.random.uniform(0.5, 4)))
+        part = self._scheduler.random.uniform(0.1, 0.9)
+        await self._scheduler.time.sleep(
+            seeded_scheduler.seconds(part * self.kind.change_s)
+        )
+        await self.crash(
+            seeded_scheduler.seconds(self._scheduler.random.uniform(0.5, 4))
+        )
 
     def _cut(self, cause: str) -> None:
         for request, cut in self.streams.items():
             self._recorder.add(
-                history.StreamCut(self._plan.now, self.name, request, cause)
+                control_history.StreamAborted(
+                    self._scheduler.now, self.name, request, cause
+                )
             )
             cut.set()
         self.streams.clear()
@@ -178,12 +197,12 @@
     def __init__(
         self,
         actor: str,
-        plan: schedule.Schedule,
+        scheduler: seeded_scheduler.Scheduler,
         engines: dict[int, MemoryEngine],
         links: Links,
     ) -> None:
         self._actor = actor
-        self._plan = plan
+        self._scheduler = scheduler
         self._engines = engines
         self._links = links
 
@@ -192,10 +211,10 @@
     ) -> order_client.EngineState | order_client.Unreachable:
         """See `orders.OrderClient.state`."""
         engine = self._engines[address.port]
-        await self._plan.point(self._actor, "state")
+        await self._scheduler.point(self._actor, "state")
         answer = engine.state()
         reached = engine.up and self._reaches(engine)
-        await self._plan.point(self._actor, "state seen")
+        await self._scheduler.point(self._actor, "state seen")
         return answer if reached else order_client.Unreachable("no answer")
 
     async def open(
@@ -203,11 +222,11 @@
     ) -> order_client.Attempt | order_client.Unreachable:
         """See `orders.OrderClient.open`."""
         engine = self._engines[address.port]
-        await self._plan.point(self._actor, "open")
+        await self._scheduler.point(self._actor, "open")
         if not engine.up or not self._reaches(engine):
             return order_client.Unreachable("no connection")
-        attempt = _Attempt(self, engine, body, self._plan.now)
-        await self._plan.point(self._actor, "opened")
+        attempt = _Attempt(self, engine, body, self._scheduler.now)
+        await self._scheduler.point(self._actor, "opened")
         return attempt
 
     def _reaches(self, engine: MemoryEngine) -> bool:
@@ -216,19 +235,21 @@
 
     async def exchange(self, attempt: "_Attempt") -> order_client.Sent:
         """Write the order's bytes and wait for the answer."""
-        await self._plan.point(self._actor, "send")
+        await self._scheduler.point(self._actor, "send")
         # Once written, the bytes are on their way whatever becomes of the sender.
-        on_the_way = self._plan.start(self._deliver(attempt))
+        on_the_way = self._scheduler.start(self._deliver(attempt))
         sent: order_client.Sent = await asyncio.shield(on_the_way)
-        await self._plan.point(self._actor, "sent")
+        await self._scheduler.point(self._actor, "sent")
         if not self._links.carries(attempt.engine.name, self._actor):
             return order_client.Unreachable("the answer was lost")
         return sent
 
     async def _deliver(self, attempt: "_Attempt") -> order_client.Sent:
         engine = attempt.engine
-        late = self._plan.random.choices((0.001, 0.01, 0.2, 3.0), (50, 30, 15, 5))[0]
-        await self._plan.time.sleep(schedule.seconds(late))
+        late = self._scheduler.random.choices((0.001, 0.01, 0.2, 3.0), (50, 30, 15, 5))[
+            0
+        ]
+        await self._scheduler.time.sleep(seeded_scheduler.seconds(late))
         reached = self._links.carries(self._actor, engine.name)
         # A connection belongs to one start of the engine.
         if engine.incarnation != attempt.incarnation or not engine.up or not reached:
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -17,13 +17,21 @@
 import time
 import typing
 
-from tests.support import matrix, proofs
-
-__all__ = ["Job", "Line", "alone", "alone_and_in_pairs", "main", "make", "run_matrix"]
+from tests.support import fault_matrix, proofs
+
+__all__ = [
+    "Job",
+    "PromiseResult",
+    "main",
+    "run_job",
+    "run_matrix",
+    "single_faults",
+    "single_faults_and_pairs",
+]
 
 PROMISES = range(1, 10)
 SEEDS = 4
-SEEDS_WITHOUT = 3
+SEEDS_WITHOUT_SAFEGUARD = 3
 PROCESSES = 4
 OUTPUT = pathlib.Path("build/faults.json")
 _SHOWN_VIOLATIONS = 5
@@ -43,12 +51,12 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Line:
+class PromiseResult:
     """The figures of one promise.
 
     Attributes:
         violations: What the checker rejected with the safeguards on.
-        failing_before: Seeds and faults rejected with the safeguard off.
+        rejected_without_safeguard: Seeds and faults rejected with the safeguard off.
     """
 
     promise: int
@@ -57,7 +65,7 @@
     unknown: int = 0
     violations: list[str] = dataclasses.field(default_factory=list)
     longest_gap_s: dict[str, float] = dataclasses.field(default_factory=dict)
-    failing_before: list[tuple[int, tuple[str, ...]]] = dataclasses.field(
+    rejected_without_safeguard: list[tuple[int, tuple[str, ...]]] = dataclasses.field(
         default_factory=list
     )
 
@@ -69,13 +77,16 @@
     @property
     def holds(self) -> bool:
         """Whether the promise held and its checker is known to reject."""
-        return bool(self.histories and self.failing_before) and not self.violations
+        return (
+            bool(self.histories and self.rejected_without_safeguard)
+            and not self.violations
+        )
 
-    def add(self, run: matrix.ProofRun, safeguards: bool) -> None:
+    def add(self, run: fault_matrix.ProofRun, safeguards: bool) -> None:
         """Take one history in."""
         if not safeguards:
             if run.violations:
-                self.failing_before.append((run.seed, run.faults))
+                self.rejected_without_safeguard.append((run.seed, run.faults))
             return
         self.histories += 1
         self.operations += run.operations
@@ -94,10 +105,12 @@
             "operations": self.operations,
             "violations": len(self.violations),
             "unknown_share": self.unknown_share,
-            "seeds_failing_before": sorted({seed for seed, _ in self.failing_before}),
+            "seeds_failing_before": sorted(
+                {seed for seed, _ in self.rejected_without_safeguard}
+            ),
             "failing_before": [
                 {"seed": seed, "faults": list(faults)}
-                for seed, faults in self.failing_before
+                for seed, faults in self.rejected_without_safeguard
             ],
             "longest_gap_s": self.longest_gap_s,
         }
@@ -111,7 +124,7 @@
             f" {self.operations} operations, {len(self.violations)} violations,"
             f" outcome unknown {self.unknown_share:.2%},"
             f" longest without service: {gaps or 'not measured'};"
-            f" rejected with the safeguard off: {len(self.failing_before)}"
+            f" rejected with the safeguard off: {len(self.rejected_without_safeguard)}"
         )
 
 
@@ -121,30 +134,30 @@
     return sorted(module.name for module in found)
 
 
-def _proof(module: str) -> matrix.Proof:
-    return typing.cast(matrix.Proof, importlib.import_module(module).PROOF)
+def _proof(module: str) -> fault_matrix.Proof:
+    return typing.cast(fault_matrix.Proof, importlib.import_module(module).PROOF)
 
 
-def alone(faults: tuple[str, ...]) -> list[tuple[str, ...]]:
+def single_faults(faults: tuple[str, ...]) -> list[tuple[str, ...]]:
     """Return each fault alone."""
     return [(fault,) for fault in faults]
 
 
-def alone_and_in_pairs(faults: tuple[str, ...]) -> list[tuple[str, ...]]:
+def single_faults_and_pairs(faults: tuple[str, ...]) -> list[tuple[str, ...]]:
     """Return each fault alone and each pair, in a fixed order."""
-    return alone(faults) + list(itertools.combinations(faults, 2))
+    return single_faults(faults) + list(itertools.combinations(faults, 2))
 
 
 def _jobs(
-    module: str, seeds: int, seeds_without: int, combinations: Combinations
+    module: str, seeds: int, seeds_without_safeguard: int, combinations: Combinations
 ) -> list[Job]:
     chosen = combinations(_proof(module).faults)
     with_safeguards = itertools.product(chosen, range(seeds), (True,))
-    without = itertools.product(chosen, range(seeds_without), (False,))
+    without = itertools.product(chosen, range(seeds_without_safeguard), (False,))
     return [Job(module, *job) for job in itertools.chain(with_safeguards, without)]
 
 
-def make(job: Job) -> matrix.ProofRun:
+def run_job(job: Job) -> fault_matrix.ProofRun:
     """Make one history and check it."""
     return _proof(job.module).run(job.faults, job.seed, safeguards=job.safeguards)
 
@@ -152,29 +165,29 @@
 def run_matrix(
     modules: typing.Sequence[str],
     seeds: int,
-    seeds_without: int,
+    seeds_without_safeguard: int,
     combinations: Combinations,
     processes: int = PROCESSES,
-) -> dict[int, Line]:
-    """Make every history of the modules' promises; returns a line for each.
+) -> dict[int, PromiseResult]:
+    """Make every history of the modules' promises; returns a result for each.
 
     Args:
         modules: Modules of `tests.support.proofs`.
         seeds: Histories for each combination of faults.
-        seeds_without: Those with the safeguard off, on top.
+        seeds_without_safeguard: Those with the safeguard off, on top.
         combinations: Returns the combinations of a proof's faults.
         processes: Processes that make histories.
     """
     jobs = [
         job
         for name in modules
-        for job in _jobs(name, seeds, seeds_without, combinations)
+        for job in _jobs(name, seeds, seeds_without_safeguard, combinations)
     ]
-    lines = {promise: Line(promise) for promise in PROMISES}
+    results = {promise: PromiseResult(promise) for promise in PROMISES}
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
-        for job, run in zip(jobs, pool.map(make, jobs, chunksize=2), strict=True):
-            lines[run.promise].add(run, job.safeguards)
-    return lines
+        for job, run in zip(jobs, pool.map(run_job, jobs, chunksize=2), strict=True):
+            results[run.promise].add(run, job.safeguards)
+    return results
 
 
 def main() -> int:
@@ -186,15 +199,17 @@
     wanted = set(chosen.promise or PROMISES)
     modules = [name for name in proof_modules() if _proof(name).promise in wanted]
     began = time.monotonic()
-    lines = run_matrix(modules, chosen.seeds, SEEDS_WITHOUT, alone_and_in_pairs)
-    shown = [lines[promise] for promise in sorted(wanted)]
-    for line in shown:
-        print(line)
-        for violation in line.violations[:_SHOWN_VIOLATIONS]:
+    results = run_matrix(
+        modules, chosen.seeds, SEEDS_WITHOUT_SAFEGUARD, single_faults_and_pairs
+    )
+    shown = [results[promise] for promise in sorted(wanted)]
+    for result in shown:
+        print(result)
+        for violation in result.violations[:_SHOWN_VIOLATIONS]:
             print(f"  {violation}")
     OUTPUT.parent.mkdir(exist_ok=True)
-    OUTPUT.write_text(json.dumps([line.to_json() for line in shown], indent=1))
-    total = collections.Counter(line.holds for line in shown)
+    OUTPUT.write_text(json.dumps([result.to_json() for result in shown], indent=1))
+    total = collections.Counter(result.holds for result in shown)
     print(
         f"{total[True]} of {len(shown)} promises held; {time.monotonic() - began:.0f} s"
     )
--- a/tests/features/steps/config_logic_steps.py
+++ b/tests/features/steps/config_logic_steps.py
@@ -32,7 +32,7 @@
 from tests.support import (
     config_history,
     config_world,
-    schedule,
+    seeded_scheduler,
 )
 from tests.support.proofs import promise_9
 
@@ -46,14 +46,14 @@
         config_history.InForce(2.0, "a", 1, "h1"),
         config_history.InForce(6.0, "a", 2, "h2"),
     ),
-    answers=(
-        config_history.Answered("one", config_history.ACCEPTED, 1, 1),
-        config_history.Answered("two", config_history.ACCEPTED, 2, 1),
-        config_history.Answered("three", config_history.LOST, 0, 1),
-        config_history.Answered("four", config_history.NOT_SUBMITTED, 0, 1),
+    results=(
+        config_history.SubmissionResult("one", config_history.ACCEPTED, 1, 1),
+        config_history.SubmissionResult("two", config_history.ACCEPTED, 2, 1),
+        config_history.SubmissionResult("three", config_history.LOST, 0, 1),
+        config_history.SubmissionResult("four", config_history.NOT_SUBMITTED, 0, 1),
     ),
     lifetimes=(config_history.Lifetime("a", 0.0, INF),),
-    trouble=None,
+    fault_window=None,
     end=60.0,
 )
 EXTRA = {
@@ -78,8 +78,8 @@
         "two has two numbers",
     ),
     "an accepted submission is not in the store": (
-        "answers",
-        config_history.Answered("six", config_history.ACCEPTED, 3, 1),
+        "results",
+        config_history.SubmissionResult("six", config_history.ACCEPTED, 3, 1),
         "six accepted as 3",
     ),
     "a lost submission comes into force": (
@@ -99,8 +99,8 @@
     ),
 }
 SAFEGUARDS = {
-    "only later documents": config_world.Safeguards(only_later_documents=False),
-    "certain answers": config_world.Safeguards(certain_answers=False),
+    "only later documents": config_world.Safeguards(rejects_older_documents=False),
+    "certain answers": config_world.Safeguards(resolves_unknown_outcomes=False),
 }
 
 
@@ -183,16 +183,16 @@
 
 
 async def _collect(seed, kind):
-    plan = schedule.Schedule(seed)
+    scheduler = seeded_scheduler.Scheduler(seed)
     table = objects.ObjectTable()
     unreadable = []
     removed = []
 
     def documents(actor):
         link = memory_store.MemoryStore(
-            table, time=plan.time, pause=lambda name: plan.point(actor, name)
+            table, time=scheduler.time, pause=lambda name: scheduler.point(actor, name)
         )
-        time = schedule.ActorClock(plan, actor)
+        time = seeded_scheduler.ActorClock(scheduler, actor)
         made = configuration.ConfigurationObjects(link, time, random.Random(seed))
         return made, kind(link, made)
 
@@ -202,7 +202,7 @@
                 f"{actor}-{number}",
                 actor,
                 config_world.document(f"{actor}-{number % 2}"),
-                plan.time.now(),
+                scheduler.time.now(),
             )
             outcome = await documents(actor)[0].submit(sent)
             if isinstance(outcome, configuration.Accepted):
@@ -214,13 +214,13 @@
     async def collect(actor):
         for _ in range(6):
             removed.append(await documents(actor)[1].collect())
-            await plan.point(actor, "between")
+            await scheduler.point(actor, "between")
 
-    tasks = [plan.start(operate(f"operator-{n}")) for n in range(3)]
-    tasks += [plan.start(collect(f"collector-{n}")) for n in range(2)]
-    await plan.run_until(120, lambda: all(task.done() for task in tasks))
+    tasks = [scheduler.start(operate(f"operator-{n}")) for n in range(3)]
+    tasks += [scheduler.start(collect(f"collector-{n}")) for n in range(2)]
+    await scheduler.run_until(120, lambda: all(task.done() for task in tasks))
     assert all(task.done() for task in tasks)
-    await plan.end()
+    await scheduler.end()
     return unreadable, sum(removed)
 
 
@@ -266,9 +266,9 @@
 
     def offer(self, link):
         self.spread.offered(link, 3)
-        self.time.advance(schedule.seconds(3))
+        self.time.advance(seeded_scheduler.seconds(3))
         self.spread.poll()
-        self.time.advance(schedule.seconds(0.1))
+        self.time.advance(seeded_scheduler.seconds(0.1))
         self.spread.poll()
 
 
--- a/tests/features/steps/orders_checker_steps.py
+++ b/tests/features/steps/orders_checker_steps.py
@@ -1,24 +1,24 @@
 import behave
 
-from tests.support import history, order_checkers
+from tests.support import control_history, order_checkers
 
 ALLOWED_S = 3.0
 
 
 def taken(order, fence, *, at=1.0, target="decode", fenced=True):
-    return history.OrderTaken(at, "e", order, fence, "s", target, 0, fenced)
+    return control_history.OrderAccepted(at, "e", order, fence, "s", target, 0, fenced)
 
 
 def pending(order, sequence, *, at=0.0):
-    return history.SlotWritten(at, "e", "pending", order, sequence)
+    return control_history.SlotWritten(at, "e", "pending", order, sequence)
 
 
 def done(order):
-    return history.OrderDone(1.5, "e", order)
+    return control_history.OrderCompleted(1.5, "e", order)
 
 
 def began(at):
-    return history.StreamBegan(at, "e", "r", "s")
+    return control_history.StreamStarted(at, "e", "r", "s")
 
 
 HISTORIES = {
@@ -29,7 +29,7 @@
         taken("a", 1, target="prefill"),
     ],
     "an order taken during another": [taken("a", 1), taken("b", 2)],
-    "a stream cut by an order": [history.StreamCut(1.0, "e", "r", "order")],
+    "a stream cut by an order": [control_history.StreamAborted(1.0, "e", "r", "order")],
     "an old number after a newer one": [
         pending("a", 1),
         pending("b", 2),
@@ -44,16 +44,16 @@
     ],
     "an order that was never pending": [taken("a", 1)],
     "work long after the server was leaving": [
-        history.LeavingShown(1.0, "e", "s"),
+        control_history.LeavingShown(1.0, "e", "s"),
         began(4.1),
     ],
     "an order after a crash in a change": [
         taken("a", 1),
-        history.EngineEnded(1.2, "e"),
+        control_history.EngineCrashed(1.2, "e"),
         taken("b", 2),
         done("b"),
     ],
-    "a stream cut by a crash": [history.StreamCut(1.0, "e", "r", "crash")],
+    "a stream cut by a crash": [control_history.StreamAborted(1.0, "e", "r", "crash")],
     "a pending order taken before its successor": [
         pending("a", 1),
         pending("b", 2),
@@ -62,15 +62,15 @@
         taken("b", 2),
     ],
     "work shortly after the server was leaving": [
-        history.LeavingShown(1.0, "e", "s"),
+        control_history.LeavingShown(1.0, "e", "s"),
         began(3.9),
     ],
 }
 
 CHECKERS = {
     1: order_checkers.conflicting_orders,
-    2: order_checkers.cut_requests,
-    3: order_checkers.orders_without_authority,
+    2: order_checkers.aborted_requests,
+    3: order_checkers.stale_orders,
     7: lambda events: order_checkers.late_work(events, ALLOWED_S),
 }
 
--- a/tests/features/steps/orders_schedule_steps.py
+++ b/tests/features/steps/orders_schedule_steps.py
@@ -13,13 +13,13 @@
 
 def run_jobs(jobs):
     with concurrent.futures.ProcessPoolExecutor(PROCESSES) as pool:
-        return list(pool.map(faults.make, jobs))
+        return list(pool.map(faults.run_job, jobs))
 
 
 @behave.when("schedules: promise {promise:d} is put to {seeds:d} history of each fault")
 def each_fault(context, promise, seeds):
     lines = faults.run_matrix(
-        [module_of(promise)], seeds, 0, faults.alone, processes=PROCESSES
+        [module_of(promise)], seeds, 0, faults.single_faults, processes=PROCESSES
     )
     line = lines[promise]
     assert line.histories and line.operations, line
--- a/tests/features/steps/requests_answers_steps.py
+++ b/tests/features/steps/requests_answers_steps.py
@@ -33,13 +33,15 @@
 
 
 def answers(*bodies):
-    return [raw_server.Answer(raw_server.http_answer(body)) for body in bodies]
+    return [
+        raw_server.ScriptedResponse(raw_server.http_response(body)) for body in bodies
+    ]
 
 
 @behave.given("requests meet a server that answers the second call late")
 def late_server(context):
     one, two, three = answers(b"one", b"two", b"three")
-    late = raw_server.Answer(two.raw, delay_s=0.3)
+    late = raw_server.ScriptedResponse(two.raw, delay_s=0.3)
     context.server = raw_server.RawServer(one, late, three)
 
 
@@ -90,23 +92,33 @@
     assert [number for number, _ in context.server.requests] == [1, 2, 3]
 
 
-WHOLE = raw_server.http_answer(b"done")
+WHOLE = raw_server.http_response(b"done")
 CHUNKED = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n8\r\nhal"
 CROSSED = b"HTTP/1.1 200 OK\r\nx-dispatch: d2\r\ncontent-length: 4\r\n\r\ndone"
-NOT_RUN = raw_server.http_answer(b'{"ran": false}', "503 Busy")
-ERROR = raw_server.http_answer(b"{}", "503 Busy")
+NOT_RUN = raw_server.http_response(b'{"ran": false}', "503 Busy")
+ERROR = raw_server.http_response(b"{}", "503 Busy")
 TROUBLES = {
-    "says that it did not run the call": raw_server.Answer(NOT_RUN),
-    "says nothing and closes": raw_server.Answer(b"", close=True),
-    "says nothing at all": raw_server.Answer(WHOLE, delay_s=30.0),
-    "cuts its answer inside the status line": raw_server.Answer(WHOLE[:7], close=True),
-    "cuts its answer inside the headers": raw_server.Answer(WHOLE[:20], close=True),
-    "cuts its answer inside the length": raw_server.Answer(WHOLE[:33], close=True),
-    "cuts its answer inside the body": raw_server.Answer(WHOLE[:-2], close=True),
-    "cuts its answer inside a chunk": raw_server.Answer(CHUNKED, close=True),
-    "answers something other than HTTP": raw_server.Answer(b"220 smtp\r\n", close=True),
-    "answers for another dispatch": raw_server.Answer(CROSSED),
-    "answers an error that says nothing": raw_server.Answer(ERROR),
+    "says that it did not run the call": raw_server.ScriptedResponse(NOT_RUN),
+    "says nothing and closes": raw_server.ScriptedResponse(b"", close=True),
+    "says nothing at all": raw_server.ScriptedResponse(WHOLE, delay_s=30.0),
+    "cuts its answer inside the status line": raw_server.ScriptedResponse(
+        WHOLE[:7], close=True
+    ),
+    "cuts its answer inside the headers": raw_server.ScriptedResponse(
+        WHOLE[:20], close=True
+    ),
+    "cuts its answer inside the length": raw_server.ScriptedResponse(
+        WHOLE[:33], close=True
+    ),
+    "cuts its answer inside the body": raw_server.ScriptedResponse(
+        WHOLE[:-2], close=True
+    ),
+    "cuts its answer inside a chunk": raw_server.ScriptedResponse(CHUNKED, close=True),
+    "answers something other than HTTP": raw_server.ScriptedResponse(
+        b"220 smtp\r\n", close=True
+    ),
+    "answers for another dispatch": raw_server.ScriptedResponse(CROSSED),
+    "answers an error that says nothing": raw_server.ScriptedResponse(ERROR),
 }
 
 
@@ -192,12 +204,12 @@
 def chunked(events):
     body = b"".join(b"%x\r\n%s\r\n" % (len(e), e.encode()) for e in events)
     head = b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n"
-    return raw_server.Answer(head + body + b"0\r\n\r\n")
+    return raw_server.ScriptedResponse(head + body + b"0\r\n\r\n")
 
 
 @behave.given("requests meet an engine whose stream {trouble}")
 def troubled_engine(context, trouble):
-    answer = raw_server.Answer(NOT_RUN)
+    answer = raw_server.ScriptedResponse(NOT_RUN)
     if trouble in STREAMS:
         answer = chunked(STREAMS[trouble])
     context.server = raw_server.RawServer(answer)
--- a/tests/features/steps/requests_once_steps.py
+++ b/tests/features/steps/requests_once_steps.py
@@ -57,43 +57,43 @@
         (request_history.Run("r1", "k", "a"), request_history.Run("r2", "k", "b")),
     ),
     "refused and ran": (
-        request_history.refusals_are_true,
+        request_history.refusals_are_accurate,
         (
             request_history.Refused("r1", BUSY, NOT_RUN),
             request_history.Run("r1", "k", "a"),
         ),
     ),
     "another's answer": (
-        request_history.answers_belong,
+        request_history.responses_match_keys,
         (
             request_history.Invocation("r1", "k"),
             request_history.Run("r1", "k", "mine"),
-            request_history.Answer("r1", "yours"),
+            request_history.Response("r1", "yours"),
         ),
     ),
     "shortened stream": (
-        request_history.streams_are_whole,
-        (request_history.StreamSeen("c", "a b ", "a b c ", True, False),),
+        request_history.streams_are_complete,
+        (request_history.StreamResult("c", "a b ", "a b c ", True, False),),
     ),
     "crossed stream": (
-        request_history.streams_are_whole,
-        (request_history.StreamSeen("c", "a x ", "a b c ", False, True),),
+        request_history.streams_are_complete,
+        (request_history.StreamResult("c", "a x ", "a b c ", False, True),),
     ),
     "no final record": (
-        request_history.streams_are_whole,
-        (request_history.StreamSeen("c", "a b c ", "a b c ", False, False),),
+        request_history.streams_are_complete,
+        (request_history.StreamResult("c", "a b c ", "a b c ", False, False),),
     ),
     "two final records": (
-        request_history.streams_are_whole,
+        request_history.streams_are_complete,
         (
-            request_history.StreamSeen(
+            request_history.StreamResult(
                 "c", "a b c ", "a b c ", True, False, records_after=1
             ),
         ),
     ),
     "held back": (
-        request_history.streams_are_whole,
-        (request_history.StreamSeen("c", "a ", "a b c ", False, True, late_by=2.0),),
+        request_history.streams_are_complete,
+        (request_history.StreamResult("c", "a ", "a b c ", False, True, late_by=2.0),),
     ),
 }
 
--- a/tests/features/steps/routes_entries_steps.py
+++ b/tests/features/steps/routes_entries_steps.py
@@ -100,7 +100,9 @@
     body = json.dumps(page).encode().replace(b"BAD", b"\xff\xfe")
 
     async def listing():
-        server = raw_server.RawServer(raw_server.Answer(raw_server.http_answer(body)))
+        server = raw_server.RawServer(
+            raw_server.ScriptedResponse(raw_server.http_response(body))
+        )
         async with server.listening() as address:
             limit = datetime.timedelta(seconds=5)
             client = objects.ObjectStore(address, limit, clock.SystemClock())
--- a/tests/features/steps/store_steps.py
+++ b/tests/features/steps/store_steps.py
@@ -12,12 +12,12 @@
 
 @behave.given('a store that answers for the object "{name}" too late')
 def late_store(context, name):
-    context.slow_store = slow_store.SlowStore(late=name)
+    context.slow_store = slow_store.SlowStore(delayed=name)
 
 
 @behave.given('a store that cuts its answer for the object "{name}" short')
 def cut_store(context, name):
-    context.slow_store = slow_store.SlowStore(cut=name)
+    context.slow_store = slow_store.SlowStore(truncated=name)
 
 
 @behave.given("a store that takes writes and never answers them")
@@ -41,7 +41,7 @@
     found = {}
     for name in names:
         found[name] = await client.get("things", name)
-        await asyncio.sleep(slow_store.LATE_S)
+        await asyncio.sleep(slow_store.DELAY_S)
     return found
 
 
--- a/tests/features/steps/usage_steps.py
+++ b/tests/features/steps/usage_steps.py
@@ -10,7 +10,7 @@
 from pimentolatch.protocol import usage_rows
 from standins import control_api
 from tests.features.steps import customers_steps, routes_serving_steps
-from tests.support import route_world, served_store, usage_world
+from tests.support import restartable_store, route_world, usage_world
 
 WINDOW = usage_world.WINDOW
 SECOND = datetime.timedelta(seconds=1)
@@ -302,7 +302,7 @@
     world = context.world
     context.receiver = control_api.ControlApi()
     port = route_world.free_port()
-    served = served_store.ServedStore(
+    served = restartable_store.RestartableStore(
         context.receiver, route_world.HOST, port, control_api.build
     )
     context.run(served.start())
--- a/tests/features/steps/view_steps.py
+++ b/tests/features/steps/view_steps.py
@@ -9,9 +9,11 @@
     "instances meet random trouble": view_world.random_trouble,
 }
 WITHOUT = {
-    "introductions": config_world.Safeguards(introduces=False),
+    "introductions": config_world.Safeguards(forwards_introductions=False),
     "registering first": config_world.Safeguards(registers_first=False),
-    "both of these": config_world.Safeguards(introduces=False, registers_first=False),
+    "both of these": config_world.Safeguards(
+        forwards_introductions=False, registers_first=False
+    ),
 }
 
 
--- a/tests/run.py
+++ b/tests/run.py
@@ -15,7 +15,7 @@
 ROOT = pathlib.Path(__file__).parent.parent
 FEATURES = ROOT / "tests" / "features"
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-AT_ONCE = 6
+MAX_CONCURRENT_FEATURES = 6
 
 
 def known_red() -> set[str]:
@@ -55,7 +55,7 @@
     """Run all features and print the count; non-zero if any failed or none ran."""
     chosen = [pathlib.Path(name) for name in sys.argv[1:]]
     paths = chosen or sorted(FEATURES.glob("*.feature"))
-    with concurrent.futures.ThreadPoolExecutor(AT_ONCE) as pool:
+    with concurrent.futures.ThreadPoolExecutor(MAX_CONCURRENT_FEATURES) as pool:
         statuses = [pair for pairs in pool.map(run_feature, paths) for pair in pairs]
     red = known_red()
     passed = failed = 0
--- a/tests/support/config_history.py
+++ b/tests/support/config_history.py
@@ -8,7 +8,14 @@
 import collections
 import dataclasses
 
-__all__ = ["Answered", "ConfigHistory", "HeadWritten", "InForce", "Lifetime", "check"]
+__all__ = [
+    "ConfigHistory",
+    "HeadWritten",
+    "InForce",
+    "Lifetime",
+    "SubmissionResult",
+    "check",
+]
 
 IN_FORCE_WITHIN_S = 11.0
 ACCEPTED = "accepted"
@@ -38,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answered:
+class SubmissionResult:
     """The operator's last answer to a submission; `attempts` counts its tries."""
 
     submission: str
@@ -61,14 +68,14 @@
     """One run. Times are seconds on a clock that no process sees.
 
     Attributes:
-        trouble: Start and end of the time in which faults were in force.
+        fault_window: Start and end of the time in which faults were in force.
     """
 
     heads: tuple[HeadWritten, ...]
     in_force: tuple[InForce, ...]
-    answers: tuple[Answered, ...]
+    results: tuple[SubmissionResult, ...]
     lifetimes: tuple[Lifetime, ...]
-    trouble: tuple[float, float] | None
+    fault_window: tuple[float, float] | None
     end: float
 
 
@@ -77,7 +84,7 @@
     return (
         *_one_document_for_each_number(history),
         *_no_revert(history),
-        *_true_answers(history),
+        *_accurate_results(history),
         *_in_force_in_time(history),
     )
 
@@ -110,18 +117,18 @@
     return found
 
 
-def _true_answers(history: ConfigHistory) -> list[str]:
+def _accurate_results(history: ConfigHistory) -> list[str]:
     found = []
     numbers = {head.submission: head.number for head in history.heads}
-    for answer in history.answers:
-        number = numbers.get(answer.submission)
-        if answer.outcome == ACCEPTED and number != answer.number:
-            found.append(f"{answer.submission} accepted as {answer.number}: {number}")
-        if answer.outcome == LOST and number is not None:
-            found.append(f"{answer.submission} was told lost and is {number}")
-        single = answer.outcome == NOT_SUBMITTED and answer.attempts == 1
+    for result in history.results:
+        number = numbers.get(result.submission)
+        if result.outcome == ACCEPTED and number != result.number:
+            found.append(f"{result.submission} accepted as {result.number}: {number}")
+        if result.outcome == LOST and number is not None:
+            found.append(f"{result.submission} was told lost and is {number}")
+        single = result.outcome == NOT_SUBMITTED and result.attempts == 1
         if single and number is not None:
-            found.append(f"{answer.submission} was told not submitted and is {number}")
+            found.append(f"{result.submission} was told not submitted and is {number}")
     return found
 
 
@@ -129,23 +136,25 @@
     found = []
     for head in history.heads:
         deadline = _deadline(history, head.at)
-        for life in history.lifetimes:
-            settled = life.start + IN_FORCE_WITHIN_S <= deadline <= life.end
+        for lifetime in history.lifetimes:
+            settled = lifetime.start + IN_FORCE_WITHIN_S <= deadline <= lifetime.end
             if not settled or deadline > history.end:
                 continue
             reached = [
                 event.number
                 for event in history.in_force
-                if event.process == life.process and event.at <= deadline
+                if event.process == lifetime.process and event.at <= deadline
             ]
             if max(reached, default=0) < head.number:
-                found.append(f"{life.process} lacks {head.number} at {deadline:.1f} s")
+                found.append(
+                    f"{lifetime.process} lacks {head.number} at {deadline:.1f} s"
+                )
     return found
 
 
 def _deadline(history: ConfigHistory, at: float) -> float:
-    if history.trouble is not None:
-        begin, end = history.trouble
+    if history.fault_window is not None:
+        begin, end = history.fault_window
         if at + IN_FORCE_WITHIN_S >= begin and at <= end:
             return end + IN_FORCE_WITHIN_S
     return at + IN_FORCE_WITHIN_S
--- a/tests/support/config_world.py
+++ b/tests/support/config_world.py
@@ -34,17 +34,17 @@
 from pimentolatch.protocol import codec, messages
 from pimentolatch.requests import suspect_completions
 from standins import memory_store, objects
-from tests.support import config_history, schedule
+from tests.support import config_history, seeded_scheduler
 
 __all__ = ["ConfigWorld", "Safeguards", "document"]
 
 DOMAINS = ("north", "north", "north", "south")
-SUSPECT_AFTER = schedule.seconds(4)
-LIST_LAG = schedule.seconds(6)
-_BEAT = schedule.seconds(1)
-_CONNECT = schedule.seconds(0.5)
-_POLL = schedule.seconds(0.05)
-_WATCHERS = 2
+SUSPECT_AFTER = seeded_scheduler.seconds(4)
+LIST_LAG = seeded_scheduler.seconds(6)
+_HEARTBEAT_INTERVAL = seeded_scheduler.seconds(1)
+_RETRY_INTERVAL = seeded_scheduler.seconds(0.5)
+_POLL_INTERVAL = seeded_scheduler.seconds(0.05)
+_WATCHERS_PER_DOMAIN = 2
 
 
 def document(name: str) -> schema.FleetDocument:
@@ -59,22 +59,23 @@
     """Safeguards that a test may switch off to see the checker reject a history.
 
     Attributes:
-        only_later_documents: Instances refuse a document that is not a later one.
-        certain_answers: A submission is settled by repeating its conditional write.
+        rejects_older_documents: Instances refuse a document that is not a later one.
+        resolves_unknown_outcomes: A submission whose outcome is
+            unknown is resolved by repeating its conditional write.
         registers_first: An instance registers before it reads the views.
-        introduces: Instances pass on whom they came to know.
+        forwards_introductions: Instances pass on whom they came to know.
     """
 
-    only_later_documents: bool = True
-    certain_answers: bool = True
+    rejects_older_documents: bool = True
+    resolves_unknown_outcomes: bool = True
     registers_first: bool = True
-    introduces: bool = True
+    forwards_introductions: bool = True
 
 
 class _Table(objects.ObjectTable):
-    def __init__(self, plan: schedule.Schedule) -> None:
+    def __init__(self, scheduler: seeded_scheduler.Scheduler) -> None:
         super().__init__()
-        self._plan = plan
+        self._scheduler = scheduler
         self.heads: list[config_history.HeadWritten] = []
 
     async def put(
@@ -85,7 +86,10 @@
             head = heads.Head.from_json(value)
             if not self.heads or self.heads[-1].submission != head.submission_id:
                 written = config_history.HeadWritten(
-                    self._plan.now, head.number, head.submission_id, head.content_hash
+                    self._scheduler.now,
+                    head.number,
+                    head.submission_id,
+                    head.content_hash,
                 )
                 self.heads.append(written)
         return row
@@ -116,7 +120,7 @@
         return super().adopt(configuration)
 
 
-class _RevertingKeeper(local_document.LocalDocument):
+class _RevertingDocument(local_document.LocalDocument):
     def adopt(
         self, head: heads.Head, new: dict[str, str]
     ) -> local_document.Adopted | local_document.Stale | local_document.Unreadable:
@@ -130,7 +134,7 @@
         return 0
 
 
-class _HastyObjects(configuration.ConfigurationObjects):
+class _SingleReadObjects(configuration.ConfigurationObjects):
     """Takes one read after a lost answer for the truth."""
 
     async def _write_head(
@@ -157,7 +161,7 @@
         return configuration.NotSubmitted("the write is not visible")
 
 
-class _NoTable:
+class _NullReportTable:
     def update(self, peer: str, work: work_reports.WorkReport) -> None:
         pass
 
@@ -166,11 +170,11 @@
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class _End:
+class _LinkEnd:
     process: "Process"
     number: int
-    heard: datetime.timedelta
-    other: "_End | None" = None
+    last_received: datetime.timedelta
+    peer_end: "_LinkEnd | None" = None
     is_open: bool = True
 
 
@@ -179,85 +183,95 @@
 
     def __init__(self, world: "ConfigWorld", instance: str, domain: str) -> None:
         self.world = world
-        self.plan = plan = world.plan
+        self.scheduler = scheduler = world.scheduler
         self.instance = instance
         world.started += 1
         self.name = f"{instance}/{world.started:x}-0"
-        self.began = plan.now
-        self.own = incarnations.Identity(self.name, domain, instance, 1)
-        self.time = schedule.ActorClock(plan, self.name)
-        self.ends: dict[int, _End] = {}
-        chance = random.Random(plan.random.random())
+        self.started_at = scheduler.now
+        self.identity = incarnations.Identity(self.name, domain, instance, 1)
+        self.time = seeded_scheduler.ActorClock(scheduler, self.name)
+        self.link_ends: dict[int, _LinkEnd] = {}
+        rng = random.Random(scheduler.random.random())
         self.objects = _Store(
             world.table,
-            time=plan.time,
+            time=scheduler.time,
             link=instance,
             faults=world.faults,
-            pause=lambda point: plan.point(self.name, point),
+            pause=lambda point: scheduler.point(self.name, point),
         )
-        guards = world.safeguards
-        own_fleet = fleet.Fleet() if guards.only_later_documents else _RevertingFleet()
-        kept = (
+        safeguards = world.safeguards
+        own_fleet = (
+            fleet.Fleet() if safeguards.rejects_older_documents else _RevertingFleet()
+        )
+        document_type = (
             local_document.LocalDocument
-            if guards.only_later_documents
-            else _RevertingKeeper
+            if safeguards.rejects_older_documents
+            else _RevertingDocument
         )
-        submits = (
+        objects_type = (
             configuration.ConfigurationObjects
-            if guards.certain_answers
-            else _HastyObjects
+            if safeguards.resolves_unknown_outcomes
+            else _SingleReadObjects
         )
-        self.documents = submits(self.objects, self.time, chance)
-        self.keeper = kept(own_fleet, self.time, self._adopted)
+        self.documents = objects_type(self.objects, self.time, rng)
+        self.local_document = document_type(own_fleet, self.time, self._on_adopted)
         self.fleet = own_fleet
-        self.spread = document_exchange.DocumentExchange(
-            self.keeper, self, self.time, chance
+        self.exchange = document_exchange.DocumentExchange(
+            self.local_document, self, self.time, rng
         )
         self.table = view_table.ViewTable(
-            own_fleet.adopt_view, self.keeper.set_views_known
+            own_fleet.adopt_view, self.local_document.set_views_known
         )
         self.node = node.Node(
-            self.own,
+            self.identity,
             network=self,
-            documents=self.spread,
+            documents=self.exchange,
             crashes=suspect_completions.SuspectCompletions(self.time),
             table=self.table,
             work=work_exchange.WorkExchange(
-                work_reports.WorkReport, _NoTable(), self.time, _BEAT
+                work_reports.WorkReport,
+                _NullReportTable(),
+                self.time,
+                _HEARTBEAT_INTERVAL,
             ),
             leaving=leaving_servers.LeavingServers(
-                self.time, _BEAT, own_fleet.set_leaving
+                self.time, _HEARTBEAT_INTERVAL, own_fleet.set_leaving
             ),
             time=self.time,
             suspect_after=SUSPECT_AFTER,
             list_lag=LIST_LAG,
         )
-        if not guards.introduces:
+        if not safeguards.forwards_introductions:
             self.node._introductions = lambda link: ()
-        self.registrations = registrations.Registrations(self.objects, self.own)
+        self.registrations = registrations.Registrations(self.objects, self.identity)
         follower = store_watch.StoreWatcher(
             self.objects,
-            store_watch.DocumentHandler(self.documents, self.keeper),
-            self._watches,
+            store_watch.DocumentHandler(self.documents, self.local_document),
+            self._is_watcher,
             self.time,
-            chance,
+            rng,
         )
         self.tasks = [
-            plan.start(work)
-            for work in (follower.run(), self._join(), self._beat(), self._poll())
+            scheduler.start(work)
+            for work in (
+                follower.run(),
+                self._join(),
+                self._heartbeat_loop(),
+                self._transfer_loop(),
+            )
         ]
 
     def send(self, link: int, message: messages.Message) -> None:
         """See `node.Network.send`."""
-        end = self.ends.get(link)
+        end = self.link_ends.get(link)
         if end is not None and end.is_open:
-            self.world.carry(end, codec.encode([message]))
+            self.world.send_frame(end, codec.encode([message]))
 
     def close(self, link: int, reason: str) -> None:
         """See `node.Network.close`."""
-        end = self.ends.get(link)
+        end = self.link_ends.get(link)
         if end is not None:
-            self.plan.soon(lambda: self.world.break_link(end))
+            self.scheduler.call_soon(lambda: self.world.break_link(end))
 
     async def submit(
         self, submission: configuration.Submission
@@ -266,24 +280,24 @@
         submission = configuration.with_pieces(submission)
         outcome = await self.documents.submit(submission)
         if isinstance(outcome, configuration.Accepted) and not outcome.replaced_by:
-            self.keeper.adopt_submitted(outcome.head, submission)
+            self.local_document.adopt_submitted(outcome.head, submission)
         return outcome
 
-    def _adopted(self) -> None:
+    def _on_adopted(self) -> None:
         found = self.fleet.view.configuration
         assert found is not None
         self.world.in_force.append(
             config_history.InForce(
-                self.plan.now, self.name, found.number, found.content_hash
+                self.scheduler.now, self.name, found.number, found.content_hash
             )
         )
-        self.plan.soon(self.node.configuration_changed)
+        self.scheduler.call_soon(self.node.configuration_changed)
 
-    def _watches(self) -> bool:
-        near = self.node.detector.steady(self.own.failure_domain) | {self.name}
+    def _is_watcher(self) -> bool:
+        near = self.node.detector.steady(self.identity.failure_domain) | {self.name}
         names = {incarnations.instance_of(name) for name in near}
         order = topology.rendezvous_order(names, "documents")
-        return order.index(self.instance) < _WATCHERS
+        return order.index(self.instance) < _WATCHERS_PER_DOMAIN
 
     async def _join(self) -> None:
         if self.world.safeguards.registers_first:
@@ -293,29 +307,29 @@
             if isinstance(listing, store.Listing):
                 found = [view_table.view_from_object(row) for row in listing.objects]
                 self.node.adopt_views(found, complete=True)
-            await self.time.sleep(_CONNECT)
+            await self.time.sleep(_RETRY_INTERVAL)
         if not self.world.safeguards.registers_first:
             await self._register()
 
     async def _register(self) -> None:
         while not await self.registrations.register():
-            await self.time.sleep(_CONNECT)
+            await self.time.sleep(_RETRY_INTERVAL)
 
-    async def _beat(self) -> None:
+    async def _heartbeat_loop(self) -> None:
         while True:
-            await self.time.sleep(_BEAT)
-            for end in list(self.ends.values()):
-                if self.time.monotonic() - end.heard > SUSPECT_AFTER:
+            await self.time.sleep(_HEARTBEAT_INTERVAL)
+            for end in list(self.link_ends.values()):
+                if self.time.monotonic() - end.last_received > SUSPECT_AFTER:
                     self.world.break_link(end)
             self.node.tick()
 
-    async def _poll(self) -> None:
+    async def _transfer_loop(self) -> None:
         while True:
-            await self.spread.wake.wait()
-            self.spread.wake.clear()
-            while self.spread.busy:
-                self.spread.poll()
-                await self.time.sleep(_POLL)
+            await self.exchange.wake.wait()
+            self.exchange.wake.clear()
+            while self.exchange.busy:
+                self.exchange.poll()
+                await self.time.sleep(_POLL_INTERVAL)
 
 
 class ConfigWorld:
@@ -326,20 +340,20 @@
     """
 
     def __init__(self, seed: int, safeguards: Safeguards) -> None:
-        self.plan = schedule.Schedule(seed)
+        self.scheduler = seeded_scheduler.Scheduler(seed)
         self.safeguards = safeguards
         self.faults = memory_store.StoreFaults()
-        self.table = _Table(self.plan)
+        self.table = _Table(self.scheduler)
         self.in_force: list[config_history.InForce] = []
-        self.answers: list[config_history.Answered] = []
+        self.results: list[config_history.SubmissionResult] = []
         self.lifetimes: list[config_history.Lifetime] = []
         self.started = 0
         self.cuts: set[tuple[str, str]] = set()
         self.processes: dict[str, Process] = {}
-        self._numbers = 0
+        self._last_link = 0
         for number, domain in enumerate(DOMAINS, start=1):
             self.start(f"entry-{number}", domain)
-        self.plan.start(self._connect())
+        self.scheduler.start(self._connect())
 
     def start(self, instance: str, domain: str) -> None:
         """Start an instance, or start it again."""
@@ -350,10 +364,12 @@
         process = self.processes.pop(instance)
         for task in process.tasks:
             task.cancel()
-        for end in list(process.ends.values()):
+        for end in list(process.link_ends.values()):
             self.break_link(end)
         self.lifetimes.append(
-            config_history.Lifetime(process.name, process.began, self.plan.now)
+            config_history.Lifetime(
+                process.name, process.started_at, self.scheduler.now
+            )
         )
 
     def cut(self, instance: str, *, one_way: bool) -> None:
@@ -371,20 +387,20 @@
         self.cuts.clear()
         self.faults.end()
 
-    async def operate(self, submission: str, expected: int | None) -> None:
+    async def submit_with_retries(self, submission: str, expected: int | None) -> None:
         """Submit a document as an operator who asks again when it is not certain."""
         attempts = 0
         outcome: object = None
         while attempts < 4:
             attempts += 1
-            process = self.plan.random.choice(list(self.processes.values()))
+            process = self.scheduler.random.choice(list(self.processes.values()))
             outcome = await self._attempt(process, submission, expected)
             if isinstance(outcome, configuration.Accepted | configuration.Lost):
                 break
             if isinstance(outcome, configuration.NotSubmitted) and attempts == 1:
                 break
-            await self.plan.time.sleep(schedule.seconds(1))
-        self.answers.append(_answer(submission, outcome, attempts))
+            await self.scheduler.time.sleep(seeded_scheduler.seconds(1))
+        self.results.append(_result(submission, outcome, attempts))
 
     async def _attempt(
         self, process: Process, submission: str, expected: int | None
@@ -393,46 +409,46 @@
             submission,
             "operator",
             document(submission),
-            self.plan.time.now(),
+            self.scheduler.time.now(),
             expected,
         )
-        task = self.plan.start(process.submit(sent))
+        task = self.scheduler.start(process.submit(sent))
         process.tasks.append(task)
         await asyncio.wait([task])
         return None if task.cancelled() else task.result()
 
     def history(
-        self, trouble: tuple[float, float] | None
+        self, fault_window: tuple[float, float] | None
     ) -> config_history.ConfigHistory:
         """Return what happened."""
         running = [
-            config_history.Lifetime(process.name, process.began, float("inf"))
+            config_history.Lifetime(process.name, process.started_at, float("inf"))
             for process in self.processes.values()
         ]
         return config_history.ConfigHistory(
             tuple(self.table.heads),
             tuple(self.in_force),
-            tuple(self.answers),
+            tuple(self.results),
             (*self.lifetimes, *running),
-            trouble,
-            self.plan.now,
+            fault_window,
+            self.scheduler.now,
         )
 
-    def carry(self, end: _End, frame: bytes) -> None:
+    def send_frame(self, end: _LinkEnd, frame: bytes) -> None:
         """Deliver a frame to the other end, later and in order."""
-        other = end.other
+        other = end.peer_end
         assert other is not None
         self._queues[other].put_nowait(frame)
 
-    def break_link(self, end: _End) -> None:
+    def break_link(self, end: _LinkEnd) -> None:
         """End a link on both sides."""
-        for side in (end, end.other):
+        for side in (end, end.peer_end):
             if side is not None and side.is_open:
                 side.is_open = False
-                side.process.ends.pop(side.number, None)
+                side.process.link_ends.pop(side.number, None)
                 side.process.node.closed(side.number)
 
-    _queues: dict[_End, "asyncio.Queue[bytes]"]
+    _queues: dict[_LinkEnd, "asyncio.Queue[bytes]"]
 
     async def _connect(self) -> None:
         self._queues = {}
@@ -440,32 +456,34 @@
             running = list(self.processes.values())
             for number, process in enumerate(running):
                 for other in running[number + 1 :]:
-                    if self._may_link(process, other):
-                        self._link(process, other)
-            await self.plan.time.sleep(_CONNECT)
+                    if self._can_link(process, other):
+                        self._open_link(process, other)
+            await self.scheduler.time.sleep(_RETRY_INTERVAL)
 
-    def _may_link(self, process: Process, other: Process) -> bool:
+    def _can_link(self, process: Process, other: Process) -> bool:
         if any(
-            end.other is not None and end.other.process is other
-            for end in process.ends.values()
+            end.peer_end is not None and end.peer_end.process is other
+            for end in process.link_ends.values()
         ):
             return False
         pair = (process.instance, other.instance)
-        frozen = self.plan.is_frozen(process.name) or self.plan.is_frozen(other.name)
+        frozen = self.scheduler.is_frozen(process.name) or self.scheduler.is_frozen(
+            other.name
+        )
         return not frozen and not self.cuts & {pair, pair[::-1]}
 
-    def _link(self, process: Process, other: Process) -> None:
-        now = self.plan.time.monotonic()
-        self._numbers += 2
-        near = _End(process, self._numbers, now)
-        far = _End(other, self._numbers + 1, now, near)
-        near.other = far
+    def _open_link(self, process: Process, other: Process) -> None:
+        now = self.scheduler.time.monotonic()
+        self._last_link += 2
+        near = _LinkEnd(process, self._last_link, now)
+        far = _LinkEnd(other, self._last_link + 1, now, near)
+        near.peer_end = far
         for end in (near, far):
-            end.process.ends[end.number] = end
+            end.process.link_ends[end.number] = end
             self._queues[end] = asyncio.Queue()
-            self.plan.start(self._deliver(end))
+            self.scheduler.start(self._deliver(end))
         for end, peer in ((near, other), (far, process)):
-            own = peer.own
+            own = peer.identity
             end.process.node.opened(
                 end.number,
                 messages.Hello(
@@ -477,24 +495,26 @@
                 ),
             )
 
-    async def _deliver(self, end: _End) -> None:
+    async def _deliver(self, end: _LinkEnd) -> None:
         queue = self._queues[end]
-        assert end.other is not None
-        way = (end.other.process.instance, end.process.instance)
+        assert end.peer_end is not None
+        direction = (end.peer_end.process.instance, end.process.instance)
         while end.is_open:
             frame = await queue.get()
-            while way in self.cuts:
-                await self.plan.time.sleep(_CONNECT)
-            await self.plan.point(end.process.name, "deliver")
+            while direction in self.cuts:
+                await self.scheduler.time.sleep(_RETRY_INTERVAL)
+            await self.scheduler.point(end.process.name, "deliver")
             received = codec.decode(frame)
             assert not isinstance(received, codec.Malformed), received
             if end.is_open:
-                end.heard = self.plan.time.monotonic()
+                end.last_received = self.scheduler.time.monotonic()
                 for message in received:
                     end.process.node.handle(end.number, message)
 
 
-def _answer(submission: str, outcome: object, attempts: int) -> config_history.Answered:
+def _result(
+    submission: str, outcome: object, attempts: int
+) -> config_history.SubmissionResult:
     match outcome:
         case configuration.Accepted(head=head):
             kind, number = config_history.ACCEPTED, head.number
@@ -504,4 +524,4 @@
             kind, number = config_history.NOT_SUBMITTED, 0
         case _:
             kind, number = config_history.UNKNOWN, 0
-    return config_history.Answered(submission, kind, number, attempts)
+    return config_history.SubmissionResult(submission, kind, number, attempts)
--- a/tests/support/control_faults.py
+++ b/tests/support/control_faults.py
@@ -5,7 +5,7 @@
 
 import logbook
 
-from tests.support import control_world, history, schedule
+from tests.support import control_history, control_world, seeded_scheduler
 
 __all__ = ["Run", "run"]
 
@@ -31,15 +31,15 @@
 )
 # An instance can know that a server is leaving once it has had the platform for this
 # long in one go since the list showed it: its poll of the list is shorter.
-_CAN_KNOW_S = 2.0
-_LOOK = schedule.seconds(0.05)
+_VISIBLE_AFTER_S = 2.0
+_CHECK_INTERVAL = seeded_scheduler.seconds(0.05)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
     """One finished run; `settled` tells whether it came to rest by itself."""
 
-    events: tuple[history.Event, ...]
+    events: tuple[control_history.Event, ...]
     settled: bool
     end_s: float
 
@@ -54,100 +54,106 @@
 
 async def _run(faults: tuple[str, ...], world: control_world.World) -> Run:
     world.start()
-    plan = world.plan
-    plan.start(_shift_mix(world))
-    plan.start(_leave(world))
+    scheduler = world.scheduler
+    scheduler.start(_change_planned_roles(world))
+    scheduler.start(_withdraw_server(world))
     for fault in faults:
-        plan.start(_rounds(world, _FAULTS[fault]))
-    await plan.run_until(FAULTS_UNTIL_S)
+        scheduler.start(_repeat(world, _FAULTS[fault]))
+    await scheduler.run_until(FAULTS_UNTIL_S)
     world.faults.end()
     world.links.cut.clear()
-    await plan.run_until(FAULTS_UNTIL_S + SETTLED_WITHIN_S, world.settled)
-    settled, end = world.settled(), plan.now
+    await scheduler.run_until(FAULTS_UNTIL_S + SETTLED_WITHIN_S, world.settled)
+    settled, end = world.settled(), scheduler.now
     # Whatever is late still arrives.
-    await plan.run_until(end + 15)
+    await scheduler.run_until(end + 15)
     settled = settled and world.settled()
-    await plan.end()
-    return Run(tuple(world.recorder.events), settled, plan.now)
+    await scheduler.end()
+    return Run(tuple(world.recorder.events), settled, scheduler.now)
 
 
-async def _rounds(
-    world: control_world.World, strike: typing.Callable[[control_world.World], None]
+async def _repeat(
+    world: control_world.World, inject: typing.Callable[[control_world.World], None]
 ) -> None:
     for _ in range(_ROUNDS):
         await _wait(world, 0.5, FAULTS_UNTIL_S / _ROUNDS)
-        strike(world)
+        inject(world)
 
 
 async def _wait(world: control_world.World, low: float, high: float) -> None:
-    duration = world.plan.random.uniform(low, high)
-    await world.plan.time.sleep(schedule.seconds(duration))
+    duration = world.scheduler.random.uniform(low, high)
+    await world.scheduler.time.sleep(seeded_scheduler.seconds(duration))
 
 
-async def _shift_mix(world: control_world.World) -> None:
-    while world.plan.now < FAULTS_UNTIL_S - 5:
+async def _change_planned_roles(world: control_world.World) -> None:
+    while world.scheduler.now < FAULTS_UNTIL_S - 5:
         await _wait(world, 0.5, 6)
-        world.plan_roles()
-        if world.plan.random.random() < 0.3:
+        world.change_planned_role()
+        if world.scheduler.random.random() < 0.3:
             world.submit(new_versions=True)
 
 
-async def _leave(world: control_world.World) -> None:
+async def _withdraw_server(world: control_world.World) -> None:
     await _wait(world, 5, 25)
-    leaving = world.leaving_engine = world.plan.random.choice(control_world.ENGINES)
-    able_since: dict[str, float] = {}
+    leaving = world.leaving_engine = world.scheduler.random.choice(
+        control_world.ENGINES
+    )
+    connected_since: dict[str, float] = {}
     while True:
         for name, instance in world.instances.items():
             cut = world.faults.outage or name in world.faults.cut
-            held = world.plan.is_frozen(instance.incarnation)
+            held = world.scheduler.is_frozen(instance.incarnation)
             if cut or held or not instance.alive:
-                able_since.pop(instance.incarnation, None)
+                connected_since.pop(instance.incarnation, None)
                 continue
-            since = able_since.setdefault(instance.incarnation, world.plan.now)
-            if world.plan.now - since >= _CAN_KNOW_S:
-                able_since[instance.incarnation] = float("inf")
+            since = connected_since.setdefault(
+                instance.incarnation, world.scheduler.now
+            )
+            if world.scheduler.now - since >= _VISIBLE_AFTER_S:
+                connected_since[instance.incarnation] = float("inf")
                 world.recorder.add(
-                    history.LeavingShown(world.plan.now, leaving, instance.incarnation)
+                    control_history.LeavingShown(
+                        world.scheduler.now, leaving, instance.incarnation
+                    )
                 )
-        await world.plan.time.sleep(_LOOK)
+        await world.scheduler.time.sleep(_CHECK_INTERVAL)
 
 
 def _name_of(actor: str) -> str:
     return actor.split("/")[0]
 
 
-def _strike_at_point(
-    world: control_world.World, strike: typing.Callable[[str], None]
+def _inject_at_point(
+    world: control_world.World, inject: typing.Callable[[str], None]
 ) -> None:
     """Strike whoever next comes to one of the points where a fault matters."""
-    point = world.plan.random.choice(_POINTS)
-    world.plan.trap(point, world.plan.random.randint(1, 3), strike)
+    point = world.scheduler.random.choice(_POINTS)
+    world.scheduler.add_hook(point, world.scheduler.random.randint(1, 3), inject)
 
 
 def _kill(world: control_world.World) -> None:
-    away = schedule.seconds(world.plan.random.uniform(1, 5))
+    downtime = seeded_scheduler.seconds(world.scheduler.random.uniform(1, 5))
     # A task can't be ended from within itself; the schedule ends it a moment later.
-    _strike_at_point(
+    _inject_at_point(
         world,
-        lambda actor: world.plan.soon(
-            lambda: world.kill_instance(_name_of(actor), away)
+        lambda actor: world.scheduler.call_soon(
+            lambda: world.kill_instance(_name_of(actor), downtime)
         ),
     )
 
 
 def _freeze(world: control_world.World) -> None:
-    duration = schedule.seconds(world.plan.random.uniform(2, 20))
-    _strike_at_point(world, lambda actor: world.plan.freeze(actor, duration))
+    duration = seeded_scheduler.seconds(world.scheduler.random.uniform(2, 20))
+    _inject_at_point(world, lambda actor: world.scheduler.freeze(actor, duration))
 
 
 def _cut(world: control_world.World) -> None:
-    random = world.plan.random
+    random = world.scheduler.random
     instance = random.choice(control_world.INSTANCES)
     others = [name for name in control_world.INSTANCES if name != instance]
     kind = random.choice(("platform", "peers", "engine", "all but engines"))
-    duration = schedule.seconds(random.uniform(2, 12))
+    duration = seeded_scheduler.seconds(random.uniform(2, 12))
     if kind in ("platform", "all but engines"):
-        world.plan.start(_cut_platform(world, instance, duration))
+        world.scheduler.start(_cut_platform(world, instance, duration))
     pairs = {
         "platform": [],
         "peers": [(instance, other) for other in others],
@@ -158,14 +164,14 @@
     }[kind]
     if kind == "engine" and random.random() < 0.5:
         pairs = [(receiver, sender) for sender, receiver in pairs]
-    world.plan.start(_cut_links(world, pairs, duration))
+    world.scheduler.start(_cut_links(world, pairs, duration))
 
 
 async def _cut_platform(
     world: control_world.World, instance: str, duration: typing.Any
 ) -> None:
     world.faults.cut.add(instance)
-    await world.plan.time.sleep(duration)
+    await world.scheduler.time.sleep(duration)
     world.faults.cut.discard(instance)
 
 
@@ -173,7 +179,7 @@
     world: control_world.World, pairs: list[tuple[str, str]], duration: typing.Any
 ) -> None:
     world.links.cut.update(pairs)
-    await world.plan.time.sleep(duration)
+    await world.scheduler.time.sleep(duration)
     world.links.cut.difference_update(pairs)
 
 
@@ -183,35 +189,37 @@
         await _wait(world, 1, 10)
         world.faults.outage = False
 
-    world.plan.start(out())
+    world.scheduler.start(out())
 
 
 def _platform_slow(world: control_world.World) -> None:
     async def slow() -> None:
-        world.faults.delay = schedule.seconds(world.plan.random.uniform(0.2, 2))
+        world.faults.delay = seeded_scheduler.seconds(
+            world.scheduler.random.uniform(0.2, 2)
+        )
         await _wait(world, 2, 10)
-        world.faults.delay = schedule.seconds(0)
+        world.faults.delay = seeded_scheduler.seconds(0)
 
-    world.plan.start(slow())
+    world.scheduler.start(slow())
 
 
 def _reply_lost(world: control_world.World) -> None:
-    world.faults.lost_replies += world.plan.random.randint(1, 4)
-    world.faults.late_writes += world.plan.random.randint(0, 2)
+    world.faults.lost_replies += world.scheduler.random.randint(1, 4)
+    world.faults.late_writes += world.scheduler.random.randint(0, 2)
 
 
 def _engine_crash(world: control_world.World) -> None:
-    engine = world.engines[world.plan.random.choice(control_world.ENGINES)]
-    if world.plan.random.random() < 0.7:
+    engine = world.engines[world.scheduler.random.choice(control_world.ENGINES)]
+    if world.scheduler.random.random() < 0.7:
         engine.crash_in_change += 1
     else:
-        down = schedule.seconds(world.plan.random.uniform(0.5, 5))
-        world.plan.start(engine.crash(down))
+        down = seeded_scheduler.seconds(world.scheduler.random.uniform(0.5, 5))
+        world.scheduler.start(engine.crash(down))
 
 
 def _operator_race(world: control_world.World) -> None:
-    for _ in range(world.plan.random.randint(2, 3)):
-        world.submit(new_versions=world.plan.random.random() < 0.7)
+    for _ in range(world.scheduler.random.randint(2, 3)):
+        world.submit(new_versions=world.scheduler.random.random() < 0.7)
 
 
 _FAULTS: dict[str, typing.Callable[[control_world.World], None]] = {
--- a/tests/support/history.py
+++ b/tests/support/control_history.py
@@ -7,21 +7,21 @@
 import dataclasses
 
 __all__ = [
-    "EngineEnded",
+    "EngineCrashed",
     "Event",
     "LeavingShown",
-    "OrderDone",
-    "OrderTaken",
+    "OrderAccepted",
+    "OrderCompleted",
     "Recorder",
     "SlotWritten",
-    "StreamBegan",
-    "StreamCut",
+    "StreamAborted",
     "StreamEnded",
+    "StreamStarted",
 ]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OrderTaken:
+class OrderAccepted:
     """An engine began to carry an order out.
 
     Attributes:
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OrderDone:
+class OrderCompleted:
     """An engine finished a change."""
 
     at: float
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EngineEnded:
+class EngineCrashed:
     """An engine crashed; a new incarnation of it knows nothing."""
 
     at: float
@@ -68,7 +68,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StreamBegan:
+class StreamStarted:
     """A request reached an engine that took it."""
 
     at: float
@@ -87,7 +87,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StreamCut:
+class StreamAborted:
     """An engine broke a request off; `cause` is `order` or `crash`."""
 
     at: float
@@ -110,13 +110,13 @@
 
 
 Event = (
-    OrderTaken
-    | OrderDone
-    | EngineEnded
+    OrderAccepted
+    | OrderCompleted
+    | EngineCrashed
     | SlotWritten
-    | StreamBegan
+    | StreamStarted
     | StreamEnded
-    | StreamCut
+    | StreamAborted
     | LeavingShown
 )
 
--- a/tests/support/control_proof.py
+++ b/tests/support/control_proof.py
@@ -3,48 +3,54 @@
 import asyncio
 import typing
 
-from tests.support import control_faults, control_world, history, matrix, order_checkers
+from tests.support import (
+    control_faults,
+    control_history,
+    control_world,
+    fault_matrix,
+    order_checkers,
+)
 
 __all__ = ["ControlProof", "unsettled_orders"]
 
 Checker = typing.Callable[[control_faults.Run], tuple[str, ...]]
-_SEEDS_APART = 1_000_000
+_SEED_STRIDE = 1_000_000
 
 
 class ControlProof:
     """See `matrix.Proof`.
 
     Args:
-        without: The safeguards left when the promise's own are switched off.
+        weakened: The safeguards left when the promise's own are switched off.
         checker: Returns what is wrong with a run.
         counts: Whether an operation is an order or a request.
     """
 
-    faults: tuple[str, ...] = matrix.FAULTS
+    faults: tuple[str, ...] = fault_matrix.FAULTS
 
     def __init__(
         self,
         promise: int,
         checker: Checker,
-        without: control_world.Safeguards,
+        weakened: control_world.Safeguards,
         *,
         counts: typing.Literal["orders", "requests"],
     ) -> None:
         self.promise = promise
         self._checker = checker
-        self._without = without
+        self._weakened = weakened
         self._counts = counts
 
     def run(
         self, faults: tuple[str, ...], seed: int, *, safeguards: bool = True
-    ) -> matrix.ProofRun:
+    ) -> fault_matrix.ProofRun:
         """See `matrix.Proof.run`."""
-        chosen = control_world.Safeguards() if safeguards else self._without
+        chosen = control_world.Safeguards() if safeguards else self._weakened
         # Each promise is proved on histories of its own.
-        own_seed = seed + _SEEDS_APART * self.promise
+        own_seed = seed + _SEED_STRIDE * self.promise
         done = asyncio.run(control_faults.run(faults, own_seed, chosen))
         orders = self._counts == "orders"
-        return matrix.ProofRun(
+        return fault_matrix.ProofRun(
             self.promise,
             faults,
             seed,
@@ -62,20 +68,22 @@
 def _count(done: control_faults.Run, orders: bool) -> int:
     if orders:
         return len(_orders(done.events, "pending"))
-    return sum(isinstance(event, history.StreamBegan) for event in done.events)
+    return sum(
+        isinstance(event, control_history.StreamStarted) for event in done.events
+    )
 
 
-def unsettled_orders(events: typing.Iterable[history.Event]) -> set[str]:
+def unsettled_orders(events: typing.Iterable[control_history.Event]) -> set[str]:
     """Return the orders whose outcome was superseded instead of settled."""
     listed = tuple(events)
     return _orders(listed, "pending") - _orders(listed, "settled")
 
 
-def _orders(events: typing.Iterable[history.Event], state: str) -> set[str]:
+def _orders(events: typing.Iterable[control_history.Event], state: str) -> set[str]:
     return {
         event.order
         for event in events
-        if isinstance(event, history.SlotWritten)
+        if isinstance(event, control_history.SlotWritten)
         and event.state == state
         and event.order is not None
     }
--- a/tests/support/control_world.py
+++ b/tests/support/control_world.py
@@ -18,14 +18,14 @@
 from pimentolatch.document import schema
 from pimentolatch.membership import views
 from standins import memory_engine, memory_store, objects
-from tests.support import history, schedule
+from tests.support import control_history, seeded_scheduler
 
 __all__ = ["DOMAIN", "Instance", "Safeguards", "World"]
 
 DOMAIN = "north"
 INSTANCES = ("entry-1", "entry-2", "entry-3")
 ENGINES = ("engine-1", "engine-2", "engine-3")
-LIST_LAG = schedule.seconds(2)
+LIST_LAG = seeded_scheduler.seconds(2)
 _READ_TIMEOUT_S = 2.0
 _FIRST_PORT = 1001
 
@@ -36,27 +36,30 @@
 
     Attributes:
         conditional_updates: The store compares versions.
-        late_orders_closed: Engines refuse or close what a late sender writes.
+        late_orders_rejected: Engines refuse or close what a late sender writes.
         acknowledgements: An order waits for acknowledgements and senders' counts.
         engine_counts: An order waits for the engine's own count.
-        leaving: Instances look at the platform's list.
+        instance_list: Instances look at the platform's list.
     """
 
     conditional_updates: bool = True
-    late_orders_closed: bool = True
+    late_orders_rejected: bool = True
     acknowledgements: bool = True
     engine_counts: bool = True
-    leaving: bool = True
+    instance_list: bool = True
 
 
 class _Table(objects.ObjectTable):
     """The object table, recording what happens to slots."""
 
     def __init__(
-        self, plan: schedule.Schedule, recorder: history.Recorder, conditional: bool
+        self,
+        scheduler: seeded_scheduler.Scheduler,
+        recorder: control_history.Recorder,
+        conditional: bool,
     ) -> None:
         super().__init__()
-        self._plan = plan
+        self._scheduler = scheduler
         self._recorder = recorder
         self._conditional = conditional
 
@@ -71,37 +74,37 @@
             slot = slots.Slot.from_json(name.split(".", 1)[1], written.version, value)
             order = None if slot.order is None else slot.order.order_id
             self._recorder.add(
-                history.SlotWritten(
-                    self._plan.now, slot.engine, slot.state, order, slot.sequence
+                control_history.SlotWritten(
+                    self._scheduler.now, slot.engine, slot.state, order, slot.sequence
                 )
             )
         return written
 
 
-class _CrowdedStore(memory_store.MemoryStore):
+class _LeasePerInstanceStore(memory_store.MemoryStore):
     """Gives each instance a duty lease of its own, so that all believe they hold it.
 
     Safety must not rest on the lease, so half of the runs go without it.
     """
 
-    def __init__(self, *arguments: typing.Any, **named: typing.Any) -> None:
-        super().__init__(*arguments, **named)
-        self._suffix = named["link"]
+    def __init__(self, *args: typing.Any, **kwargs: typing.Any) -> None:
+        super().__init__(*args, **kwargs)
+        self._suffix = kwargs["link"]
 
     async def get(
         self, kind: str, name: str
     ) -> store.Found | store.Absent | store.Unavailable:
         """See `store.Store.get`."""
-        return await super().get(kind, self._own(kind, name))
+        return await super().get(kind, self._object_name(kind, name))
 
     async def put(
         self, kind: str, name: str, value: store.Json, *, if_version: int
     ) -> store.Written | store.Conflict | store.Unavailable:
         """See `store.Store.put`."""
-        own = self._own(kind, name)
-        return await super().put(kind, own, value, if_version=if_version)
+        object_name = self._object_name(kind, name)
+        return await super().put(kind, object_name, value, if_version=if_version)
 
-    def _own(self, kind: str, name: str) -> str:
+    def _object_name(self, kind: str, name: str) -> str:
         return f"{name}.{self._suffix}" if kind == leader_lease.LEASE_KIND else name
 
 
@@ -113,7 +116,7 @@
     counts: dict[str, int]
 
 
-class _Board:
+class _PeerState:
     """What one instance knows of the others; stands for the membership package."""
 
     def __init__(self, world: "World", owner: "Instance") -> None:
@@ -159,7 +162,7 @@
         """See `role_planning.RolePlanner.plan`."""
         return tuple(
             roles.RoleChange(engine, role, "the mix has shifted")
-            for engine, role in sorted(self._world.wanted.items())
+            for engine, role in sorted(self._world.planned_roles.items())
         )
 
 
@@ -172,13 +175,17 @@
         self.alive = True
         self.fleet = fleet.Fleet()
         self.leaving: frozenset[str] | None = None
-        self.board = _Board(world, self)
+        self.peer_state = _PeerState(world, self)
         self.view: views.DomainView | None = None
         self._world = world
-        self._plan = world.plan
-        self._clock = schedule.ActorClock(world.plan, incarnation)
+        self._scheduler = world.scheduler
+        self._clock = seeded_scheduler.ActorClock(world.scheduler, incarnation)
         self._counts: collections.Counter[str] = collections.Counter()
-        store_type = _CrowdedStore if world.crowded else memory_store.MemoryStore
+        store_type = (
+            _LeasePerInstanceStore
+            if world.lease_per_instance
+            else memory_store.MemoryStore
+        )
         self.store = store_type(
             world.table,
             time=self._clock,
@@ -187,27 +194,27 @@
             instances=world.instance_list,
             pause=self._pause,
         )
-        self.holder = domain_controller.DomainController(
+        self.controller = domain_controller.DomainController(
             self.store,
             self.fleet,
             self._clock,
             failure_domain=DOMAIN,
             incarnation=incarnation,
-            acknowledgements=self.board,
-            senders=self.board,
+            acknowledgements=self.peer_state,
+            senders=self.peer_state,
             engines=memory_engine.MemoryOrderClient(
-                incarnation, world.plan, world.engines_by_port, world.links
+                incarnation, world.scheduler, world.engines_by_port, world.links
             ),
             leaving=lambda: self.leaving,
             planner=_Planner(world),
-            random_source=random.Random(world.plan.random.random()),
+            random_source=random.Random(world.scheduler.random.random()),
             settings=domain_controller.ControllerSettings(
-                load_interval=schedule.seconds(1)
+                load_interval=seeded_scheduler.seconds(1)
             ),
         )
         self._tasks = [
-            world.plan.start(self.holder.run()),
-            world.plan.start(self._serve()),
+            world.scheduler.start(self.controller.run()),
+            world.scheduler.start(self._run()),
         ]
 
     def adopt(self, view: views.DomainView) -> None:
@@ -222,23 +229,23 @@
             task.cancel()
 
     async def _pause(self, point: str) -> None:
-        await self._plan.point(self.incarnation, point)
+        await self._scheduler.point(self.incarnation, point)
 
-    async def _serve(self) -> None:
+    async def _run(self) -> None:
         # An instance that read the view before the platform listed it could miss a
         # later one without being counted as missing.
         while self.incarnation not in self._world.listed:
-            await self._clock.sleep(schedule.seconds(0.1))
+            await self._clock.sleep(seeded_scheduler.seconds(0.1))
         while self.view is None:
             await self._poll()
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._keep_polling())
-            group.create_task(self._keep_reporting())
-            group.create_task(self._keep_routing(group))
+            group.create_task(self._poll_loop())
+            group.create_task(self._report_loop())
+            group.create_task(self._routing_loop(group))
 
-    async def _keep_polling(self) -> None:
+    async def _poll_loop(self) -> None:
         while True:
-            await self._clock.sleep(schedule.seconds(1.5))
+            await self._clock.sleep(seeded_scheduler.seconds(1.5))
             await self._poll()
 
     async def _poll(self) -> None:
@@ -246,43 +253,45 @@
         if isinstance(view, views.DomainView):
             self.adopt(view)
         else:
-            await self._clock.sleep(schedule.seconds(0.5))
+            await self._clock.sleep(seeded_scheduler.seconds(0.5))
         listed = await self.store.instances()
         if not isinstance(listed, store.Unavailable):
             self.leaving = drain.leaving_servers(listed, DOMAIN)
 
-    async def _keep_reporting(self) -> None:
+    async def _report_loop(self) -> None:
         while True:
             report = _Report(self.view.number if self.view else 0, dict(self._counts))
-            self.board.reports[self.incarnation] = report
+            self.peer_state.reports[self.incarnation] = report
             for peer in self._world.peers_of(self):
                 self._world.deliver(
                     self,
                     peer,
-                    lambda p=peer, r=report: p.board.reports.__setitem__(
+                    lambda p=peer, r=report: p.peer_state.reports.__setitem__(
                         self.incarnation, r
                     ),
                 )
-            await self._clock.sleep(schedule.seconds(0.3))
+            await self._clock.sleep(seeded_scheduler.seconds(0.3))
 
-    async def _keep_routing(self, group: asyncio.TaskGroup) -> None:
+    async def _routing_loop(self, group: asyncio.TaskGroup) -> None:
         while True:
-            pause = self._plan.random.uniform(0.05, 0.4)
-            await self._clock.sleep(schedule.seconds(pause))
+            pause = self._scheduler.random.uniform(0.05, 0.4)
+            await self._clock.sleep(seeded_scheduler.seconds(pause))
             withdrawn = self.view.withdrawn if self.view else frozenset()
-            able = [e for e in ENGINES if e not in withdrawn | (self.leaving or set())]
-            if able:
+            candidates = [
+                e for e in ENGINES if e not in withdrawn | (self.leaving or set())
+            ]
+            if candidates:
                 # Counted in the same step as chosen, or a request could be on its
                 # way in no one's count.
-                engine = self._plan.random.choice(able)
+                engine = self._scheduler.random.choice(candidates)
                 self._counts[engine] += 1
                 group.create_task(self._request(engine))
 
     async def _request(self, engine: str) -> None:
-        await self._plan.point(self.incarnation, "dispatch")
-        on_the_way = self._world.plan.start(self._world.request(self, engine))
-        await asyncio.shield(on_the_way)
-        await self._plan.point(self.incarnation, "answered")
+        await self._scheduler.point(self.incarnation, "dispatch")
+        in_transit = self._world.scheduler.start(self._world.request(self, engine))
+        await asyncio.shield(in_transit)
+        await self._scheduler.point(self.incarnation, "answered")
         self._counts[engine] -= 1
 
 
@@ -291,25 +300,27 @@
 
     def __init__(self, seed: int, safeguards: Safeguards | None = None) -> None:
         self.safeguards = Safeguards() if safeguards is None else safeguards
-        self.plan = schedule.Schedule(seed)
-        self.recorder = history.Recorder()
+        self.scheduler = seeded_scheduler.Scheduler(seed)
+        self.recorder = control_history.Recorder()
         self.faults = memory_store.StoreFaults()
         self.links = memory_engine.Links()
         self.table = _Table(
-            self.plan, self.recorder, self.safeguards.conditional_updates
+            self.scheduler, self.recorder, self.safeguards.conditional_updates
         )
         # The lease rests on conditional updates too, so it falls with them.
-        crowded = self.plan.random.random() < 0.5
-        self.crowded = crowded or not self.safeguards.conditional_updates
+        without_shared_lease = self.scheduler.random.random() < 0.5
+        self.lease_per_instance = (
+            without_shared_lease or not self.safeguards.conditional_updates
+        )
         self.listed: list[str] = []
         self.leaving_engine: str | None = None
-        self.wanted: dict[str, schema.Role] = {}
-        self._versions = 1
-        self._documents = 0
+        self.planned_roles: dict[str, schema.Role] = {}
+        self._model_version = 1
+        self._document_number = 0
         self._incarnations = 0
         self._requests = 0
-        self._fenced = {name: self.plan.random.random() < 0.5 for name in ENGINES}
-        self.engines = {name: self._engine(name) for name in ENGINES}
+        self._fenced = {name: self.scheduler.random.random() < 0.5 for name in ENGINES}
+        self.engines = {name: self._create_engine(name) for name in ENGINES}
         self.engines_by_port = {
             _FIRST_PORT + number: engine
             for number, engine in enumerate(self.engines.values())
@@ -331,24 +342,26 @@
         started.fleet.adopt(self.configuration)
         return started
 
-    def kill_instance(self, name: str, away: datetime.timedelta) -> None:
+    def kill_instance(self, name: str, downtime: datetime.timedelta) -> None:
         """Kill an instance and start it again after a while."""
         instance = self.instances[name]
         if instance.alive:
             instance.kill()
-            self.plan.start(self._replace(instance, away))
+            self.scheduler.start(self._restart(instance, downtime))
 
     def submit(self, *, new_versions: bool) -> None:
         """Put a new document in force, at each instance at a moment of its own."""
-        self._versions += new_versions
+        self._model_version += new_versions
         self.configuration = self._next_configuration()
         for instance in self.instances.values():
-            self.plan.start(self._hand_over(instance, self.configuration))
+            self.scheduler.start(self._deliver_document(instance, self.configuration))
 
-    def plan_roles(self) -> None:
+    def change_planned_role(self) -> None:
         """Change the planner's mind about one engine."""
-        engine = self.plan.random.choice(ENGINES)
-        self.wanted[engine] = self.plan.random.choice(("prefill", "decode", "mixed"))
+        engine = self.scheduler.random.choice(ENGINES)
+        self.planned_roles[engine] = self.scheduler.random.choice(
+            ("prefill", "decode", "mixed")
+        )
 
     def settled(self) -> bool:
         """Tell whether every engine is where the document and the planner want it."""
@@ -360,7 +373,7 @@
 
     def instance_list(self) -> tuple[store.Instance, ...]:
         """Return the platform's list; engines matter to it only while leaving."""
-        if self.leaving_engine is None or not self.safeguards.leaving:
+        if self.leaving_engine is None or not self.safeguards.instance_list:
             return ()
         return (
             store.Instance(
@@ -376,26 +389,26 @@
         self, sender: Instance, receiver: Instance, effect: typing.Callable[[], None]
     ) -> None:
         """Carry a message between instances, late or not at all."""
-        self.plan.start(self._deliver(sender, receiver, effect))
+        self.scheduler.start(self._deliver(sender, receiver, effect))
 
     async def request(self, sender: Instance, engine: str) -> None:
         """Carry one request to an engine and run it there."""
         self._requests += 1
         name = f"request-{self._requests}"
-        delay = self.plan.random.choice((0.001, 0.005, 0.3))
-        await self.plan.time.sleep(schedule.seconds(delay))
+        delay = self.scheduler.random.choice((0.001, 0.005, 0.3))
+        await self.scheduler.time.sleep(seeded_scheduler.seconds(delay))
         if not self.links.carries(sender.name, engine):
             return
         cut = self.engines[engine].begin_stream(name, sender.incarnation)
         if cut is None:
             return
-        running = self.plan.random.uniform(0.05, 3.0)
-        await self.plan.time.sleep(schedule.seconds(running))
+        running = self.scheduler.random.uniform(0.05, 3.0)
+        await self.scheduler.time.sleep(seeded_scheduler.seconds(running))
         self.engines[engine].end_stream(name)
 
-    def _engine(self, name: str) -> memory_engine.MemoryEngine:
+    def _create_engine(self, name: str) -> memory_engine.MemoryEngine:
         fenced = self._fenced[name]
-        closed = self.safeguards.late_orders_closed
+        closed = self.safeguards.late_orders_rejected
         kind = memory_engine.EngineKind(
             checks_fencing=fenced and closed,
             # Fencing alone must do for an engine that checks it.
@@ -404,15 +417,15 @@
             read_timeout_s=_READ_TIMEOUT_S,
         )
         return memory_engine.MemoryEngine(
-            name, kind, self.plan, self.recorder, (("model", "1"),)
+            name, kind, self.scheduler, self.recorder, (("model", "1"),)
         )
 
     def _next_configuration(self) -> fleet.Configuration:
-        self._documents += 1
+        self._document_number += 1
         document = schema.FleetDocument(
             fleet="test",
             failure_domains=(schema.FailureDomain(name=DOMAIN, region="region"),),
-            models=(schema.Model(name="model", version=str(self._versions)),),
+            models=(schema.Model(name="model", version=str(self._model_version)),),
             backend_servers=tuple(
                 schema.Engine(
                     name=name,
@@ -426,20 +439,22 @@
             ),
             roles=schema.RolePolicy(concurrent_changes=2, least_serving_share=0.3),
         )
-        return fleet.Configuration(self._documents, str(self._documents), document)
+        return fleet.Configuration(
+            self._document_number, str(self._document_number), document
+        )
 
-    async def _hand_over(
+    async def _deliver_document(
         self, instance: Instance, configuration: fleet.Configuration
     ) -> None:
-        delay = self.plan.random.uniform(0.01, 3)
-        await self.plan.time.sleep(schedule.seconds(delay))
-        await self.plan.point(instance.incarnation, "document")
+        delay = self.scheduler.random.uniform(0.01, 3)
+        await self.scheduler.time.sleep(seeded_scheduler.seconds(delay))
+        await self.scheduler.point(instance.incarnation, "document")
         instance.fleet.adopt(configuration)
 
-    async def _replace(self, old: Instance, away: datetime.timedelta) -> None:
-        await self.plan.time.sleep(away)
+    async def _restart(self, old: Instance, downtime: datetime.timedelta) -> None:
+        await self.scheduler.time.sleep(downtime)
         started = self.start_instance(old.name)
-        await self.plan.time.sleep(LIST_LAG)
+        await self.scheduler.time.sleep(LIST_LAG)
         self.listed.remove(old.incarnation)
         if started.alive:
             self.listed.append(started.incarnation)
@@ -447,10 +462,10 @@
     async def _deliver(
         self, sender: Instance, receiver: Instance, effect: typing.Callable[[], None]
     ) -> None:
-        delay = self.plan.random.choice((0.001, 0.01, 0.3))
-        await self.plan.time.sleep(schedule.seconds(delay))
+        delay = self.scheduler.random.choice((0.001, 0.01, 0.3))
+        await self.scheduler.time.sleep(seeded_scheduler.seconds(delay))
         if self.links.carries(sender.name, receiver.name) and receiver.alive:
-            await self.plan.point(receiver.incarnation, "receive")
+            await self.scheduler.point(receiver.incarnation, "receive")
             effect()
 
     def _engine_settled(self, engine: schema.Engine) -> bool:
@@ -462,6 +477,6 @@
             else slots.Slot.from_json(engine.name, row.version, row.value)
         )
         target = targets.target_of(self.configuration.document, engine, slot)
-        wanted = self.wanted.get(engine.name, target.role)
-        at_rest = slot.state is slots.SlotState.SERVING
-        return at_rest and wanted == target.role and targets.is_met(state, target)
+        planned = self.planned_roles.get(engine.name, target.role)
+        serving = slot.state is slots.SlotState.SERVING
+        return serving and planned == target.role and targets.is_met(state, target)
--- a/tests/support/matrix.py
+++ b/tests/support/fault_matrix.py
@@ -3,7 +3,7 @@
 import dataclasses
 import typing
 
-__all__ = ["FAULTS", "ProofRun", "Proof"]
+__all__ = ["FAULTS", "Proof", "ProofRun"]
 
 FAULTS = (
     "kill",
--- a/tests/support/stopping.py
+++ b/tests/support/graceful_stop.py
@@ -10,7 +10,7 @@
 
 from standins import callers, deployments
 
-__all__ = ["Exchange", "Seen", "run"]
+__all__ = ["Exchange", "StopResult", "run"]
 
 LAYOUT = deployments.Layout("stopping", ("north", "south"), 2, 2, 1)
 TOKENS = 60
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Exchange:
-    """One request over a kept connection.
+    """One request finished a kept connection.
 
     Attributes:
         outcome: `whole`, `refused` with "not run", or what was seen of a cut.
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
+class StopResult:
     """What a run showed; `exit_code` is that of the stopped instance."""
 
     exchanges: tuple[Exchange, ...]
@@ -63,32 +63,32 @@
         deployment: deployments.Deployment,
         kind: str,
         stopped: threading.Event,
-        over: threading.Event,
+        finished: threading.Event,
     ) -> None:
         super().__init__()
         self.exchanges: list[Exchange] = []
         self._deployment = deployment
         self._kind = kind
         self._stopped = stopped
-        self._over = over
+        self._finished = finished
 
     def run(self) -> None:
-        """Send requests until the run is over."""
+        """Send requests until the run is finished."""
         entry, number = "entry-1", 0
-        connection = self._connected(entry)
-        while not self._over.is_set():
+        connection = self._connect(entry)
+        while not self._finished.is_set():
             number += 1
             exchange = self._exchange(connection, entry, f"{self.name} {number}")
             if exchange is None or exchange.closing or exchange.outcome != "whole":
                 # The balancer leads the next connection to the other instance.
                 connection.close()
                 entry = "entry-2"
-                connection = self._connected(entry)
+                connection = self._connect(entry)
             if exchange is not None:
                 self.exchanges.append(exchange)
         connection.close()
 
-    def _connected(self, entry: str) -> http.client.HTTPConnection:
+    def _connect(self, entry: str) -> http.client.HTTPConnection:
         host = self._deployment.hosts[entry]
         return http.client.HTTPConnection(host, deployments.CALLERS_PORT, _TIMEOUT_S)
 
@@ -117,18 +117,18 @@
             raw = response.read().decode()
         except (OSError, http.client.HTTPException) as error:
             outcome, closing = repr(error), True
-            return self._seen(entry, outcome, closing, after_stop)
+            return self._record(entry, outcome, closing, after_stop)
         closing = response.getheader("connection") == "close"
-        outcome = self._judged(response.status, raw, text)
-        return self._seen(entry, outcome, closing, after_stop)
+        outcome = self._judge(response.status, raw, text)
+        return self._record(entry, outcome, closing, after_stop)
 
-    def _seen(
+    def _record(
         self, entry: str, outcome: str, closing: bool, after_stop: bool
     ) -> Exchange:
         now = time.monotonic()
         return Exchange(self._kind, entry, outcome, closing, after_stop, now)
 
-    def _judged(self, status: int, raw: str, text: str) -> str:
+    def _judge(self, status: int, raw: str, text: str) -> str:
         if status != 200:
             refused = json.loads(raw)["error"]["execution"] == "not run"
             return "refused" if refused else raw
@@ -138,9 +138,9 @@
             found = _text(json.loads(raw)) == callers.expected_text(text, TOKENS)
         else:
             *events, done, _ = raw.split("\n\n")
-            pieces = (_text(json.loads(e.removeprefix("data: "))) for e in events)
+            deltas = (_text(json.loads(e.removeprefix("data: "))) for e in events)
             found = done == "data: [DONE]"
-            found = found and "".join(pieces) == callers.expected_text(text, TOKENS)
+            found = found and "".join(deltas) == callers.expected_text(text, TOKENS)
         return "whole" if found else f"cut: {raw[-200:]}"
 
 
@@ -149,24 +149,26 @@
 
 
 def run(
-    disturb: typing.Callable[[deployments.Deployment], None], *, graceful: bool = True
-) -> Seen:
-    """Stop `entry-1` under requests; `disturb` brings about a fault just before."""
+    inject_faults: typing.Callable[[deployments.Deployment], None],
+    *,
+    graceful: bool = True,
+) -> StopResult:
+    """Stop `entry-1` under requests; `inject_faults` runs just before."""
     deployment = deployments.Deployment(
         LAYOUT, engine_settings={"token_s": 0.005, "streams": 64}
     )
     try:
         deployment.submit("entry-2", deployment.document())
-        stopped, over = threading.Event(), threading.Event()
+        stopped, finished = threading.Event(), threading.Event()
         threads = [
-            _Caller(deployment, kind, stopped, over)
+            _Caller(deployment, kind, stopped, finished)
             for kind in _KINDS
             for _ in range(_CALLERS)
         ]
         for thread in threads:
             thread.start()
         time.sleep(_BEFORE_STOP_S)
-        disturb(deployment)
+        inject_faults(deployment)
         stopped.set()
         process = deployment.processes["entry-1"]
         if graceful:
@@ -175,9 +177,9 @@
             process.kill()
             exit_code = process.popen.returncode
         time.sleep(_AFTER_STOP_S)
-        over.set()
+        finished.set()
         for thread in threads:
             thread.join()
-        return Seen(tuple(e for t in threads for e in t.exchanges), exit_code)
+        return StopResult(tuple(e for t in threads for e in t.exchanges), exit_code)
     finally:
         deployment.stop()
--- a/tests/support/order_checkers.py
+++ b/tests/support/order_checkers.py
@@ -3,17 +3,17 @@
 import collections
 from collections import abc
 
-from tests.support import history
+from tests.support import control_history
 
 __all__ = [
+    "aborted_requests",
     "conflicting_orders",
-    "cut_requests",
     "late_work",
     "longest_gap",
-    "orders_without_authority",
+    "stale_orders",
 ]
 
-Events = abc.Sequence[history.Event]
+Events = abc.Sequence[control_history.Event]
 
 
 def conflicting_orders(events: Events) -> tuple[str, ...]:
@@ -23,12 +23,14 @@
     is taken while the engine still carries out another.
     """
     found: list[str] = []
-    by_fence: dict[tuple[str, int], history.OrderTaken] = {}
+    by_fence: dict[tuple[str, int], control_history.OrderAccepted] = {}
     running: dict[str, str] = {}
     for event in events:
-        if isinstance(event, history.OrderDone | history.EngineEnded):
+        if isinstance(
+            event, control_history.OrderCompleted | control_history.EngineCrashed
+        ):
             running.pop(event.engine, None)
-        if not isinstance(event, history.OrderTaken):
+        if not isinstance(event, control_history.OrderAccepted):
             continue
         other = by_fence.setdefault((event.engine, event.fence), event)
         if (other.order, other.target) != (event.order, event.target):
@@ -39,7 +41,7 @@
     return tuple(found)
 
 
-def orders_without_authority(events: Events) -> tuple[str, ...]:
+def stale_orders(events: Events) -> tuple[str, ...]:
     """Check that no order takes effect once its sender has lost the engine.
 
     At an engine that checks fencing a sender loses it when the engine takes a newer
@@ -50,11 +52,11 @@
     newest_in_slot: collections.Counter[str] = collections.Counter()
     pending: set[str] = set()
     for event in events:
-        if isinstance(event, history.SlotWritten):
+        if isinstance(event, control_history.SlotWritten):
             newest_in_slot[event.engine] = event.sequence
             if event.state == "pending" and event.order is not None:
                 pending.add(event.order)
-        if not isinstance(event, history.OrderTaken):
+        if not isinstance(event, control_history.OrderAccepted):
             continue
         if event.order not in pending:
             found.append(f"{event.engine}: {event} was never pending in its slot")
@@ -65,12 +67,12 @@
     return tuple(found)
 
 
-def cut_requests(events: Events) -> tuple[str, ...]:
+def aborted_requests(events: Events) -> tuple[str, ...]:
     """Check that no request is broken off by an order."""
     return tuple(
         f"{event.engine}: {event.request} was cut at {event.at}"
         for event in events
-        if isinstance(event, history.StreamCut) and event.cause == "order"
+        if isinstance(event, control_history.StreamAborted) and event.cause == "order"
     )
 
 
@@ -79,9 +81,9 @@
     known: dict[tuple[str, str], float] = {}
     found: list[str] = []
     for event in events:
-        if isinstance(event, history.LeavingShown):
+        if isinstance(event, control_history.LeavingShown):
             known[event.server, event.sender] = event.at
-        if not isinstance(event, history.StreamBegan):
+        if not isinstance(event, control_history.StreamStarted):
             continue
         since = known.get((event.engine, event.sender))
         if since is not None and event.at > since + allowed_s:
@@ -91,7 +93,9 @@
 
 def longest_gap(events: Events, end: float) -> float:
     """Return the longest time in which no request began at any engine."""
-    times = [event.at for event in events if isinstance(event, history.StreamBegan)]
+    times = [
+        event.at for event in events if isinstance(event, control_history.StreamStarted)
+    ]
     if not times:
         return end
     points = [0.0, *times, end]
--- a/tests/support/order_driver.py
+++ b/tests/support/order_driver.py
@@ -75,38 +75,38 @@
 
 
 class _Driver:
-    def __init__(self, chosen: dict[str, typing.Any]) -> None:
-        self._sender = f"{chosen['instance']}/{identity.new_id()}"
-        self._once = bool(chosen["freeze_at"])
-        self._engine = schema.Engine(**chosen["engine"])
-        self._target = slots.Target(chosen["role"], _MODELS)
-        platform = settings.PlatformSettings(address=chosen["address"])
+    def __init__(self, config: dict[str, typing.Any]) -> None:
+        self._sender = f"{config['instance']}/{identity.new_id()}"
+        self._once = bool(config["freeze_at"])
+        self._engine = schema.Engine(**config["engine"])
+        self._target = slots.Target(config["role"], _MODELS)
+        platform = settings.PlatformSettings(address=config["address"])
         self._clock = clock.SystemClock()
         limit = datetime.timedelta(seconds=platform.call_timeout_s)
         self._store = objects.ObjectStore(platform.address, limit, self._clock)
-        self._slots = slots.SlotObjects(self._store, chosen["failure_domain"])
-        inner = order_client.HttpOrderClient(chosen["instance"])
-        self._client = _FreezingClient(inner, chosen["freeze_at"])
-        self._giver = orders.OrderSender(self._slots, self._client, self._sender)
+        self._slots = slots.SlotObjects(self._store, config["failure_domain"])
+        inner = order_client.HttpOrderClient(config["instance"])
+        self._client = _FreezingClient(inner, config["freeze_at"])
+        self._order_sender = orders.OrderSender(self._slots, self._client, self._sender)
 
     async def run(self) -> str:
         """Return the last outcome."""
-        seen_version, seen_at = -1, self._clock.monotonic()
+        last_version, last_change = -1, self._clock.monotonic()
         while True:
             slot = await self._slots.read(self._engine.name)
             if isinstance(slot, slots.Slot):
-                if slot.version != seen_version:
-                    seen_version, seen_at = slot.version, self._clock.monotonic()
-                seen = self._clock.monotonic() - seen_at
+                if slot.version != last_version:
+                    last_version, last_change = slot.version, self._clock.monotonic()
+                pending_age = self._clock.monotonic() - last_change
                 state = await self._client.state(self._engine.address)
-                outcome = await self._step(slot, state, seen)
+                outcome = await self._step(slot, state, pending_age)
                 if outcome is not None:
                     self._store.close()
                     return outcome
             await asyncio.sleep(_PAUSE_S)
 
     async def _step(
-        self, slot: slots.Slot, state: typing.Any, seen: typing.Any
+        self, slot: slots.Slot, state: typing.Any, pending_age: typing.Any
     ) -> str | None:
         if slot.state is slots.SlotState.SERVING:
             await self._slots.update(slot.after_event(slots.Event.DRAIN))
@@ -117,19 +117,19 @@
         if isinstance(state, order_client.Unreachable):
             return None
         if slot.state is not slots.SlotState.PENDING:
-            return await self._give(slot, state.fence)
-        resolution = orders.resolve(slot, self._engine, state, seen)
+            return await self._send_order(slot, state.fence)
+        resolution = orders.resolve(slot, self._engine, state, pending_age)
         if isinstance(resolution, orders.Settle):
-            await self._giver.settle(slot, state)
+            await self._order_sender.settle(slot, state)
         if isinstance(resolution, orders.TakeOver):
-            return await self._give(slot, resolution.fence)
+            return await self._send_order(slot, resolution.fence)
         return None
 
-    async def _give(self, slot: slots.Slot, fence: int) -> str | None:
+    async def _send_order(self, slot: slots.Slot, fence: int) -> str | None:
         request = orders.OrderRequest(
             slot, self._engine, self._target, "test", 1, fence
         )
-        outcome = await self._giver.send(request)
+        outcome = await self._order_sender.send(request)
         # A process that was frozen tells what became of its attempt and ends.
         return type(outcome).__name__ if self._once else None
 
--- a/tests/support/proofs/promise_1.py
+++ b/tests/support/proofs/promise_1.py
@@ -4,7 +4,7 @@
     control_faults,
     control_proof,
     control_world,
-    matrix,
+    fault_matrix,
     order_checkers,
 )
 
@@ -18,7 +18,7 @@
     return (*conflicts, "the engines did not come to their intended state")
 
 
-PROOF: matrix.Proof = control_proof.ControlProof(
+PROOF: fault_matrix.Proof = control_proof.ControlProof(
     1,
     _check,
     control_world.Safeguards(conditional_updates=False),
--- a/tests/support/proofs/promise_2.py
+++ b/tests/support/proofs/promise_2.py
@@ -4,7 +4,7 @@
     control_faults,
     control_proof,
     control_world,
-    matrix,
+    fault_matrix,
     order_checkers,
 )
 
@@ -12,10 +12,10 @@
 
 
 def _check(done: control_faults.Run) -> tuple[str, ...]:
-    return order_checkers.cut_requests(done.events)
+    return order_checkers.aborted_requests(done.events)
 
 
-PROOF: matrix.Proof = control_proof.ControlProof(
+PROOF: fault_matrix.Proof = control_proof.ControlProof(
     2,
     _check,
     control_world.Safeguards(acknowledgements=False, engine_counts=False),
--- a/tests/support/proofs/promise_3.py
+++ b/tests/support/proofs/promise_3.py
@@ -4,7 +4,7 @@
     control_faults,
     control_proof,
     control_world,
-    matrix,
+    fault_matrix,
     order_checkers,
 )
 
@@ -12,12 +12,12 @@
 
 
 def _check(done: control_faults.Run) -> tuple[str, ...]:
-    return order_checkers.orders_without_authority(done.events)
+    return order_checkers.stale_orders(done.events)
 
 
-PROOF: matrix.Proof = control_proof.ControlProof(
+PROOF: fault_matrix.Proof = control_proof.ControlProof(
     3,
     _check,
-    control_world.Safeguards(late_orders_closed=False),
+    control_world.Safeguards(late_orders_rejected=False),
     counts="orders",
 )
--- a/tests/support/proofs/promise_4.py
+++ b/tests/support/proofs/promise_4.py
@@ -5,7 +5,7 @@
 are retried through several instances.
 """
 
-from tests.support import matrix, request_history, request_parts
+from tests.support import fault_matrix, request_history, request_parts
 from tests.support import request_world as calls
 from tests.support import stream_world as streams
 
@@ -20,20 +20,20 @@
 
     def run(
         self, faults: tuple[str, ...], seed: int, *, safeguards: bool = True
-    ) -> matrix.ProofRun:
+    ) -> fault_matrix.ProofRun:
         """Make one history of streams and one of calls, and check both."""
         seen = streams.run(faults, seed, safeguards=safeguards)
         switches = request_parts.Safeguards(own_answers=safeguards)
         called = calls.run(faults, seed, switches)
-        return matrix.ProofRun(
+        return fault_matrix.ProofRun(
             self.promise,
             faults,
             seed,
             seen.operations + called.operations,
             seen.unknown + called.unknown,
-            request_history.streams_are_whole(seen)
-            + request_history.answers_belong(called),
+            request_history.streams_are_complete(seen)
+            + request_history.responses_match_keys(called),
         )
 
 
-PROOF: matrix.Proof = WholeAnswers()
+PROOF: fault_matrix.Proof = WholeAnswers()
--- a/tests/support/proofs/promise_5.py
+++ b/tests/support/proofs/promise_5.py
@@ -1,6 +1,6 @@
 """Promise 5: a refusal that says "not run" is true."""
 
-from tests.support import matrix, request_history, request_parts
+from tests.support import fault_matrix, request_history, request_parts
 from tests.support import request_world as calls
 from tests.support import stream_world as streams
 
@@ -15,21 +15,21 @@
 
     def run(
         self, faults: tuple[str, ...], seed: int, *, safeguards: bool = True
-    ) -> matrix.ProofRun:
+    ) -> fault_matrix.ProofRun:
         """Make one history of calls and one of streams, and check both."""
         switches = request_parts.Safeguards(classes=safeguards)
         called = calls.run(faults, seed, switches)
         at_engines = tuple(fault for fault in faults if fault in streams.FAULTS)
         seen = streams.run(at_engines, seed)
-        return matrix.ProofRun(
+        return fault_matrix.ProofRun(
             self.promise,
             faults,
             seed,
             called.operations + seen.operations,
             called.unknown + seen.unknown,
-            request_history.refusals_are_true(called)
-            + request_history.refusals_are_true(seen),
+            request_history.refusals_are_accurate(called)
+            + request_history.refusals_are_accurate(seen),
         )
 
 
-PROOF: matrix.Proof = TrueRefusals()
+PROOF: fault_matrix.Proof = TrueRefusals()
--- a/tests/support/proofs/promise_6.py
+++ b/tests/support/proofs/promise_6.py
@@ -1,6 +1,6 @@
 """Promise 6: a request that may not be repeated runs at most once."""
 
-from tests.support import matrix, request_history, request_parts, request_world
+from tests.support import fault_matrix, request_history, request_parts, request_world
 
 __all__ = ["PROOF", "AtMostOnceRuns"]
 
@@ -13,11 +13,11 @@
 
     def run(
         self, faults: tuple[str, ...], seed: int, *, safeguards: bool = True
-    ) -> matrix.ProofRun:
+    ) -> fault_matrix.ProofRun:
         """Make one history of keyed calls, retried through several instances."""
         switches = request_parts.Safeguards(claims=safeguards)
         called = request_world.run(faults, seed, switches)
-        return matrix.ProofRun(
+        return fault_matrix.ProofRun(
             self.promise,
             faults,
             seed,
@@ -27,4 +27,4 @@
         )
 
 
-PROOF: matrix.Proof = AtMostOnceRuns()
+PROOF: fault_matrix.Proof = AtMostOnceRuns()
--- a/tests/support/proofs/promise_7.py
+++ b/tests/support/proofs/promise_7.py
@@ -4,7 +4,7 @@
     control_faults,
     control_proof,
     control_world,
-    matrix,
+    fault_matrix,
     order_checkers,
 )
 
@@ -18,6 +18,6 @@
     return order_checkers.late_work(done.events, _ALLOWED_S)
 
 
-PROOF: matrix.Proof = control_proof.ControlProof(
-    7, _check, control_world.Safeguards(leaving=False), counts="requests"
+PROOF: fault_matrix.Proof = control_proof.ControlProof(
+    7, _check, control_world.Safeguards(instance_list=False), counts="requests"
 )
--- a/tests/support/proofs/promise_8.py
+++ b/tests/support/proofs/promise_8.py
@@ -1,4 +1,4 @@
-"""Promise 8: a planned stop is a graceful shutdown: it cuts no request.
+"""Promise 8: a planned stop is a graceful shutdown: it broken_requests no request.
 
 Real processes, since signals and sockets matter: callers send one request after
 another on kept connections while their instance is told to stop.
@@ -8,9 +8,9 @@
 import threading
 
 from standins import deployments, processes
-from tests.support import matrix, stopping
+from tests.support import fault_matrix, graceful_stop
 
-__all__ = ["PROOF", "GracefulStop", "cuts"]
+__all__ = ["PROOF", "GracefulStop", "broken_requests"]
 
 _SLOW_S = 0.5
 _FREEZE_S = 0.8
@@ -24,41 +24,39 @@
 
     def run(
         self, faults: tuple[str, ...], seed: int, *, safeguards: bool = True
-    ) -> matrix.ProofRun:
+    ) -> fault_matrix.ProofRun:
         """Stop an instance under requests; without the safeguard it is killed."""
         rng = random.Random(seed)
 
-        def disturb(deployment: deployments.Deployment) -> None:
+        def inject_faults(deployment: deployments.Deployment) -> None:
             for fault in faults:
-                _bring_about(deployment, fault, rng)
+                _inject(deployment, fault, rng)
 
-        seen = stopping.run(disturb, graceful=safeguards)
-        return matrix.ProofRun(
+        result = graceful_stop.run(inject_faults, graceful=safeguards)
+        return fault_matrix.ProofRun(
             self.promise,
             faults,
             seed,
-            len(seen.exchanges),
+            len(result.exchanges),
             0,
-            cuts(seen),
-            {stopping.LAYOUT.domains[0]: seen.longest_gap_s},
+            broken_requests(result),
+            {graceful_stop.LAYOUT.domains[0]: result.longest_gap_s},
         )
 
 
-def cuts(seen: stopping.Seen) -> tuple[str, ...]:
+def broken_requests(result: graceful_stop.StopResult) -> tuple[str, ...]:
     """Reject a request that ended in anything but its answer or a true refusal."""
-    cut = tuple(
+    broken = tuple(
         f"{e.kind} at {e.entry}: {e.outcome}"
-        for e in seen.exchanges
+        for e in result.exchanges
         if e.outcome not in ("whole", "refused")
     )
-    if seen.exit_code != 0:
-        cut += (f"the instance ended with {seen.exit_code}",)
-    return cut
+    if result.exit_code != 0:
+        broken += (f"the instance ended with {result.exit_code}",)
+    return broken
 
 
-def _bring_about(
-    deployment: deployments.Deployment, fault: str, rng: random.Random
-) -> None:
+def _inject(deployment: deployments.Deployment, fault: str, rng: random.Random) -> None:
     if fault == "platform_out":
         command = {"kind": "hang"}
         processes.call("POST", deployment.platform_url + "/faults", command)
@@ -74,4 +72,4 @@
             threading.Timer(_FREEZE_S, engine.wake).start()
 
 
-PROOF: matrix.Proof = GracefulStop()
+PROOF: fault_matrix.Proof = GracefulStop()
--- a/tests/support/raw_server.py
+++ b/tests/support/raw_server.py
@@ -8,11 +8,11 @@
 
 from pimentolatch import settings
 
-__all__ = ["Answer", "RawServer", "http_answer"]
+__all__ = ["RawServer", "ScriptedResponse", "http_response"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class ScriptedResponse:
     """What to do with one request.
 
     Attributes:
@@ -26,7 +26,7 @@
     close: bool = False
 
 
-def http_answer(body: bytes, status: str = "200 OK") -> bytes:
+def http_response(body: bytes, status: str = "200 OK") -> bytes:
     """Return a whole HTTP answer."""
     return b"HTTP/1.1 %s\r\ncontent-length: %d\r\n\r\n%s" % (
         status.encode(),
@@ -42,7 +42,7 @@
         requests: For each request, the number of its connection and its body.
     """
 
-    def __init__(self, *script: Answer) -> None:
+    def __init__(self, *script: ScriptedResponse) -> None:
         self.requests: list[tuple[int, bytes]] = []
         self._script = list(script)
         self._connections = 0
@@ -51,7 +51,7 @@
     @contextlib.asynccontextmanager
     async def listening(self) -> abc.AsyncIterator[settings.Address]:
         """Listen on a free port."""
-        server = await asyncio.start_server(self._accepted, "127.0.0.1", 0)
+        server = await asyncio.start_server(self._on_connection, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         try:
             yield settings.Address(host="127.0.0.1", port=port)
@@ -61,7 +61,7 @@
                 task.cancel()
             await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _accepted(
+    def _on_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._connections += 1
@@ -77,10 +77,10 @@
                 length = re.search(rb"content-length: (\d+)", head)
                 body = await reader.readexactly(int(length[1]) if length else 0)
                 self.requests.append((number, body))
-                answer = self._script.pop(0)
-                await asyncio.sleep(answer.delay_s)
-                writer.write(answer.raw)
+                response = self._script.pop(0)
+                await asyncio.sleep(response.delay_s)
+                writer.write(response.raw)
                 await writer.drain()
-                if answer.close:
+                if response.close:
                     break
         writer.close()
--- a/tests/support/request_history.py
+++ b/tests/support/request_history.py
@@ -6,17 +6,17 @@
 from pimentolatch import results
 
 __all__ = [
-    "Answer",
     "Invocation",
-    "Lost",
     "Refused",
     "RequestHistory",
+    "Response",
+    "ResponseLost",
     "Run",
-    "StreamSeen",
-    "answers_belong",
+    "StreamResult",
     "at_most_once",
-    "refusals_are_true",
-    "streams_are_whole",
+    "refusals_are_accurate",
+    "responses_match_keys",
+    "streams_are_complete",
 ]
 
 
@@ -34,11 +34,11 @@
 
     request: str
     key: str
-    answer: str
+    response: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class Response:
     """A caller received an answer."""
 
     request: str
@@ -55,14 +55,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lost:
+class ResponseLost:
     """The caller's connection broke, so it heard nothing."""
 
     request: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StreamSeen:
+class StreamResult:
     """What a caller saw of a streamed answer.
 
     Attributes:
@@ -82,7 +82,7 @@
     records_after: int = 0
 
 
-Event = Invocation | Run | Answer | Refused | Lost | StreamSeen
+Event = Invocation | Run | Response | Refused | ResponseLost | StreamResult
 
 
 class RequestHistory:
@@ -98,7 +98,7 @@
     @property
     def operations(self) -> int:
         """Attempts of callers."""
-        return sum(isinstance(e, Invocation | StreamSeen) for e in self.events)
+        return sum(isinstance(e, Invocation | StreamResult) for e in self.events)
 
     @property
     def unknown(self) -> int:
@@ -115,7 +115,7 @@
     return tuple(f"{key} ran {n} times" for key, n in sorted(runs.items()) if n > 1)
 
 
-def refusals_are_true(history: RequestHistory) -> tuple[str, ...]:
+def refusals_are_accurate(history: RequestHistory) -> tuple[str, ...]:
     """Reject "not run" about an attempt that ran, before or after the refusal."""
     ran = {e.request for e in history.events if isinstance(e, Run)}
     return tuple(
@@ -127,33 +127,33 @@
     )
 
 
-def answers_belong(history: RequestHistory) -> tuple[str, ...]:
+def responses_match_keys(history: RequestHistory) -> tuple[str, ...]:
     """Reject an answer that is not the answer of a run of the attempt's own key."""
     keys = {e.request: e.key for e in history.events if isinstance(e, Invocation)}
-    given = collections.defaultdict(set)
+    responses = collections.defaultdict(set)
     for event in history.events:
         if isinstance(event, Run):
-            given[event.key].add(event.answer)
+            responses[event.key].add(event.response)
     return tuple(
         f"{e.request} of {keys[e.request]} received {e.text!r}"
         for e in history.events
-        if isinstance(e, Answer) and e.text not in given[keys[e.request]]
+        if isinstance(e, Response) and e.text not in responses[keys[e.request]]
     )
 
 
-def streams_are_whole(history: RequestHistory) -> tuple[str, ...]:
+def streams_are_complete(history: RequestHistory) -> tuple[str, ...]:
     """Reject a stream that is not whole, or not a prefix and then a final refusal."""
     return tuple(
         f"{seen.request}: {fault}"
         for seen in history.events
-        if isinstance(seen, StreamSeen) and (fault := _fault(seen)) is not None
+        if isinstance(seen, StreamResult) and (fault := _fault(seen)) is not None
     )
 
 
 _LATE_LIMIT_S = 0.1
 
 
-def _fault(seen: StreamSeen) -> str | None:
+def _fault(seen: StreamResult) -> str | None:
     if seen.records_after:
         return "events after the final one"
     if seen.late_by > _LATE_LIMIT_S:
--- a/tests/support/request_world.py
+++ b/tests/support/request_world.py
@@ -55,8 +55,8 @@
         key = issued
     body = f"{number}"
     for _ in range(rng.randint(1, _ATTEMPTS)):
-        together = 2 if rng.random() < 0.3 else 1
-        attempts = [_attempt(world, key, body) for _ in range(together)]
+        concurrent = 2 if rng.random() < 0.3 else 1
+        attempts = [_attempt(world, key, body) for _ in range(concurrent)]
         await asyncio.gather(*attempts)
         await asyncio.sleep(rng.choice((0.0, 0.2, 3.0, 40.0)) * rng.random())
 
@@ -89,12 +89,12 @@
         key,
         "caller",
     )
-    patience = deadline + 1.0 if rng.random() < 0.8 else deadline * rng.random()
+    client_timeout = deadline + 1.0 if rng.random() < 0.8 else deadline * rng.random()
     work = asyncio.create_task(world.any_instance().serve(call))
-    done, _ = await asyncio.wait((work,), timeout=patience)
+    done, _ = await asyncio.wait((work,), timeout=client_timeout)
     if not done:
         # The caller has gone; the instance goes on and finds nobody there.
-        world.history.add(request_history.Lost(request))
+        world.history.add(request_history.ResponseLost(request))
         return
     world.history.add(_seen(request, work.result()))
 
@@ -103,10 +103,10 @@
     request: str, outcome: outcomes.Response | results.Refusal | None
 ) -> request_history.Event:
     if outcome is None:
-        return request_history.Lost(request)
+        return request_history.ResponseLost(request)
     if isinstance(outcome, results.Refusal):
         return request_history.Refused(request, outcome.code, outcome.execution)
-    return request_history.Answer(request, outcome.body.decode())
+    return request_history.Response(request, outcome.body.decode())
 
 
 _Fault = typing.Callable[[_World], abc.Coroutine[typing.Any, typing.Any, None]]
@@ -212,7 +212,7 @@
 }
 
 
-async def _bring_about(world: _World, name: str) -> None:
+async def _inject(world: _World, name: str) -> None:
     for _ in range(world.random.randint(2, 5)):
         await asyncio.sleep(world.random.uniform(0, _FAULT_SPAN_S / 3))
         await FAULTS[name](world)
@@ -223,11 +223,11 @@
 ) -> request_history.RequestHistory:
     world = _World(seed, safeguards)
     tasks = [asyncio.create_task(_caller(world, n)) for n in range(KEYS)]
-    tasks += [asyncio.create_task(_bring_about(world, name)) for name in faults]
-    done, waiting = await asyncio.wait(tasks, timeout=_HORIZON_S)
+    tasks += [asyncio.create_task(_inject(world, name)) for name in faults]
+    done, pending = await asyncio.wait(tasks, timeout=_HORIZON_S)
     for task in done:
         task.result()
-    assert not waiting, "callers or faults that never ended"
+    assert not pending, "callers or faults that never ended"
     # Late runs and late writes still count.
     await asyncio.sleep(120.0)
     return world.history
--- a/tests/support/served_store.py
+++ b/tests/support/restartable_store.py
@@ -8,20 +8,20 @@
 from standins import platform
 
 POLL_S = 0.01
-START_LIMIT_S = 10.0
+START_TIMEOUT_S = 10.0
 
 
-class ServedStore:
+class RestartableStore:
     """What the store holds outlives its being served.
 
     Args:
-        held: What it holds.
+        platform: What it holds.
         host, port: Where it is served.
         build: Returns the application that serves it.
     """
 
     def __init__(self, held, host, port, build=platform.build):
-        self._held = held
+        self._platform = held
         self._build = build
         self._host = host
         self._port = port
@@ -29,23 +29,23 @@
         self._task = None
 
     @property
-    def stands(self):
+    def is_running(self):
         """Whether it is served."""
         return self._server is not None
 
     async def start(self):
         """Serve the store."""
-        chosen = uvicorn.Config(
-            self._build(self._held),
+        config = uvicorn.Config(
+            self._build(self._platform),
             host=self._host,
             port=self._port,
             log_config=None,
             lifespan="off",
         )
-        self._server = uvicorn.Server(chosen)
+        self._server = uvicorn.Server(config)
         self._server.capture_signals = contextlib.nullcontext
         self._task = asyncio.create_task(self._server.serve())
-        for _ in range(round(START_LIMIT_S / POLL_S)):
+        for _ in range(round(START_TIMEOUT_S / POLL_S)):
             if self._server.started:
                 return
             await asyncio.sleep(POLL_S)
@@ -64,6 +64,6 @@
 
     async def write(self, kind, name, spec):
         """Write an object as its owner would."""
-        current = self._held.table.get(kind, name)
+        current = self._platform.table.get(kind, name)
         version = 0 if current is None else current.version
-        await self._held.table.put(kind, name, spec, version)
+        await self._platform.table.put(kind, name, spec, version)
--- a/tests/support/route_world.py
+++ b/tests/support/route_world.py
@@ -10,7 +10,7 @@
 from pimentolatch import clock
 from pimentolatch.gateway import process, settings
 from standins import platform, route_server
-from tests.support import served_store
+from tests.support import restartable_store
 
 HOST = "127.0.0.1"
 WAIT_S = 10.0
@@ -144,7 +144,9 @@
         self.readiness = {}
         self.metrics = {}
         self.store_port = free_port()
-        self.store = served_store.ServedStore(self.platform, HOST, self.store_port)
+        self.store = restartable_store.RestartableStore(
+            self.platform, HOST, self.store_port
+        )
 
     async def start_store(self):
         await self.store.start()
--- a/tests/support/schedule.py
+++ b/tests/support/seeded_scheduler.py
@@ -1,8 +1,8 @@
 """Runs tasks of several actors in an order that a seed decides, on a manual clock.
 
-Whatever an actor waits for ends in a *point*, where it can be held back. Between two
+Whatever an actor waits for ends in a *point*, where it can be paused back. Between two
 points its code runs in one go, so a schedule of points is a schedule of everything
-that can interleave, and an actor held at a point is a process that was frozen there.
+that can interleave, and an actor paused at a point is a process that was frozen there.
 """
 
 import asyncio
@@ -15,11 +15,11 @@
 
 from pimentolatch import clock
 
-__all__ = ["ActorClock", "Schedule", "ScheduleClock", "seconds"]
+__all__ = ["ActorClock", "Scheduler", "SchedulerClock", "seconds"]
 
-_TURNS = 3
-_CALL_TIME = datetime.timedelta(milliseconds=1)
-_PREFER_RUNNING = 0.9
+_YIELDS_PER_STEP = 3
+_STEP_TIME = datetime.timedelta(milliseconds=1)
+_RUN_PROBABILITY = 0.9
 
 
 def seconds(number: float) -> datetime.timedelta:
@@ -27,7 +27,7 @@
     return datetime.timedelta(seconds=number)
 
 
-class ScheduleClock(clock.ManualClock):
+class SchedulerClock(clock.ManualClock):
     """A manual clock that knows when its next sleeper is due."""
 
     @property
@@ -37,22 +37,22 @@
 
 
 @dataclasses.dataclass(eq=False, slots=True)
-class _Held:
+class _PausedActor:
     actor: str
     point: str
     future: asyncio.Future[None]
 
 
-class Schedule:
+class Scheduler:
     """Decides which actor goes on next."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        self.time = ScheduleClock()
-        self._held: list[_Held] = []
+        self.time = SchedulerClock()
+        self._paused: list[_PausedActor] = []
         self._frozen: set[str] = set()
         self._tasks: set[asyncio.Task[typing.Any]] = set()
-        self._traps: list[tuple[str, int, typing.Callable[[str], None]]] = []
+        self._hooks: list[tuple[str, int, typing.Callable[[str], None]]] = []
         self._passed: collections.Counter[str] = collections.Counter()
 
     @property
@@ -66,11 +66,11 @@
         """Run a coroutine as a task of this schedule."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
     def is_frozen(self, actor: str) -> bool:
-        """Tell whether an actor is being held back."""
+        """Tell whether an actor is being paused back."""
         return actor in self._frozen
 
     def freeze(self, actor: str, duration: datetime.timedelta) -> None:
@@ -80,49 +80,51 @@
         self._frozen.add(actor)
         self.start(self._thaw(actor, duration))
 
-    def soon(self, action: typing.Callable[[], None]) -> None:
+    def call_soon(self, action: typing.Callable[[], None]) -> None:
         """Do something once the task that now runs has come to its next point."""
         asyncio.get_running_loop().call_soon(action)
 
-    def trap(
+    def add_hook(
         self, point: str, count: int, action: typing.Callable[[str], None]
     ) -> None:
         """Call `action` with the actor that passes a point for the n-th time."""
-        self._traps.append((point, self._passed[point] + count, action))
+        self._hooks.append((point, self._passed[point] + count, action))
 
     async def point(self, actor: str, name: str) -> None:
         """Let the schedule decide when the actor goes on."""
         self._passed[name] += 1
-        for trap in list(self._traps):
-            if trap[0] == name and trap[1] <= self._passed[name]:
-                self._traps.remove(trap)
-                trap[2](actor)
-        held = _Held(actor, name, asyncio.get_running_loop().create_future())
-        self._held.append(held)
+        for hook in list(self._hooks):
+            if hook[0] == name and hook[1] <= self._passed[name]:
+                self._hooks.remove(hook)
+                hook[2](actor)
+        paused = _PausedActor(actor, name, asyncio.get_running_loop().create_future())
+        self._paused.append(paused)
         try:
-            await held.future
+            await paused.future
         finally:
-            if held in self._held:
-                self._held.remove(held)
+            if paused in self._paused:
+                self._paused.remove(paused)
 
     async def run_until(
         self, end: float, done: typing.Callable[[], bool] = lambda: False
     ) -> None:
         """Run until a time in seconds, or until `done`."""
         while self.now < end and not done():
-            for _ in range(_TURNS):
+            for _ in range(_YIELDS_PER_STEP):
                 await asyncio.sleep(0)
-            ready = [held for held in self._held if held.actor not in self._frozen]
-            if ready and self.random.random() < _PREFER_RUNNING:
+            ready = [
+                paused for paused in self._paused if paused.actor not in self._frozen
+            ]
+            if ready and self.random.random() < _RUN_PROBABILITY:
                 chosen = self.random.choice(ready)
-                self._held.remove(chosen)
+                self._paused.remove(chosen)
                 if not chosen.future.done():
                     chosen.future.set_result(None)
-                self.time.advance(_CALL_TIME)
+                self.time.advance(_STEP_TIME)
                 continue
             due = self.time.next_wake
-            step = _CALL_TIME if due is None else due - self.time.monotonic()
-            self.time.advance(max(step, _CALL_TIME))
+            step = _STEP_TIME if due is None else due - self.time.monotonic()
+            self.time.advance(max(step, _STEP_TIME))
 
     async def end(self) -> None:
         """End every task."""
@@ -135,7 +137,7 @@
         await self.time.sleep(duration)
         self._frozen.discard(actor)
 
-    def _ended(self, task: asyncio.Task[typing.Any]) -> None:
+    def _on_task_done(self, task: asyncio.Task[typing.Any]) -> None:
         self._tasks.discard(task)
         # A failure in a task is a fault of the code under test or of the test.
         if not task.cancelled() and (error := task.exception()) is not None:
@@ -145,19 +147,19 @@
 class ActorClock:
     """The clock of one actor: its sleeps end in a point."""
 
-    def __init__(self, schedule: Schedule, actor: str) -> None:
-        self._schedule = schedule
+    def __init__(self, scheduler: Scheduler, actor: str) -> None:
+        self._scheduler = scheduler
         self._actor = actor
 
     def now(self) -> datetime.datetime:
         """See `clock.Clock.now`."""
-        return self._schedule.time.now()
+        return self._scheduler.time.now()
 
     def monotonic(self) -> datetime.timedelta:
         """See `clock.Clock.monotonic`."""
-        return self._schedule.time.monotonic()
+        return self._scheduler.time.monotonic()
 
     async def sleep(self, duration: datetime.timedelta) -> None:
         """See `clock.Clock.sleep`."""
-        await self._schedule.time.sleep(duration)
-        await self._schedule.point(self._actor, "woke")
+        await self._scheduler.time.sleep(duration)
+        await self._scheduler.point(self._actor, "woke")
--- a/tests/support/slow_store.py
+++ b/tests/support/slow_store.py
@@ -1,4 +1,4 @@
-"""A store over a raw socket whose answer to one object comes late, or is cut short."""
+"""A store over a raw socket whose response for one object is delayed or truncated."""
 
 import asyncio
 import dataclasses
@@ -6,7 +6,7 @@
 
 __all__ = ["SlowStore"]
 
-LATE_S = 0.4
+DELAY_S = 0.4
 
 
 @dataclasses.dataclass(slots=True)
@@ -14,13 +14,13 @@
     """Answers each read with the name that was asked for.
 
     Attributes:
-        late: Name whose answer comes late.
-        cut: Name whose answer ends in the middle of its headers.
+        delayed: Name whose answer comes delayed.
+        truncated: Name whose answer ends in the middle of its headers.
         writes: Writes that arrived; the connection of each ends without an answer.
     """
 
-    late: str = ""
-    cut: str = ""
+    delayed: str = ""
+    truncated: str = ""
     writes: int = 0
 
     async def handle(
@@ -35,18 +35,18 @@
                     writer.close()
                     return
                 name = request.split(b" ", 2)[1].decode().rsplit("/", 1)[-1]
-                await self._answer(name, writer)
+                await self._respond(name, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    async def _answer(self, name: str, writer: asyncio.StreamWriter) -> None:
+    async def _respond(self, name: str, writer: asyncio.StreamWriter) -> None:
         body = json.dumps(
             {"metadata": {"name": name, "revision": 1}, "spec": name}
         ).encode()
-        if name == self.late:
-            await asyncio.sleep(LATE_S)
+        if name == self.delayed:
+            await asyncio.sleep(DELAY_S)
         head = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n"
-        if name == self.cut:
+        if name == self.truncated:
             writer.write(head)
             writer.close()
             return
--- a/tests/support/soak_faults.py
+++ b/tests/support/soak_faults.py
@@ -174,7 +174,7 @@
 
     async def _store_down(self, fault, struck):
         store = self._world.store
-        if store.stands:
+        if store.is_running:
             await store.stop()
             await asyncio.sleep(fault.span)
             await store.start()
--- a/tests/support/soak_world.py
+++ b/tests/support/soak_world.py
@@ -16,7 +16,7 @@
 import tempfile
 
 from standins import platform, processes, relay, route_server
-from tests.support import route_world, served_store
+from tests.support import restartable_store, route_world
 
 GRACE_S = 8.0
 CLIENTS_PORT = 8080
@@ -68,7 +68,7 @@
         self.version = 0
         self.routes = list(route_world.ROUTES)
         self._store_host = self._network.address()
-        self.store = served_store.ServedStore(
+        self.store = restartable_store.RestartableStore(
             self.platform, self._store_host, STORE_PORT
         )
 
--- a/tests/support/stream_world.py
+++ b/tests/support/stream_world.py
@@ -37,7 +37,7 @@
     frozen_until: float = 0.0
     down: bool = False
     slow_s: float = 0.0
-    crossed: int = 0
+    misdirected: int = 0
     repeated: int = 0
     gaps: int = 0
     cut: int = 0
@@ -51,13 +51,13 @@
         self.time = virtual_time.LoopClock()
         self.history = request_history.RequestHistory()
         self.engines = {f"127.0.3.{n}": _Engine(f"engine-{n}") for n in range(ENGINES)}
-        self.last_events: list[str] = []
+        self.recent_events: list[str] = []
 
     def any_engine(self) -> _Engine:
         return self.random.choice(list(self.engines.values()))
 
 
-class _Choice:
+class _RandomSelector:
     """Chooses an engine at random, so that faulty ones are met."""
 
     def __init__(self, world: _World) -> None:
@@ -66,7 +66,7 @@
     def choose(
         self, completion: completion_stream.Completion, failed: abc.Set[str]
     ) -> schema.Engine | None:
-        able = [
+        candidates = [
             schema.Engine(
                 name=found.name,
                 failure_domain="north",
@@ -77,7 +77,7 @@
             for host, found in self._world.engines.items()
             if found.name not in failed
         ]
-        return self._world.random.choice(able) if able else None
+        return self._world.random.choice(candidates) if candidates else None
 
     def dispatched(
         self, completion: completion_stream.Completion, chosen: schema.Engine
@@ -117,7 +117,7 @@
         return self._body
 
 
-class _Engines:
+class _EngineStreams:
     """See `completion_stream.EngineStreams`; the request's id stands in its prompt."""
 
     def __init__(self, world: _World) -> None:
@@ -130,7 +130,7 @@
         if found.down:
             yield outcomes.NotRun("refused", reached=False)
             return
-        await self._thawed(found)
+        await self._wait_while_frozen(found)
         if found.refusals:
             found.refusals -= 1
             yield outcomes.NotRun("busy", reached=True)
@@ -141,7 +141,11 @@
             dispatch = dataclasses.replace(dispatch, offset=0)
         body = self._body(found, dispatch)
         response = typing.cast(typing.Any, _Response(body))
-        reader = engine_client.checked_events if self._world.safeguards else _trusting
+        reader = (
+            engine_client.checked_events
+            if self._world.safeguards
+            else _unchecked_events
+        )
         events = reader(response, dispatch)
         async with contextlib.aclosing(events):
             async for event in events:
@@ -150,8 +154,11 @@
     async def _body(
         self, found: _Engine, dispatch: engine_client.Dispatch
     ) -> abc.AsyncGenerator[bytes, None]:
-        rng, waiting = self._world.random, ""
-        crossed, found.crossed = found.crossed > 0, max(0, found.crossed - 1)
+        rng, pending = self._world.random, ""
+        misdirected, found.misdirected = (
+            found.misdirected > 0,
+            max(0, found.misdirected - 1),
+        )
         repeated, found.repeated = found.repeated > 0, max(0, found.repeated - 1)
         gap_at = rng.randint(0, dispatch.max_tokens) if found.gaps else -1
         found.gaps = max(0, found.gaps - 1)
@@ -159,47 +166,47 @@
         found.cut = max(0, found.cut - 1)
         for index in range(dispatch.offset, dispatch.max_tokens):
             await asyncio.sleep(_TOKEN_S + found.slow_s)
-            await self._thawed(found)
+            await self._wait_while_frozen(found)
             if found.down:
                 raise ConnectionResetError
             if index == cut_at:
                 return
             token = engine_standin.answer_token(dispatch.prompt, index)
             event = _event(dispatch=dispatch.dispatch_id, offset=index, token=token)
-            others = self._world.last_events
-            if crossed and others:
-                waiting += rng.choice(others)
+            others = self._world.recent_events
+            if misdirected and others:
+                pending += rng.choice(others)
             if index != gap_at:
-                waiting += event
+                pending += event
             if repeated:
-                waiting += event
-            self._world.last_events = [*others[-5:], event]
+                pending += event
+            self._world.recent_events = [*others[-5:], event]
             if rng.random() < 0.7:
-                split = rng.randint(0, len(waiting))
-                yield waiting[:split].encode()
-                waiting = waiting[split:]
+                split = rng.randint(0, len(pending))
+                yield pending[:split].encode()
+                pending = pending[split:]
         length = dispatch.max_tokens
         end = _event(dispatch=dispatch.dispatch_id, done=True, length=length)
-        yield (waiting + end).encode()
+        yield (pending + end).encode()
 
-    async def _thawed(self, found: _Engine) -> None:
+    async def _wait_while_frozen(self, found: _Engine) -> None:
         left = found.frozen_until - asyncio.get_running_loop().time()
         if left > 0:
             await asyncio.sleep(left)
-            await self._thawed(found)
+            await self._wait_while_frozen(found)
 
 
-async def _trusting(
+async def _unchecked_events(
     response: typing.Any, dispatch: engine_client.Dispatch
 ) -> abc.AsyncGenerator[outcomes.EngineEvent, None]:
     """Read events without the checks of their dispatch, place and length.
 
     Nor is an offset asked for, so a stream that broke begins again.
     """
-    waiting = b""
+    pending = b""
     try:
         async for chunk in response.read_chunks():
-            *whole, waiting = (waiting + chunk).split(b"\n\n")
+            *whole, pending = (pending + chunk).split(b"\n\n")
             for text in whole:
                 event = json.loads(text.removeprefix(b"data: "))
                 if event.get("done"):
@@ -228,7 +235,7 @@
         request, "caller", "m", prompt, length, deadline
     )
     answering = completion_stream.ResumingStream(
-        _Engines(world), _Choice(world), world.time
+        _EngineStreams(world), _RandomSelector(world), world.time
     )
     text, final, after, ready_at = "", None, 0, deadline
     async for event in answering.run(completion):
@@ -249,7 +256,7 @@
         engine_standin.answer_token(prompt, index) for index in range(length)
     )
     world.history.add(
-        request_history.StreamSeen(
+        request_history.StreamResult(
             request,
             text,
             expected,
@@ -283,7 +290,7 @@
 async def _reply_lost(world: _World) -> None:
     """Let late answers of others, and tokens twice, come in a stream."""
     for found in world.engines.values():
-        found.crossed += world.random.randint(0, 3)
+        found.misdirected += world.random.randint(0, 3)
         found.repeated += world.random.randint(0, 3)
 
 
@@ -305,7 +312,7 @@
 }
 
 
-async def _bring_about(world: _World, name: str) -> None:
+async def _inject(world: _World, name: str) -> None:
     for _ in range(world.random.randint(3, 7)):
         await asyncio.sleep(world.random.uniform(0, _SPAN_S / 5))
         await world.random.choice(FAULTS[name])(world)
@@ -316,11 +323,11 @@
 ) -> request_history.RequestHistory:
     world = _World(seed, safeguards)
     tasks = [asyncio.create_task(_caller(world, n)) for n in range(COMPLETIONS)]
-    tasks += [asyncio.create_task(_bring_about(world, name)) for name in faults]
-    done, waiting = await asyncio.wait(tasks, timeout=_HORIZON_S)
+    tasks += [asyncio.create_task(_inject(world, name)) for name in faults]
+    done, pending = await asyncio.wait(tasks, timeout=_HORIZON_S)
     for task in done:
         task.result()
-    assert not waiting, "completions or faults that never ended"
+    assert not pending, "completions or faults that never ended"
     return world.history
 
 
--- a/tests/support/view_world.py
+++ b/tests/support/view_world.py
@@ -10,15 +10,15 @@
 
 from pimentolatch import store
 from pimentolatch.membership import views
-from tests.support import config_world, schedule
+from tests.support import config_world, seeded_scheduler
 
 __all__ = ["ViewWorld", "cut_off_start", "random_trouble", "start_in_an_outage"]
 
 _DOMAIN = "north"
 _HOLDER = "entry-1"
-_POLL = schedule.seconds(0.1)
-_LIST_EVERY = schedule.seconds(1)
-_SHOWN_LATE = schedule.seconds(2)
+_POLL = seeded_scheduler.seconds(0.1)
+_LIST_EVERY = seeded_scheduler.seconds(1)
+_SHOWN_LATE = seeded_scheduler.seconds(2)
 
 
 class ViewWorld(config_world.ConfigWorld):
@@ -33,7 +33,7 @@
         super().__init__(seed, safeguards)
         self.violations: list[str] = []
         self.confirmed: list[int] = []
-        self.plan.start(self._read_lists())
+        self.scheduler.start(self._read_lists())
 
     def start_held(self, instance: str, reachable: frozenset[str]) -> None:
         """Start an instance that reaches some peers only."""
@@ -76,14 +76,14 @@
                 store.Instance(name, "entry", _DOMAIN, name, 1, "live")
                 for name in self.processes
             )
-            self.plan.start(self._show(rows))
-            await self.plan.time.sleep(_LIST_EVERY)
+            self.scheduler.start(self._show(rows))
+            await self.scheduler.time.sleep(_LIST_EVERY)
 
     async def _show(self, rows: tuple[store.Instance, ...]) -> None:
-        asked = self.plan.time.monotonic()
-        await self.plan.time.sleep(_SHOWN_LATE)
+        asked = self.scheduler.time.monotonic()
+        await self.scheduler.time.sleep(_SHOWN_LATE)
         for process in list(self.processes.values()):
-            if not self.plan.is_frozen(process.name) and not self.faults.outage:
+            if not self.scheduler.is_frozen(process.name) and not self.faults.outage:
                 process.node.apply_instance_list(rows, asked)
 
 
@@ -91,17 +91,17 @@
     """One instance starts by the word of a single peer, then is frozen."""
 
     async def trouble(world: ViewWorld) -> None:
-        sleep = world.plan.time.sleep
-        await sleep(schedule.seconds(6))
+        sleep = world.scheduler.time.sleep
+        await sleep(seeded_scheduler.seconds(6))
         await world.write_view()
         world.faults.outage = True
-        await sleep(schedule.seconds(0.5))
+        await sleep(seeded_scheduler.seconds(0.5))
         world.start_held("entry-5", frozenset({"entry-2"}))
         newcomer = world.processes["entry-5"]
         while not newcomer.table.complete:
             await sleep(_POLL)
         await sleep(_POLL * 2)
-        world.plan.freeze(newcomer.name, schedule.seconds(30))
+        world.scheduler.freeze(newcomer.name, seeded_scheduler.seconds(30))
         world.faults.outage = False
         await world.write_view()
 
@@ -112,13 +112,13 @@
     """One instance reaches the platform only, and is frozen once it has the views."""
 
     async def trouble(world: ViewWorld) -> None:
-        await world.plan.time.sleep(schedule.seconds(6))
+        await world.scheduler.time.sleep(seeded_scheduler.seconds(6))
         await world.write_view()
         world.start_held("entry-5", frozenset())
         newcomer = world.processes["entry-5"]
         while not newcomer.table.complete:
-            await world.plan.time.sleep(schedule.seconds(0.001))
-        world.plan.freeze(newcomer.name, schedule.seconds(30))
+            await world.scheduler.time.sleep(seeded_scheduler.seconds(0.001))
+        world.scheduler.freeze(newcomer.name, seeded_scheduler.seconds(30))
         await world.write_view()
 
     return asyncio.run(_run(seed, safeguards, trouble))
@@ -128,16 +128,18 @@
     """Instances start, freeze, are cut off and killed while views are written."""
 
     async def trouble(world: ViewWorld) -> None:
-        chance = world.plan.random
+        chance = world.scheduler.random
         for number in range(10):
-            await world.plan.time.sleep(schedule.seconds(1 + 3 * chance.random()))
-            world.plan.start(world.write_view())
+            await world.scheduler.time.sleep(
+                seeded_scheduler.seconds(1 + 3 * chance.random())
+            )
+            world.scheduler.start(world.write_view())
             others = sorted(name for name in world.processes if name != _HOLDER)
             chosen = chance.choice(others)
             match chance.randrange(6):
                 case 0:
                     process = world.processes[chosen]
-                    world.plan.freeze(process.name, schedule.seconds(8))
+                    world.scheduler.freeze(process.name, seeded_scheduler.seconds(8))
                 case 1:
                     world.cut(chosen, one_way=chance.random() < 0.5)
                 case 2:
@@ -161,8 +163,8 @@
 ) -> ViewWorld:
     world = ViewWorld(seed, safeguards)
     try:
-        world.plan.start(trouble(world))
-        await world.plan.run_until(60)
+        world.scheduler.start(trouble(world))
+        await world.scheduler.run_until(60)
     finally:
-        await world.plan.end()
+        await world.scheduler.end()
     return world
--- a/tests/support/virtual_time.py
+++ b/tests/support/virtual_time.py
@@ -15,7 +15,7 @@
 _ROUNDING = 1e-9
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     elapsed = 0.0
 
     def select(self, timeout: float | None = None) -> typing.Any:
@@ -30,12 +30,12 @@
     """An event loop in virtual time."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the seconds that have passed in virtual time."""
-        return self._jumping.elapsed
+        return self._virtual_selector.elapsed
 
 
 class LoopClock:
