--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,7 +1,8 @@
-"""Runs the fault matrix: each promise under each fault alone and in pairs.
+"""Runs the fault matrix: each promise under each single fault and each pair.
 
-Every history has a fixed seed, so a run gives the same verdict each time. Each promise
-is also run with its safeguard switched off, to see its checker reject something.
+Each history has a fixed seed, so that a run gives the same result each time. Each
+promise is also run with its safeguard disabled, where its checker must reject some
+history; a checker that never rejects proves nothing.
 """
 
 import argparse
@@ -42,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """One history to make."""
+    """One history to make and check."""
 
     module: str
     faults: tuple[str, ...]
@@ -52,11 +53,12 @@
 
 @dataclasses.dataclass(slots=True)
 class PromiseResult:
-    """The figures of one promise.
+    """Results of one promise over all its histories.
 
     Attributes:
-        violations: What the checker rejected with the safeguards on.
-        rejected_without_safeguard: Seeds and faults rejected with the safeguard off.
+        violations: Violations found with the safeguards enabled.
+        rejected_without_safeguard: Seeds and faults of the histories that the checker
+            rejected with the safeguard disabled.
     """
 
     promise: int
@@ -76,14 +78,14 @@
 
     @property
     def holds(self) -> bool:
-        """Whether the promise held and its checker is known to reject."""
+        """Whether the promise held and its checker rejected a weakened history."""
         return (
             bool(self.histories and self.rejected_without_safeguard)
             and not self.violations
         )
 
     def add(self, run: fault_matrix.ProofRun, safeguards: bool) -> None:
-        """Take one history in."""
+        """Add the result of one history."""
         if not safeguards:
             if run.violations:
                 self.rejected_without_safeguard.append((run.seed, run.faults))
@@ -98,7 +100,7 @@
             self.longest_gap_s[domain] = max(gap, self.longest_gap_s.get(domain, 0.0))
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Return the figures for `build/faults.json`."""
+        """Return the entry for `build/faults.json`."""
         return {
             "promise": self.promise,
             "histories": self.histories,
@@ -129,7 +131,7 @@
 
 
 def proof_modules() -> list[str]:
-    """Return the names of the modules that prove a promise."""
+    """Return the names of the modules that contain a proof."""
     found = pkgutil.iter_modules(proofs.__path__, f"{proofs.__name__}.")
     return sorted(module.name for module in found)
 
@@ -139,12 +141,12 @@
 
 
 def single_faults(faults: tuple[str, ...]) -> list[tuple[str, ...]]:
-    """Return each fault alone."""
+    """Return a combination of each single fault."""
     return [(fault,) for fault in faults]
 
 
 def single_faults_and_pairs(faults: tuple[str, ...]) -> list[tuple[str, ...]]:
-    """Return each fault alone and each pair, in a fixed order."""
+    """Return each single fault and each pair, in a fixed order."""
     return single_faults(faults) + list(itertools.combinations(faults, 2))
 
 
@@ -169,14 +171,15 @@
     combinations: Combinations,
     processes: int = PROCESSES,
 ) -> dict[int, PromiseResult]:
-    """Make every history of the modules' promises; returns a result for each.
+    """Make and check every history of the modules; return a result for each promise.
 
     Args:
         modules: Modules of `tests.support.proofs`.
-        seeds: Histories for each combination of faults.
-        seeds_without_safeguard: Those with the safeguard off, on top.
-        combinations: Returns the combinations of a proof's faults.
-        processes: Processes that make histories.
+        seeds: Number of histories for each combination of faults.
+        seeds_without_safeguard: Number of further histories for each combination, with
+            the safeguard disabled.
+        combinations: Returns the combinations to run of a proof's faults.
+        processes: Number of worker processes.
     """
     jobs = [
         job
@@ -191,7 +194,7 @@
 
 
 def main() -> int:
-    """Run the matrix and print it; non-zero unless every promise held."""
+    """Run the matrix and print it; return non-zero unless every promise held."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--promise", type=int, action="append", choices=PROMISES)
     parser.add_argument("--seeds", type=int, default=SEEDS)
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,8 +1,8 @@
-"""Runs every feature, several at a time, and counts the scenarios.
+"""Runs all features, several at a time, and counts passed and failed scenarios.
 
-A scenario that KNOWN-RED.txt names may fail: it is printed and not counted as a
-failure. One that it names and that passes is a failure, so that the list stays true.
-Entries that name no scenario, such as a day that is played by hand, are printed.
+A scenario listed in KNOWN-RED.txt is expected to fail: its failure is printed but not
+counted. If it passes, that counts as a failure, so that the list stays accurate.
+Entries that name no scenario, such as a simulation that is run by hand, are printed.
 """
 
 import concurrent.futures
@@ -19,7 +19,7 @@
 
 
 def known_red() -> set[str]:
-    """Return the names of scenarios that may fail, the first field of each line."""
+    """Return the names of known failures, the first field of each line."""
     if not KNOWN_RED.exists():
         return set()
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
@@ -27,7 +27,7 @@
 
 
 def run_feature(path: pathlib.Path) -> list[tuple[str, str]]:
-    """Run one feature file; returns (scenario, status) pairs and prints failures."""
+    """Run one feature file, print failures, and return (scenario, status) pairs."""
     with tempfile.NamedTemporaryFile(suffix=".json") as output:
         done = subprocess.run(
             [sys.executable, "-m", "behave", "--no-capture", "--no-summary"]
@@ -52,7 +52,7 @@
 
 
 def main() -> int:
-    """Run all features and print the count; non-zero if any failed or none ran."""
+    """Run all or the given features; return non-zero if any failed or none ran."""
     chosen = [pathlib.Path(name) for name in sys.argv[1:]]
     paths = chosen or sorted(FEATURES.glob("*.feature"))
     with concurrent.futures.ThreadPoolExecutor(MAX_CONCURRENT_FEATURES) as pool:
--- a/tests/support/config_history.py
+++ b/tests/support/config_history.py
@@ -1,8 +1,7 @@
 """Histories of submissions and of documents in force, and their checker.
 
-Promise 9: a configuration that was accepted is in force everywhere within seconds and
-never reverts. An answer that tells an operator the contrary of what happened breaks it
-too.
+Promise 9: an accepted configuration is in force everywhere within seconds and never
+reverts. Reporting an outcome to an operator that contradicts the store breaks it too.
 """
 
 import collections
@@ -46,7 +45,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SubmissionResult:
-    """The operator's last answer to a submission; `attempts` counts its tries."""
+    """The final result that an operator received for a submission.
+
+    Attributes:
+        number: Number of the accepted configuration, or 0.
+        attempts: How often the operator submitted it.
+    """
 
     submission: str
     outcome: str
@@ -56,7 +60,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lifetime:
-    """When a process ran; `end` is infinite if it still runs."""
+    """When a process ran; `end` is infinite while it runs."""
 
     process: str
     start: float
@@ -65,10 +69,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigHistory:
-    """One run. Times are seconds on a clock that no process sees.
+    """One run. Times are seconds on a clock that no process reads.
 
     Attributes:
-        fault_window: Start and end of the time in which faults were in force.
+        fault_window: Start and end of fault injection.
     """
 
     heads: tuple[HeadWritten, ...]
@@ -80,7 +84,7 @@
 
 
 def check(history: ConfigHistory) -> tuple[str, ...]:
-    """Return what breaks the promise, a sentence each."""
+    """Return a sentence for each violation of the guarantee."""
     return (
         *_one_document_for_each_number(history),
         *_no_revert(history),
--- a/tests/support/config_world.py
+++ b/tests/support/config_world.py
@@ -1,8 +1,8 @@
-"""Instances in memory that spread documents, on a schedule that a seed decides.
+"""Simulates instances that submit and disseminate documents, scheduled by a seed.
 
-The real code runs: submissions, followers, keeper, spread, node and codec. The links
-between instances and the store are in memory; both can be cut, and an instance can be
-held at any point of its code.
+Submission, store watch, local document, document exchange, membership node and codec
+are the production code. Links and store are in memory; both can be cut, and an
+instance can be frozen at any scheduling point of its code.
 """
 
 import asyncio
@@ -48,7 +48,7 @@
 
 
 def document(name: str) -> schema.FleetDocument:
-    """Return a small document that differs by its fleet's name."""
+    """Return a minimal document with the given fleet name."""
     return schema.FleetDocument.model_validate(
         {"fleet": name, "failure_domains": [{"name": "north", "region": "one"}]}
     )
@@ -56,14 +56,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Safeguards:
-    """Safeguards that a test may switch off to see the checker reject a history.
+    """Safeguards; with one disabled, the checker must reject some history.
 
     Attributes:
-        rejects_older_documents: Instances refuse a document that is not a later one.
-        resolves_unknown_outcomes: A submission whose outcome is
-            unknown is resolved by repeating its conditional write.
+        rejects_older_documents: Instances reject a document that is not newer.
+        resolves_unknown_outcomes: A submission whose outcome is unknown is resolved by
+            repeating its conditional write.
         registers_first: An instance registers before it reads the views.
-        forwards_introductions: Instances pass on whom they came to know.
+        forwards_introductions: Instances forward the introductions of new instances.
     """
 
     rejects_older_documents: bool = True
@@ -96,7 +96,10 @@
 
 
 class _Store(memory_store.MemoryStore):
-    """A store whose watches end in a point, so that a frozen process stays frozen."""
+    """A store whose watches end in a scheduling point.
+
+    Otherwise a frozen process would go on when its watch returns.
+    """
 
     def __init__(
         self, *args: typing.Any, pause: memory_store.Pause, **kwargs: typing.Any
@@ -113,7 +116,7 @@
 
 
 class _RevertingFleet(fleet.Fleet):
-    """Takes any document, as if nobody had thought of late ones."""
+    """Adopts any document, including one that arrives late."""
 
     def adopt(self, configuration: fleet.Configuration) -> bool:
         self._view = fleet.View()
@@ -135,7 +138,7 @@
 
 
 class _SingleReadObjects(configuration.ConfigurationObjects):
-    """Takes one read after a lost answer for the truth."""
+    """After a lost response, relies on a single read of the head."""
 
     async def _write_head(
         self,
@@ -276,7 +279,7 @@
     async def submit(
         self, submission: configuration.Submission
     ) -> configuration.Outcome:
-        """Submit through this instance."""
+        """Submit a document through this instance."""
         submission = configuration.with_pieces(submission)
         outcome = await self.documents.submit(submission)
         if isinstance(outcome, configuration.Accepted) and not outcome.replaced_by:
@@ -336,7 +339,7 @@
     """Instances, their links and the store.
 
     Args:
-        safeguards: Those that are in force.
+        safeguards: Which safeguards are enabled.
     """
 
     def __init__(self, seed: int, safeguards: Safeguards) -> None:
@@ -356,11 +359,11 @@
         self.scheduler.start(self._connect())
 
     def start(self, instance: str, domain: str) -> None:
-        """Start an instance, or start it again."""
+        """Start a new incarnation of an instance."""
         self.processes[instance] = Process(self, instance, domain)
 
     def kill(self, instance: str) -> None:
-        """End an instance at once."""
+        """Kill an instance."""
         process = self.processes.pop(instance)
         for task in process.tasks:
             task.cancel()
@@ -373,7 +376,10 @@
         )
 
     def cut(self, instance: str, *, one_way: bool) -> None:
-        """Cut an instance off from its peers and, if both ways, from the platform."""
+        """Hold up what peers send to an instance until the cut is healed.
+
+        Unless `one_way`, also hold up what it sends and cut it off from the platform.
+        """
         for other in self.processes:
             if other != instance:
                 self.cuts.add((other, instance))
@@ -383,12 +389,12 @@
             self.faults.cut.add(instance)
 
     def heal(self) -> None:
-        """End all cuts and faults of the store."""
+        """End all link cuts and store faults."""
         self.cuts.clear()
         self.faults.end()
 
     async def submit_with_retries(self, submission: str, expected: int | None) -> None:
-        """Submit a document as an operator who asks again when it is not certain."""
+        """Submit a document as an operator who retries while the outcome is unknown."""
         attempts = 0
         outcome: object = None
         while attempts < 4:
@@ -420,7 +426,7 @@
     def history(
         self, fault_window: tuple[float, float] | None
     ) -> config_history.ConfigHistory:
-        """Return what happened."""
+        """Return the history of the run so far."""
         running = [
             config_history.Lifetime(process.name, process.started_at, float("inf"))
             for process in self.processes.values()
@@ -435,13 +441,13 @@
         )
 
     def send_frame(self, end: _LinkEnd, frame: bytes) -> None:
-        """Deliver a frame to the other end, later and in order."""
+        """Queue a frame for the other end; frames arrive delayed and in order."""
         other = end.peer_end
         assert other is not None
         self._queues[other].put_nowait(frame)
 
     def break_link(self, end: _LinkEnd) -> None:
-        """End a link on both sides."""
+        """Close a link on both sides."""
         for side in (end, end.peer_end):
             if side is not None and side.is_open:
                 side.is_open = False
--- a/tests/support/control_faults.py
+++ b/tests/support/control_faults.py
@@ -1,4 +1,4 @@
-"""Brings faults about in a failure domain in memory, at moments that a seed decides."""
+"""Injects faults into a simulated failure domain at times that a seed determines."""
 
 import dataclasses
 import typing
@@ -12,8 +12,8 @@
 FAULTS_UNTIL_S = 30.0
 SETTLED_WITHIN_S = 90.0
 _ROUNDS = 3
-# The steps of an order come more often than their number: that is where a fault that
-# lands between two steps matters.
+# Points at which faults are injected. Steps of an order are listed more than once to
+# make them more likely: there a fault between two steps does the most harm.
 _POINTS = (
     "send",
     "send",
@@ -29,15 +29,20 @@
     "state seen",
     "dispatch",
 )
-# An instance can know that a server is leaving once it has had the platform for this
-# long in one go since the list showed it: its poll of the list is shorter.
+# An instance can know that a server is leaving once it has been connected to the
+# platform for this long without interruption since the list showed it. The interval
+# at which it polls the list is shorter.
 _VISIBLE_AFTER_S = 2.0
 _CHECK_INTERVAL = seeded_scheduler.seconds(0.05)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """One finished run; `settled` tells whether it came to rest by itself."""
+    """One finished run.
+
+    Attributes:
+        settled: Whether all engines reached their planned state once faults had ended.
+    """
 
     events: tuple[control_history.Event, ...]
     settled: bool
@@ -47,7 +52,7 @@
 async def run(
     faults: tuple[str, ...], seed: int, safeguards: control_world.Safeguards
 ) -> Run:
-    """Run a failure domain under faults, then without, until it is settled."""
+    """Run a failure domain under faults, then without faults until it has settled."""
     with logbook.NullHandler().threadbound():
         return await _run(faults, control_world.World(seed, safeguards))
 
@@ -64,7 +69,7 @@
     world.links.cut.clear()
     await scheduler.run_until(FAULTS_UNTIL_S + SETTLED_WITHIN_S, world.settled)
     settled, end = world.settled(), scheduler.now
-    # Whatever is late still arrives.
+    # Lets delayed messages and writes arrive.
     await scheduler.run_until(end + 15)
     settled = settled and world.settled()
     await scheduler.end()
@@ -125,14 +130,14 @@
 def _inject_at_point(
     world: control_world.World, inject: typing.Callable[[str], None]
 ) -> None:
-    """Strike whoever next comes to one of the points where a fault matters."""
+    """Inject a fault into the actor that reaches one of `_POINTS` next."""
     point = world.scheduler.random.choice(_POINTS)
     world.scheduler.add_hook(point, world.scheduler.random.randint(1, 3), inject)
 
 
 def _kill(world: control_world.World) -> None:
     downtime = seeded_scheduler.seconds(world.scheduler.random.uniform(1, 5))
-    # A task can't be ended from within itself; the schedule ends it a moment later.
+    # A task can't cancel itself, so the kill runs in a callback of the event loop.
     _inject_at_point(
         world,
         lambda actor: world.scheduler.call_soon(
--- a/tests/support/control_history.py
+++ b/tests/support/control_history.py
@@ -1,7 +1,7 @@
-"""Events of a history, as the recorder writes them and the checkers read them.
+"""Events of a history of orders and streams, recorded for the checkers.
 
-Times are seconds on one clock that no actor sees, so the order of events is the order
-in which they took effect.
+Times are seconds on one clock that no actor reads, so events are ordered as they took
+effect.
 """
 
 import dataclasses
@@ -22,11 +22,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderAccepted:
-    """An engine began to carry an order out.
+    """An engine began to execute an order.
 
     Attributes:
         target: The order's role and models, as text.
-        streams: Streams that ran at the engine.
+        streams: Number of streams running at the engine.
+        fenced: Whether the engine checks fencing tokens.
     """
 
     at: float
@@ -41,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderCompleted:
-    """An engine finished a change."""
+    """An engine finished executing an order."""
 
     at: float
     engine: str
@@ -50,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineCrashed:
-    """An engine crashed; a new incarnation of it knows nothing."""
+    """An engine crashed; its next incarnation starts without state."""
 
     at: float
     engine: str
@@ -58,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotWritten:
-    """A slot took a new state in the store."""
+    """A slot was written to the store."""
 
     at: float
     engine: str
@@ -69,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A request reached an engine that took it."""
+    """An engine accepted a request."""
 
     at: float
     engine: str
@@ -79,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamEnded:
-    """A request had its whole answer, or its caller went away."""
+    """A request completed, or its caller disconnected."""
 
     at: float
     engine: str
@@ -88,7 +89,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamAborted:
-    """An engine broke a request off; `cause` is `order` or `crash`."""
+    """An engine aborted a request; `cause` is `order` or `crash`."""
 
     at: float
     engine: str
@@ -98,10 +99,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeavingShown:
-    """From now on an instance could know that a server is leaving.
+    """An instance can know from now on that a server is leaving.
 
     Attributes:
-        sender: The instance; each is judged from when it could know.
+        sender: The instance; each is checked from the time at which it could know.
     """
 
     at: float
@@ -128,5 +129,5 @@
         self.events: list[Event] = []
 
     def add(self, event: Event) -> None:
-        """Record an event; they are added in the order in which they took effect."""
+        """Record an event; events are added in the order in which they took effect."""
         self.events.append(event)
--- a/tests/support/control_proof.py
+++ b/tests/support/control_proof.py
@@ -1,4 +1,4 @@
-"""What the proofs on orders, planned changes and leaving servers have in common."""
+"""Common base of the proofs on orders, planned changes and leaving servers."""
 
 import asyncio
 import typing
@@ -21,9 +21,10 @@
     """See `matrix.Proof`.
 
     Args:
-        weakened: The safeguards left when the promise's own are switched off.
-        checker: Returns what is wrong with a run.
-        counts: Whether an operation is an order or a request.
+        promise: Number of the promise.
+        checker: Returns the violations in a run.
+        weakened: Safeguards with those that ensure the promise disabled.
+        counts: Whether operations are orders or requests.
     """
 
     faults: tuple[str, ...] = fault_matrix.FAULTS
@@ -46,7 +47,7 @@
     ) -> fault_matrix.ProofRun:
         """See `matrix.Proof.run`."""
         chosen = control_world.Safeguards() if safeguards else self._weakened
-        # Each promise is proved on histories of its own.
+        # Gives each promise histories of its own.
         own_seed = seed + _SEED_STRIDE * self.promise
         done = asyncio.run(control_faults.run(faults, own_seed, chosen))
         orders = self._counts == "orders"
@@ -74,7 +75,7 @@
 
 
 def unsettled_orders(events: typing.Iterable[control_history.Event]) -> set[str]:
-    """Return the orders whose outcome was superseded instead of settled."""
+    """Return the orders that became pending but were superseded before they settled."""
     listed = tuple(events)
     return _orders(listed, "pending") - _orders(listed, "settled")
 
--- a/tests/support/control_world.py
+++ b/tests/support/control_world.py
@@ -1,8 +1,9 @@
-"""A failure domain in memory: instances with the real control code, engines, a store.
+"""Simulates a failure domain in memory: instances, engines and the store.
 
-The control package runs as it is; its neighbours are small fakes at the interfaces.
-An instance here routes requests by the views it has adopted and tells its peers what
-it has acknowledged and what it has in flight, each message late and links cut at will.
+The control package under test is the production code; other packages are replaced by
+fakes at its interfaces. A simulated instance routes requests by the views it has
+adopted and reports its acknowledgement and its requests in flight to its peers. Each
+message is delayed, and links can be cut.
 """
 
 import asyncio
@@ -32,14 +33,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Safeguards:
-    """Safeguards that a test may switch off to see the checker reject a history.
+    """Safeguards; with one disabled, the checker must reject some history.
 
     Attributes:
-        conditional_updates: The store compares versions.
-        late_orders_rejected: Engines refuse or close what a late sender writes.
-        acknowledgements: An order waits for acknowledgements and senders' counts.
-        engine_counts: An order waits for the engine's own count.
-        instance_list: Instances look at the platform's list.
+        conditional_updates: The store compares versions before a write.
+        late_orders_rejected: Engines reject an order with an old fencing token, or
+            close the connection if the order arrives after their read timeout.
+        acknowledgements: An order waits for the instances' acknowledgements of the
+            view and for their counts of requests in flight.
+        engine_counts: An order waits for the engine's own count of streams.
+        instance_list: Instances read the platform's list of instances.
     """
 
     conditional_updates: bool = True
@@ -50,7 +53,7 @@
 
 
 class _Table(objects.ObjectTable):
-    """The object table, recording what happens to slots."""
+    """An object table that records each write of a slot."""
 
     def __init__(
         self,
@@ -82,9 +85,9 @@
 
 
 class _LeasePerInstanceStore(memory_store.MemoryStore):
-    """Gives each instance a duty lease of its own, so that all believe they hold it.
+    """Gives each instance a leader lease of its own, so that all act as the leader.
 
-    Safety must not rest on the lease, so half of the runs go without it.
+    Safety must not depend on the lease, so half of the runs go without a shared one.
     """
 
     def __init__(self, *args: typing.Any, **kwargs: typing.Any) -> None:
@@ -110,14 +113,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Report:
-    """What an instance tells its peers: its acknowledgement and its counts."""
+    """Acknowledged view and requests in flight of an instance, sent to its peers."""
 
     number: int
     counts: dict[str, int]
 
 
 class _PeerState:
-    """What one instance knows of the others; stands for the membership package."""
+    """Reports that one instance has of its peers; replaces the membership package."""
 
     def __init__(self, world: "World", owner: "Instance") -> None:
         self._world = world
@@ -151,7 +154,7 @@
 
 
 class _Planner:
-    """Stands for the role planner; every instance's has the same mind."""
+    """Fake role planner; those of all instances return the same plan."""
 
     def __init__(self, world: "World") -> None:
         self._world = world
@@ -167,7 +170,7 @@
 
 
 class Instance:
-    """One start of one entry instance."""
+    """One incarnation of an entry instance."""
 
     def __init__(self, world: "World", name: str, incarnation: str) -> None:
         self.name = name
@@ -218,12 +221,12 @@
         ]
 
     def adopt(self, view: views.DomainView) -> None:
-        """Take a view in unless a later one is known."""
+        """Adopt a view unless a later one is known."""
         if self.view is None or view.number > self.view.number:
             self.view = view
 
     def kill(self) -> None:
-        """End without a last word."""
+        """Terminate without notifying anybody."""
         self.alive = False
         for task in self._tasks:
             task.cancel()
@@ -232,8 +235,8 @@
         await self._scheduler.point(self.incarnation, point)
 
     async def _run(self) -> None:
-        # An instance that read the view before the platform listed it could miss a
-        # later one without being counted as missing.
+        # An instance that reads the view before the platform lists it could miss a
+        # later view without being counted among those whose acknowledgement is missing.
         while self.incarnation not in self._world.listed:
             await self._clock.sleep(seeded_scheduler.seconds(0.1))
         while self.view is None:
@@ -281,8 +284,8 @@
                 e for e in ENGINES if e not in withdrawn | (self.leaving or set())
             ]
             if candidates:
-                # Counted in the same step as chosen, or a request could be on its
-                # way in no one's count.
+                # Counted in the step that selects the engine; otherwise a request
+                # could be in transit without being in any instance's count.
                 engine = self._scheduler.random.choice(candidates)
                 self._counts[engine] += 1
                 group.create_task(self._request(engine))
@@ -296,7 +299,7 @@
 
 
 class World:
-    """All parts of one run."""
+    """Instances, engines, links and store of one run."""
 
     def __init__(self, seed: int, safeguards: Safeguards | None = None) -> None:
         self.safeguards = Safeguards() if safeguards is None else safeguards
@@ -307,7 +310,7 @@
         self.table = _Table(
             self.scheduler, self.recorder, self.safeguards.conditional_updates
         )
-        # The lease rests on conditional updates too, so it falls with them.
+        # The lease needs conditional updates too, so it is disabled along with them.
         without_shared_lease = self.scheduler.random.random() < 0.5
         self.lease_per_instance = (
             without_shared_lease or not self.safeguards.conditional_updates
@@ -335,7 +338,7 @@
             self.listed.append(self.instances[name].incarnation)
 
     def start_instance(self, name: str) -> Instance:
-        """Start an instance, or start one again."""
+        """Start a new incarnation of an instance."""
         self._incarnations += 1
         started = Instance(self, name, f"{name}/{self._incarnations}")
         self.instances[name] = started
@@ -343,28 +346,28 @@
         return started
 
     def kill_instance(self, name: str, downtime: datetime.timedelta) -> None:
-        """Kill an instance and start it again after a while."""
+        """Kill an instance and restart it after `downtime`."""
         instance = self.instances[name]
         if instance.alive:
             instance.kill()
             self.scheduler.start(self._restart(instance, downtime))
 
     def submit(self, *, new_versions: bool) -> None:
-        """Put a new document in force, at each instance at a moment of its own."""
+        """Deliver a new document to each instance, each after a delay of its own."""
         self._model_version += new_versions
         self.configuration = self._next_configuration()
         for instance in self.instances.values():
             self.scheduler.start(self._deliver_document(instance, self.configuration))
 
     def change_planned_role(self) -> None:
-        """Change the planner's mind about one engine."""
+        """Change the planned role of one engine at random."""
         engine = self.scheduler.random.choice(ENGINES)
         self.planned_roles[engine] = self.scheduler.random.choice(
             ("prefill", "decode", "mixed")
         )
 
     def settled(self) -> bool:
-        """Tell whether every engine is where the document and the planner want it."""
+        """Tell whether every engine has the models and the role planned for it."""
         return all(
             self._engine_settled(engine)
             for engine in self.configuration.document.engines
@@ -372,7 +375,7 @@
         )
 
     def instance_list(self) -> tuple[store.Instance, ...]:
-        """Return the platform's list; engines matter to it only while leaving."""
+        """Return the platform's list; it names an engine only while that is leaving."""
         if self.leaving_engine is None or not self.safeguards.instance_list:
             return ()
         return (
@@ -388,11 +391,11 @@
     def deliver(
         self, sender: Instance, receiver: Instance, effect: typing.Callable[[], None]
     ) -> None:
-        """Carry a message between instances, late or not at all."""
+        """Deliver a message between instances after a delay, or drop it."""
         self.scheduler.start(self._deliver(sender, receiver, effect))
 
     async def request(self, sender: Instance, engine: str) -> None:
-        """Carry one request to an engine and run it there."""
+        """Send one request to an engine and run it there."""
         self._requests += 1
         name = f"request-{self._requests}"
         delay = self.scheduler.random.choice((0.001, 0.005, 0.3))
@@ -411,7 +414,7 @@
         closed = self.safeguards.late_orders_rejected
         kind = memory_engine.EngineKind(
             checks_fencing=fenced and closed,
-            # Fencing alone must do for an engine that checks it.
+            # For an engine that checks fencing tokens, that check alone must be enough.
             closes_late=not fenced and closed,
             counts_streams=self.safeguards.engine_counts,
             read_timeout_s=_READ_TIMEOUT_S,
--- a/tests/support/fault_matrix.py
+++ b/tests/support/fault_matrix.py
@@ -1,4 +1,4 @@
-"""Contract between the fault matrix and the scenarios that prove a promise."""
+"""Interface between the fault matrix and the proofs of the promises."""
 
 import dataclasses
 import typing
@@ -19,13 +19,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProofRun:
-    """One history and what its checker found.
+    """Result of checking one history.
 
     Attributes:
-        operations: Invocations in the history.
-        unknown: Invocations that ended in "outcome unknown".
-        violations: What the checker rejected, a sentence each.
-        longest_gap_s: Longest time without service, by failure domain.
+        operations: Number of operations in the history.
+        unknown: Number of operations that ended in "outcome unknown".
+        violations: A sentence for each violation that the checker found.
+        longest_gap_s: Longest time without service, in seconds, by failure domain.
     """
 
     promise: int
@@ -38,7 +38,7 @@
 
 
 class Proof(typing.Protocol):
-    """Proves one promise of the brief under the faults that can touch it."""
+    """Checks one promise under the faults that can affect it."""
 
     promise: int
     faults: tuple[str, ...]
@@ -48,6 +48,6 @@
     ) -> ProofRun:
         """Make one seeded history under faults and check it.
 
-        With `safeguards` off, the same logic runs without the safeguard, so that the
-        checker is seen to reject its history.
+        With `safeguards` off, the code runs without the safeguard that ensures the
+        promise. The checker must then reject some history; otherwise it checks nothing.
         """
--- a/tests/support/graceful_stop.py
+++ b/tests/support/graceful_stop.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections while an instance is told to stop."""
+"""Callers with keep-alive connections to an instance that shuts down."""
 
 import dataclasses
 import http.client
@@ -23,11 +23,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Exchange:
-    """One request finished a kept connection.
+    """One request over a keep-alive connection.
 
     Attributes:
-        outcome: `whole`, `refused` with "not run", or what was seen of a cut.
-        closing: Whether the answer asked to leave the connection.
+        outcome: `whole` for a complete response, `refused` for a refusal that says
+            "not run", or else the error or the unexpected response.
+        closing: Whether the response had `connection: close`, or the connection broke.
         after_stop: Whether it was sent after the instance was told to stop.
         ended_at: Monotonic time, in seconds.
     """
@@ -42,21 +43,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopResult:
-    """What a run showed; `exit_code` is that of the stopped instance."""
+    """Requests of a run and the exit code of the instance that was stopped."""
 
     exchanges: tuple[Exchange, ...]
     exit_code: int
 
     @property
     def longest_gap_s(self) -> float:
-        """Longest time in which no caller received an answer."""
+        """Longest time, in seconds, without a complete response to any caller."""
         ends = sorted(e.ended_at for e in self.exchanges if e.outcome == "whole")
         gaps = (later - earlier for earlier, later in itertools.pairwise(ends))
         return max(gaps, default=0.0)
 
 
 class _Caller(threading.Thread):
-    """Sends one request after another, on one connection for as long as it may."""
+    """Sends one request after another, reusing its connection while possible."""
 
     def __init__(
         self,
@@ -80,7 +81,8 @@
             number += 1
             exchange = self._exchange(connection, entry, f"{self.name} {number}")
             if exchange is None or exchange.closing or exchange.outcome != "whole":
-                # The balancer leads the next connection to the other instance.
+                # Stands for a load balancer, which sends new connections to the other
+                # instance.
                 connection.close()
                 entry = "entry-2"
                 connection = self._connect(entry)
@@ -141,7 +143,7 @@
             deltas = (_text(json.loads(e.removeprefix("data: "))) for e in events)
             found = done == "data: [DONE]"
             found = found and "".join(deltas) == callers.expected_text(text, TOKENS)
-        return "whole" if found else f"cut: {raw[-200:]}"
+        return "whole" if found else f"unexpected response: {raw[-200:]}"
 
 
 def _text(body: dict[str, typing.Any]) -> str:
@@ -153,7 +155,12 @@
     *,
     graceful: bool = True,
 ) -> StopResult:
-    """Stop `entry-1` under requests; `inject_faults` runs just before."""
+    """Stop `entry-1` under load, gracefully or by killing it.
+
+    Args:
+        inject_faults: Called just before the stop.
+        graceful: Whether to send a signal to stop; otherwise the process is killed.
+    """
     deployment = deployments.Deployment(
         LAYOUT, engine_settings={"token_s": 0.005, "streams": 64}
     )
--- a/tests/support/order_checkers.py
+++ b/tests/support/order_checkers.py
@@ -1,4 +1,4 @@
-"""Checkers of the promises on orders and planned changes; each reads one history."""
+"""Checkers of the guarantees on orders and planned changes; each reads one history."""
 
 import collections
 from collections import abc
@@ -17,10 +17,10 @@
 
 
 def conflicting_orders(events: Events) -> tuple[str, ...]:
-    """Check that no engine ever receives two orders that contradict each other.
+    """Check that no engine accepts two conflicting orders.
 
-    Two orders conflict if they carry the same number but are not the same, or if one
-    is taken while the engine still carries out another.
+    Two orders conflict if they differ but have the same fencing token, or if one is
+    accepted while the engine still executes the other.
     """
     found: list[str] = []
     by_fence: dict[tuple[str, int], control_history.OrderAccepted] = {}
@@ -34,7 +34,9 @@
             continue
         other = by_fence.setdefault((event.engine, event.fence), event)
         if (other.order, other.target) != (event.order, event.target):
-            found.append(f"{event.engine}: {other} and {event} have one number")
+            found.append(
+                f"{event.engine}: {other} and {event} have the same fencing token"
+            )
         if event.engine in running:
             found.append(f"{event.engine}: {event} during {running[event.engine]}")
         running[event.engine] = event.order
@@ -42,10 +44,11 @@
 
 
 def stale_orders(events: Events) -> tuple[str, ...]:
-    """Check that no order takes effect once its sender has lost the engine.
+    """Check that no order takes effect after a newer one has superseded it.
 
-    At an engine that checks fencing a sender loses it when the engine takes a newer
-    order; at any other engine when a newer order stands in the slot.
+    At an engine that checks fencing tokens, an order is superseded when the engine
+    accepts a newer one; at any other engine, when the slot contains a newer one. An
+    order must also have been pending in its slot before the engine accepts it.
     """
     found: list[str] = []
     newest_taken: collections.Counter[str] = collections.Counter()
@@ -68,16 +71,16 @@
 
 
 def aborted_requests(events: Events) -> tuple[str, ...]:
-    """Check that no request is broken off by an order."""
+    """Check that no order aborts a request."""
     return tuple(
-        f"{event.engine}: {event.request} was cut at {event.at}"
+        f"{event.engine}: {event.request} was aborted at {event.at}"
         for event in events
         if isinstance(event, control_history.StreamAborted) and event.cause == "order"
     )
 
 
 def late_work(events: Events, allowed_s: float) -> tuple[str, ...]:
-    """Check that a leaving server gets no new work after `allowed_s`."""
+    """Check that a leaving server receives no new requests after `allowed_s`."""
     known: dict[tuple[str, str], float] = {}
     found: list[str] = []
     for event in events:
@@ -87,12 +90,14 @@
             continue
         since = known.get((event.engine, event.sender))
         if since is not None and event.at > since + allowed_s:
-            found.append(f"{event} came {event.at - since:.1f} s after it was known")
+            found.append(
+                f"{event} came {event.at - since:.1f} s after the sender could know it"
+            )
     return tuple(found)
 
 
 def longest_gap(events: Events, end: float) -> float:
-    """Return the longest time in which no request began at any engine."""
+    """Return the longest time, in seconds, without a request starting anywhere."""
     times = [
         event.at for event in events if isinstance(event, control_history.StreamStarted)
     ]
--- a/tests/support/order_driver.py
+++ b/tests/support/order_driver.py
@@ -1,10 +1,10 @@
-"""A process that gives one order, and can freeze itself between two steps of it.
+"""A process that sends one order and can freeze itself between two steps of it.
 
 It takes `--settings FILE`: `instance`, `failure_domain`, the platform's `address`, the
 `engine` as in the fleet document, the `role` to order, and `freeze_at`: `opened`
-(connected, slot untouched), `pending` (slot updated, nothing sent) or nothing. It ends
+(connected, slot unchanged), `pending` (slot updated, nothing sent) or empty. It exits
 once the engine has its role and the slot is settled, or another process has taken the
-slot over, and prints what came of it.
+slot over, and prints the outcome.
 """
 
 import argparse
@@ -34,7 +34,7 @@
 
 
 class _FreezingClient:
-    """Freezes the process where the settings ask for it."""
+    """Freezes the process at the step given by `freeze_at`."""
 
     def __init__(self, inner: order_client.HttpOrderClient, freeze_at: str) -> None:
         self._inner = inner
@@ -90,7 +90,7 @@
         self._order_sender = orders.OrderSender(self._slots, self._client, self._sender)
 
     async def run(self) -> str:
-        """Return the last outcome."""
+        """Run until the order has an outcome and return it."""
         last_version, last_change = -1, self._clock.monotonic()
         while True:
             slot = await self._slots.read(self._engine.name)
@@ -130,7 +130,7 @@
             slot, self._engine, self._target, "test", 1, fence
         )
         outcome = await self._order_sender.send(request)
-        # A process that was frozen tells what became of its attempt and ends.
+        # A process that was frozen makes one attempt, reports its outcome and exits.
         return type(outcome).__name__ if self._once else None
 
 
--- a/tests/support/proofs/__init__.py
+++ b/tests/support/proofs/__init__.py
@@ -1,1 +1,1 @@
-"""Proofs of the promises, one module each."""
+"""Proofs of the promises, one module each; `tests.faults` runs them."""
--- a/tests/support/proofs/promise_1.py
+++ b/tests/support/proofs/promise_1.py
@@ -1,4 +1,4 @@
-"""Promise 1: an engine never receives conflicting orders, and comes to rest."""
+"""Promise 1: an engine never accepts conflicting orders and settles after faults."""
 
 from tests.support import (
     control_faults,
@@ -15,7 +15,10 @@
     conflicts = order_checkers.conflicting_orders(done.events)
     if done.settled:
         return conflicts
-    return (*conflicts, "the engines did not come to their intended state")
+    return (
+        *conflicts,
+        "the engines did not reach their planned state after the faults ended",
+    )
 
 
 PROOF: fault_matrix.Proof = control_proof.ControlProof(
--- a/tests/support/proofs/promise_2.py
+++ b/tests/support/proofs/promise_2.py
@@ -1,4 +1,4 @@
-"""Promise 2: no request is cut off by a planned change."""
+"""Promise 2: no planned change aborts a request."""
 
 from tests.support import (
     control_faults,
--- a/tests/support/proofs/promise_3.py
+++ b/tests/support/proofs/promise_3.py
@@ -1,4 +1,4 @@
-"""Promise 3: orders from a process that has lost its authority have no effect."""
+"""Promise 3: an order from a process that has been superseded has no effect."""
 
 from tests.support import (
     control_faults,
--- a/tests/support/proofs/promise_4.py
+++ b/tests/support/proofs/promise_4.py
@@ -1,8 +1,9 @@
-"""Promise 4: a caller receives the whole answer to its own request.
+"""Promise 4: a caller receives the complete response to its own request.
 
-Streams are proved with the product's reader and resumption on engines that crash,
-freeze, cut, repeat and cross their answers; answers of services with keyed calls that
-are retried through several instances.
+Streams are checked with the production parser and stream resumption, on engines that
+crash, freeze, truncate streams, duplicate tokens and send events of other streams.
+Responses of services are checked with calls that have idempotency keys and are retried
+through several instances.
 """
 
 from tests.support import fault_matrix, request_history, request_parts
--- a/tests/support/proofs/promise_5.py
+++ b/tests/support/proofs/promise_5.py
@@ -1,4 +1,4 @@
-"""Promise 5: a refusal that says "not run" is true."""
+"""Promise 5: a request that is refused as "not run" did not run."""
 
 from tests.support import fault_matrix, request_history, request_parts
 from tests.support import request_world as calls
--- a/tests/support/proofs/promise_6.py
+++ b/tests/support/proofs/promise_6.py
@@ -1,4 +1,4 @@
-"""Promise 6: a request that may not be repeated runs at most once."""
+"""Promise 6: a request that must not be repeated runs at most once."""
 
 from tests.support import fault_matrix, request_history, request_parts, request_world
 
@@ -14,7 +14,7 @@
     def run(
         self, faults: tuple[str, ...], seed: int, *, safeguards: bool = True
     ) -> fault_matrix.ProofRun:
-        """Make one history of keyed calls, retried through several instances."""
+        """Make and check one history of retried calls with idempotency keys."""
         switches = request_parts.Safeguards(claims=safeguards)
         called = request_world.run(faults, seed, switches)
         return fault_matrix.ProofRun(
--- a/tests/support/proofs/promise_7.py
+++ b/tests/support/proofs/promise_7.py
@@ -1,4 +1,4 @@
-"""Promise 7: a leaving backend server gets no new work after a few seconds."""
+"""Promise 7: a leaving backend server gets no new requests after a few seconds."""
 
 from tests.support import (
     control_faults,
@@ -10,7 +10,7 @@
 
 __all__ = ["PROOF"]
 
-# On top of the time that the instance has had to read the platform's list.
+# In addition to the time an instance has for reading the platform's list.
 _ALLOWED_S = 3.0
 
 
--- a/tests/support/proofs/promise_8.py
+++ b/tests/support/proofs/promise_8.py
@@ -1,7 +1,7 @@
-"""Promise 8: a planned stop is a graceful shutdown: it broken_requests no request.
+"""Promise 8: a planned stop is a graceful shutdown that breaks no request.
 
-Real processes, since signals and sockets matter: callers send one request after
-another on kept connections while their instance is told to stop.
+Runs real processes, since signals and sockets matter. Callers send one request after
+another on keep-alive connections while their instance shuts down.
 """
 
 import random
@@ -25,7 +25,7 @@
     def run(
         self, faults: tuple[str, ...], seed: int, *, safeguards: bool = True
     ) -> fault_matrix.ProofRun:
-        """Stop an instance under requests; without the safeguard it is killed."""
+        """Stop an instance under load; with `safeguards` off, kill it instead."""
         rng = random.Random(seed)
 
         def inject_faults(deployment: deployments.Deployment) -> None:
@@ -45,14 +45,14 @@
 
 
 def broken_requests(result: graceful_stop.StopResult) -> tuple[str, ...]:
-    """Reject a request that ended in anything but its answer or a true refusal."""
+    """Reject a request that got neither its complete response nor a refusal."""
     broken = tuple(
         f"{e.kind} at {e.entry}: {e.outcome}"
         for e in result.exchanges
         if e.outcome not in ("whole", "refused")
     )
     if result.exit_code != 0:
-        broken += (f"the instance ended with {result.exit_code}",)
+        broken += (f"the instance exited with code {result.exit_code}",)
     return broken
 
 
--- a/tests/support/proofs/promise_9.py
+++ b/tests/support/proofs/promise_9.py
@@ -17,7 +17,7 @@
 
 
 class ConfigurationInForce:
-    """Operators submit while instances, links and the store fail."""
+    """See `fault_matrix.Proof`; faults occur while operators submit documents."""
 
     promise = 9
     faults = (
@@ -43,7 +43,7 @@
         seed: int,
         safeguards: config_world.Safeguards,
     ) -> fault_matrix.ProofRun:
-        """Make one history with some of the safeguards."""
+        """Make one history with the given safeguards and check it."""
         history = asyncio.run(_history(faults, seed, safeguards))
         unknown = sum(
             result.outcome == config_history.UNKNOWN for result in history.results
@@ -86,7 +86,7 @@
         )
         expected = await _current_number(world)
         if "reply_lost" in faults and number == _SUBMISSIONS - 1:
-            # Its head takes effect only later, and no other submission comes before.
+            # The write of its head takes effect late, with no submission in between.
             scheduler.add_hook(_HEAD_WRITE, 1, lambda _: _write_late(world))
         for rival in range(2 if race else 1):
             scheduler.start(
@@ -145,7 +145,7 @@
 
 
 def _lose_reply(world: config_world.ConfigWorld) -> None:
-    """Lose the answer to the write under way; it takes effect now or later."""
+    """Lose the response to the current write, which takes effect now or later."""
     if world.scheduler.random.random() < 0.5:
         world.faults.lost_replies += 1
     else:
--- a/tests/support/raw_server.py
+++ b/tests/support/raw_server.py
@@ -1,4 +1,4 @@
-"""A server that answers with bytes from a script, for answers that go wrong."""
+"""A server that sends scripted bytes, to test malformed and truncated responses."""
 
 import asyncio
 import contextlib
@@ -13,11 +13,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ScriptedResponse:
-    """What to do with one request.
+    """Response to one request.
 
     Attributes:
         raw: Bytes to send.
-        delay_s: Wait before sending them.
+        delay_s: Seconds to wait before sending them.
         close: Whether to close the connection afterwards.
     """
 
@@ -27,7 +27,7 @@
 
 
 def http_response(body: bytes, status: str = "200 OK") -> bytes:
-    """Return a whole HTTP answer."""
+    """Return a complete HTTP response."""
     return b"HTTP/1.1 %s\r\ncontent-length: %d\r\n\r\n%s" % (
         status.encode(),
         len(body),
@@ -36,7 +36,7 @@
 
 
 class RawServer:
-    """Answers the n-th request with the n-th answer of its script.
+    """Responds to the n-th request with the n-th response of its script.
 
     Attributes:
         requests: For each request, the number of its connection and its body.
--- a/tests/support/request_history.py
+++ b/tests/support/request_history.py
@@ -1,4 +1,4 @@
-"""What callers and services saw of requests, and the checkers of it."""
+"""Histories of requests as callers and services observed them, and their checkers."""
 
 import collections
 import dataclasses
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Invocation:
-    """A caller sent an attempt; several may carry one key."""
+    """A caller sent an attempt; several attempts may have the same key."""
 
     request: str
     key: str
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """A backend server ran an attempt of a key."""
+    """A backend server ran an attempt."""
 
     request: str
     key: str
@@ -39,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """A caller received an answer."""
+    """A caller received a response."""
 
     request: str
     text: str
@@ -56,21 +56,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResponseLost:
-    """The caller's connection broke, so it heard nothing."""
+    """The caller's connection broke, so it received no response."""
 
     request: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamResult:
-    """What a caller saw of a streamed answer.
+    """What a caller received of a streamed response.
 
     Attributes:
-        ended: Whether the end marker came.
-        refused: Whether a refusal came as the last record.
-        late_by: Seconds that the refusal came after the deadline, or after the caller
-            itself was ready to read it; negative before.
-        records_after: Events after the final one.
+        ended: Whether the end marker was received.
+        refused: Whether the last event was a refusal.
+        late_by: Seconds from the deadline, or from when the caller was ready to read
+            if that was later, to the refusal; negative if it came earlier or
+            there was none.
+        records_after: Number of events after the final one.
     """
 
     request: str
@@ -97,12 +98,12 @@
 
     @property
     def operations(self) -> int:
-        """Attempts of callers."""
+        """Number of attempts by callers."""
         return sum(isinstance(e, Invocation | StreamResult) for e in self.events)
 
     @property
     def unknown(self) -> int:
-        """Attempts that were answered with "outcome unknown"."""
+        """Number of attempts that ended in "outcome unknown"."""
         return sum(
             isinstance(e, Refused) and e.execution is results.Execution.UNKNOWN
             for e in self.events
@@ -110,7 +111,7 @@
 
 
 def at_most_once(history: RequestHistory) -> tuple[str, ...]:
-    """Reject a key that ran twice, over all its attempts."""
+    """Reject a key that ran more than once over all its attempts."""
     runs = collections.Counter(e.key for e in history.events if isinstance(e, Run))
     return tuple(f"{key} ran {n} times" for key, n in sorted(runs.items()) if n > 1)
 
@@ -128,7 +129,7 @@
 
 
 def responses_match_keys(history: RequestHistory) -> tuple[str, ...]:
-    """Reject an answer that is not the answer of a run of the attempt's own key."""
+    """Reject a response that no run of the attempt's own key produced."""
     keys = {e.request: e.key for e in history.events if isinstance(e, Invocation)}
     responses = collections.defaultdict(set)
     for event in history.events:
@@ -142,7 +143,7 @@
 
 
 def streams_are_complete(history: RequestHistory) -> tuple[str, ...]:
-    """Reject a stream that is not whole, or not a prefix and then a final refusal."""
+    """Reject a stream that is neither complete nor a prefix and a final refusal."""
     return tuple(
         f"{seen.request}: {fault}"
         for seen in history.events
@@ -155,11 +156,11 @@
 
 def _fault(seen: StreamResult) -> str | None:
     if seen.records_after:
-        return "events after the final one"
+        return "received events after the final one"
     if seen.late_by > _LATE_LIMIT_S:
-        return f"the final answer came {seen.late_by:.1f} s past the deadline"
+        return f"the refusal came {seen.late_by:.1f} s past the deadline"
     if seen.ended == seen.refused:
-        return "not exactly one final record"
+        return "did not receive exactly one final event"
     if seen.ended and seen.text != seen.expected:
         return f"ended with {seen.text!r} instead of {seen.expected!r}"
     if not seen.expected.startswith(seen.text):
--- a/tests/support/request_world.py
+++ b/tests/support/request_world.py
@@ -1,4 +1,4 @@
-"""A seeded world of callers that retry keyed calls while faults come and go."""
+"""Simulates callers that retry calls with idempotency keys under transient faults."""
 
 import asyncio
 import datetime
@@ -44,7 +44,7 @@
 
 
 async def _caller(world: _World, number: int) -> None:
-    """Use one key, with retries here and there, at once or much later."""
+    """Use one key, retried through several instances, at once or much later."""
     rng = world.random
     await asyncio.sleep(rng.uniform(0, _FAULT_SPAN_S))
     key = f"key-{number}"
@@ -93,7 +93,7 @@
     work = asyncio.create_task(world.any_instance().serve(call))
     done, _ = await asyncio.wait((work,), timeout=client_timeout)
     if not done:
-        # The caller has gone; the instance goes on and finds nobody there.
+        # The caller has disconnected; the instance still completes the call.
         world.history.add(request_history.ResponseLost(request))
         return
     world.history.add(_seen(request, work.result()))
@@ -113,9 +113,9 @@
 
 
 async def _kill(world: _World) -> None:
-    """Kill an instance, often in the middle of its most delicate steps.
+    """Kill an instance, often between two steps of a claim or a dispatch.
 
-    Now and then it is told to stop before, and gets as far as its last record.
+    In 30 % of cases it first shuts down gracefully, up to writing its final record.
     """
     if world.random.random() < 0.3:
         stopping = world.any_instance()
@@ -138,14 +138,14 @@
 
 
 async def _freeze(world: _World) -> None:
-    """Freeze an instance, often between its claim and its first byte."""
+    """Freeze an instance, often between its claim and the first byte it sends."""
     point = world.random.choice(("put claims", "put claims done", "send", "answered"))
     length = world.random.choice((0.5, 5.0, 30.0))
     world.traps.append((point, lambda instance: instance.freeze(length)))
 
 
 async def _cut(world: _World) -> None:
-    """Cut a link, that to servers while a call is on its way."""
+    """Cut a link; links to servers are cut while a call is in transit."""
     link = world.random.choice(("store", "server", "instance"))
     instance, other = world.any_instance(), world.any_instance()
     length = world.random.uniform(0.5, 6.0)
@@ -183,7 +183,7 @@
 
 
 async def _reply_lost(world: _World) -> None:
-    """Lose answers of the store, of its late writes and of servers."""
+    """Lose responses of the store and of servers, and delay writes of the store."""
     world.store_faults.lost_replies += world.random.randint(1, 3)
     world.store_faults.late_writes += world.random.randint(0, 2)
     for server in world.servers.values():
@@ -194,7 +194,7 @@
     server = world.any_server()
     server.slow_s = world.random.choice((0.0, 0.5, 20.0))
     server.refusals += world.random.randint(0, 2)
-    # The next call at each server is run and not answered.
+    # Each server runs its next call without responding.
     for each in world.servers.values():
         each.crashes = 1
     await asyncio.sleep(world.random.uniform(0.1, 2.0))
@@ -227,8 +227,8 @@
     done, pending = await asyncio.wait(tasks, timeout=_HORIZON_S)
     for task in done:
         task.result()
-    assert not pending, "callers or faults that never ended"
-    # Late runs and late writes still count.
+    assert not pending, "callers or faults did not finish within the time limit"
+    # Late runs and late writes belong to the history too.
     await asyncio.sleep(120.0)
     return world.history
 
@@ -237,6 +237,6 @@
     faults: tuple[str, ...], seed: int, safeguards: request_parts.Safeguards
 ) -> request_history.RequestHistory:
     """Return the history of one seeded run under faults."""
-    # The jitter of pauses in the code under test comes from here.
+    # The code under test draws the jitter of its backoff from the global generator.
     random.seed(seed)
     return virtual_time.run(_history(faults, seed, safeguards))
--- a/tests/support/restartable_store.py
+++ b/tests/support/restartable_store.py
@@ -1,4 +1,4 @@
-"""A stand-in that is served in this process so that it can stop and start again."""
+"""Serves a stand-in from the test process, so that tests can stop and restart it."""
 
 import asyncio
 import contextlib
@@ -12,16 +12,16 @@
 
 
 class RestartableStore:
-    """What the store holds outlives its being served.
+    """An HTTP server for a stand-in whose state survives restarts.
 
     Args:
-        platform: What it holds.
-        host, port: Where it is served.
-        build: Returns the application that serves it.
+        state: State of the stand-in; its `table` contains the objects.
+        host, port: Address to listen on.
+        build: Returns the application that serves the state.
     """
 
-    def __init__(self, held, host, port, build=platform.build):
-        self._platform = held
+    def __init__(self, state, host, port, build=platform.build):
+        self._state = state
         self._build = build
         self._host = host
         self._port = port
@@ -30,13 +30,13 @@
 
     @property
     def is_running(self):
-        """Whether it is served."""
+        """Whether the server is running."""
         return self._server is not None
 
     async def start(self):
-        """Serve the store."""
+        """Start the server and wait until it accepts connections."""
         config = uvicorn.Config(
-            self._build(self._platform),
+            self._build(self._state),
             host=self._host,
             port=self._port,
             log_config=None,
@@ -49,10 +49,10 @@
             if self._server.started:
                 return
             await asyncio.sleep(POLL_S)
-        raise TimeoutError("the store did not start")
+        raise TimeoutError(f"the store did not start within {START_TIMEOUT_S} s")
 
     async def stop(self):
-        """Cut every connection and stop serving; does nothing if it is not served."""
+        """Abort every connection and stop; has no effect if it is not running."""
         if self._server is None:
             return
         server, self._server = self._server, None
@@ -63,7 +63,7 @@
         await self._task
 
     async def write(self, kind, name, spec):
-        """Write an object as its owner would."""
-        current = self._platform.table.get(kind, name)
+        """Write an object directly to the table, whatever its version."""
+        current = self._state.table.get(kind, name)
         version = 0 if current is None else current.version
-        await self._platform.table.put(kind, name, spec, version)
+        await self._state.table.put(kind, name, spec, version)
--- a/tests/support/seeded_scheduler.py
+++ b/tests/support/seeded_scheduler.py
@@ -1,8 +1,8 @@
-"""Runs tasks of several actors in an order that a seed decides, on a manual clock.
+"""Runs tasks of several actors in an order that a seed determines, on a manual clock.
 
-Whatever an actor waits for ends in a *point*, where it can be paused back. Between two
-points its code runs in one go, so a schedule of points is a schedule of everything
-that can interleave, and an actor paused at a point is a process that was frozen there.
+Each wait of an actor ends in a scheduling point, at which the actor can be paused. Its
+code runs without interruption between two points, so the order of points determines
+every possible interleaving, and an actor paused at a point models a frozen process.
 """
 
 import asyncio
@@ -23,16 +23,16 @@
 
 
 def seconds(number: float) -> datetime.timedelta:
-    """Return a duration."""
+    """Return a duration of `number` seconds."""
     return datetime.timedelta(seconds=number)
 
 
 class SchedulerClock(clock.ManualClock):
-    """A manual clock that knows when its next sleeper is due."""
+    """A manual clock that reports when its next sleep ends."""
 
     @property
     def next_wake(self) -> datetime.timedelta | None:
-        """Time of the next sleeper, or None."""
+        """Time at which the next sleep ends, or None."""
         return self._sleepers[0][0] if self._sleepers else None
 
 
@@ -44,7 +44,7 @@
 
 
 class Scheduler:
-    """Decides which actor goes on next."""
+    """Determines which actor runs next."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -70,28 +70,31 @@
         return task
 
     def is_frozen(self, actor: str) -> bool:
-        """Tell whether an actor is being paused back."""
+        """Tell whether an actor is frozen."""
         return actor in self._frozen
 
     def freeze(self, actor: str, duration: datetime.timedelta) -> None:
-        """Hold an actor back for a time."""
+        """Freeze an actor for a time; has no effect if it is already frozen."""
         if actor in self._frozen:
             return
         self._frozen.add(actor)
         self.start(self._thaw(actor, duration))
 
     def call_soon(self, action: typing.Callable[[], None]) -> None:
-        """Do something once the task that now runs has come to its next point."""
+        """Call `action` once the running task has reached its next point."""
         asyncio.get_running_loop().call_soon(action)
 
     def add_hook(
         self, point: str, count: int, action: typing.Callable[[str], None]
     ) -> None:
-        """Call `action` with the actor that passes a point for the n-th time."""
+        """Call `action` with the actor that reaches `point` after `count` - 1 others.
+
+        Passes before this call do not count.
+        """
         self._hooks.append((point, self._passed[point] + count, action))
 
     async def point(self, actor: str, name: str) -> None:
-        """Let the schedule decide when the actor goes on."""
+        """Pause the actor until the scheduler resumes it."""
         self._passed[name] += 1
         for hook in list(self._hooks):
             if hook[0] == name and hook[1] <= self._passed[name]:
@@ -108,7 +111,7 @@
     async def run_until(
         self, end: float, done: typing.Callable[[], bool] = lambda: False
     ) -> None:
-        """Run until a time in seconds, or until `done`."""
+        """Run until the time `end`, in seconds, or until `done` returns True."""
         while self.now < end and not done():
             for _ in range(_YIELDS_PER_STEP):
                 await asyncio.sleep(0)
@@ -127,7 +130,7 @@
             self.time.advance(max(step, _STEP_TIME))
 
     async def end(self) -> None:
-        """End every task."""
+        """Cancel every task."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -139,13 +142,13 @@
 
     def _on_task_done(self, task: asyncio.Task[typing.Any]) -> None:
         self._tasks.discard(task)
-        # A failure in a task is a fault of the code under test or of the test.
+        # No task may fail: an exception is an error in the tested code or in the test.
         if not task.cancelled() and (error := task.exception()) is not None:
             raise error
 
 
 class ActorClock:
-    """The clock of one actor: its sleeps end in a point."""
+    """The clock of one actor; its sleeps end in a scheduling point."""
 
     def __init__(self, scheduler: Scheduler, actor: str) -> None:
         self._scheduler = scheduler
--- a/tests/support/slow_store.py
+++ b/tests/support/slow_store.py
@@ -1,4 +1,4 @@
-"""A store over a raw socket whose response for one object is delayed or truncated."""
+"""A store on a raw socket that delays or truncates the response for one object."""
 
 import asyncio
 import dataclasses
@@ -11,12 +11,12 @@
 
 @dataclasses.dataclass(slots=True)
 class SlowStore:
-    """Answers each read with the name that was asked for.
+    """Responds to each read with the requested name.
 
     Attributes:
-        delayed: Name whose answer comes delayed.
-        truncated: Name whose answer ends in the middle of its headers.
-        writes: Writes that arrived; the connection of each ends without an answer.
+        delayed: Name whose response is delayed by `DELAY_S`.
+        truncated: Name whose response ends within its headers.
+        writes: Number of writes received; each closes its connection without response.
     """
 
     delayed: str = ""
--- a/tests/support/stream_world.py
+++ b/tests/support/stream_world.py
@@ -1,7 +1,7 @@
-"""A seeded world of completions on engines whose streams go wrong in every way.
+"""Simulates completions on engines with faulty streams, scheduled by a seed.
 
-What the engines write is read by the product's own reader of events; the world only
-takes the place of the socket.
+The engines' bytes are parsed by the production event parser; the simulation replaces
+only the socket.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Engine:
-    """One engine; the counts say how many of the next streams go wrong."""
+    """One engine; each counter is the number of coming streams with that fault."""
 
     name: str
     frozen_until: float = 0.0
@@ -58,7 +58,7 @@
 
 
 class _RandomSelector:
-    """Chooses an engine at random, so that faulty ones are met."""
+    """Selects an engine at random, so that faulty ones are used too."""
 
     def __init__(self, world: _World) -> None:
         self._world = world
@@ -87,7 +87,7 @@
     def prefill_engine(
         self, completion: completion_stream.Completion
     ) -> schema.Engine | None:
-        """Leave the prompt to the engine that answers."""
+        """Return None: the prompt is prefilled on the decode engine."""
         return None
 
     def prefill_ended(self, completion: completion_stream.Completion) -> None:
@@ -108,7 +108,7 @@
 
 
 class _Response:
-    """What the product reads of an engine's HTTP answer."""
+    """The part of an engine's HTTP response that the client reads."""
 
     def __init__(self, body: abc.AsyncGenerator[bytes, None]) -> None:
         self._body = body
@@ -118,7 +118,7 @@
 
 
 class _EngineStreams:
-    """See `completion_stream.EngineStreams`; the request's id stands in its prompt."""
+    """See `completion_stream.EngineStreams`; a prompt begins with its request's id."""
 
     def __init__(self, world: _World) -> None:
         self._world = world
@@ -199,9 +199,9 @@
 async def _unchecked_events(
     response: typing.Any, dispatch: engine_client.Dispatch
 ) -> abc.AsyncGenerator[outcomes.EngineEvent, None]:
-    """Read events without the checks of their dispatch, place and length.
+    """Parse events without checking their dispatch, offset and length.
 
-    Nor is an offset asked for, so a stream that broke begins again.
+    No offset is requested either, so a broken stream starts again at its first token.
     """
     pending = b""
     try:
@@ -243,7 +243,7 @@
         if isinstance(event, completion_stream.Delta):
             text += event.text
             if rng.random() < 0.02:
-                # A caller that is slow to read holds up nothing but its own answer.
+                # A slow reader must delay nothing but its own response.
                 await asyncio.sleep(3.0)
                 ready_at = max(deadline, world.time.monotonic())
         else:
@@ -269,7 +269,7 @@
 
 
 async def _kill(world: _World) -> None:
-    """Crash an engine in the middle of its streams."""
+    """Crash an engine during its streams."""
     found = world.any_engine()
     found.down = True
     await asyncio.sleep(world.random.uniform(0.1, 3.0))
@@ -282,13 +282,13 @@
 
 
 async def _cut(world: _World) -> None:
-    """Cut streams so that they end without their marker, or with a gap."""
+    """Truncate streams before their end marker, or omit one of their events."""
     world.any_engine().cut += 3
     world.any_engine().gaps += 3
 
 
 async def _reply_lost(world: _World) -> None:
-    """Let late answers of others, and tokens twice, come in a stream."""
+    """Insert events of other streams, and duplicate tokens, into streams."""
     for found in world.engines.values():
         found.misdirected += world.random.randint(0, 3)
         found.repeated += world.random.randint(0, 3)
@@ -327,7 +327,7 @@
     done, pending = await asyncio.wait(tasks, timeout=_HORIZON_S)
     for task in done:
         task.result()
-    assert not pending, "completions or faults that never ended"
+    assert not pending, "completions or faults did not finish within the time limit"
     return world.history
 
 
--- a/tests/support/virtual_time.py
+++ b/tests/support/virtual_time.py
@@ -1,6 +1,6 @@
-"""An event loop whose time jumps to the next timer instead of waiting for it.
+"""An event loop whose time advances to the next timer instead of waiting for it.
 
-What runs on it is deterministic and takes no time to wait, timeouts included.
+Code on it runs deterministically; its sleeps and timeouts take no real time.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
     def select(self, timeout: float | None = None) -> typing.Any:
         if timeout is None:
-            raise RuntimeError("every task waits for something that can't happen")
+            raise RuntimeError("deadlock: all tasks wait and no timer is set")
         if timeout > 0:
             self.elapsed += timeout + _ROUNDING
         return super().select(0)
@@ -34,12 +34,12 @@
         super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        """Return the seconds that have passed in virtual time."""
+        """Return the virtual time in seconds."""
         return self._virtual_selector.elapsed
 
 
 class LoopClock:
-    """`clock.Clock` by the time of the running loop."""
+    """A `clock.Clock` that reads the time of the running loop."""
 
     def now(self) -> datetime.datetime:
         """See `clock.Clock.now`."""
