--- a/tests/support/control_faults.py
+++ b/tests/support/control_faults.py
@@ -12,8 +12,8 @@
 FAULTS_UNTIL_S = 30.0
 SETTLED_WITHIN_S = 90.0
 _ROUNDS = 3
-# Points at which faults are injected. Steps of an order are listed more than once to
-# make them more likely: there a fault between two steps does the most harm.
+# Points at which faults are injected. Steps of an order make up more of the list than
+# of all points, because a fault between two of these steps matters most.
 _POINTS = (
     "send",
     "send",
