--- a/standins/memory_engine.py
+++ b/standins/memory_engine.py
@@ -9,7 +9,7 @@
 
 from pimentolatch import settings
 from pimentolatch.backend import order_client
-from tests.support import history, schedule
+from tests.support import control_history, seeded_scheduler
 
 __all__ = ["EngineKind", "Links", "MemoryEngine", "MemoryOrderClient"]
 
@@ -48,14 +48,14 @@
         self,
         name: str,
         kind: EngineKind,
-        plan: schedule.Schedule,
-        recorder: history.Recorder,
+        scheduler: seeded_scheduler.Scheduler,
+        recorder: control_history.Recorder,
         models: tuple[tuple[str, str], ...],
     ) -> None:
         self.name = name
         self.kind = kind
         self.up = True
-        self._plan = plan
+        self._scheduler = scheduler
         self._recorder = recorder
         self._initial_models = models
         self.crashes_during_change = 0
@@ -88,8 +88,10 @@
             return
         self.up = False
         self._cut("crash")
-        self._recorder.add(history.EngineEnded(self._plan.now, self.name))
-        await self._plan.time.sleep(downtime)
+        self._recorder.add(
+            control_history.EngineCrashed(self._scheduler.now, self.name)
+        )
+        await self._scheduler.time.sleep(downtime)
         self._start()
         self.up = True
 
@@ -103,14 +105,18 @@
             return None
         cut = self.streams[request] = asyncio.Event()
         self._recorder.add(
-            history.StreamBegan(self._plan.now, self.name, request, sender)
+            control_history.StreamStarted(
+                self._scheduler.now, self.name, request, sender
+            )
         )
         return cut
 
     def end_stream(self, request: str) -> None:
         """Record the end of a request; no effect if it was cut."""
         if self.streams.pop(request, None) is not None:
-            self._recorder.add(history.StreamEnded(self._plan.now, self.name, request))
+            self._recorder.add(
+                control_history.StreamEnded(self._scheduler.now, self.name, request)
+            )
 
     async def handle_order(
         self, body: dict[str, typing.Any], opened_at: float
@@ -118,7 +124,7 @@
         """Handle an order whose last byte has just arrived on a connection."""
         if (
             self.kind.rejects_late_orders
-            and self._plan.now > opened_at + self.kind.read_timeout_s
+            and self._scheduler.now > opened_at + self.kind.read_timeout_s
         ):
             return order_client.Refused("too slow")
         if self.kind.checks_fencing and body["fence"] < self.fence:
@@ -136,8 +142,8 @@
         self.last_order = body["order"]
         target = {"role": body["role"], "models": body["models"]}
         self._recorder.add(
-            history.OrderTaken(
-                self._plan.now,
+            control_history.OrderAccepted(
+                self._scheduler.now,
                 self.name,
                 body["order"],
                 body["fence"],
@@ -150,25 +156,35 @@
         self._cut("order")
         if self.crashes_during_change > 0:
             self.crashes_during_change -= 1
-            self._plan.start(self._crash_soon())
-        await self._plan.time.sleep(schedule.seconds(self.kind.change_s))
+            self._scheduler.start(self._crash_soon())
+        await self._scheduler.time.sleep(seeded_scheduler.seconds(self.kind.change_s))
         if self.incarnation != incarnation or not self.up:
             return order_client.Unreachable("crashed")
         self.role = body["role"]
         self.models = tuple(sorted(body["models"].items()))
         self.changing = False
-        self._recorder.add(history.OrderDone(self._plan.now, self.name, body["order"]))
+        self._recorder.add(
+            control_history.OrderCompleted(
+                self._scheduler.now, self.name, body["order"]
+            )
+        )
         return order_client.Taken(self.state())
 
     async def _crash_soon(self) -> None:
-        fraction = self._plan.random.uniform(0.1, 0.9)
-        await self._plan.time.sleep(schedule.seconds(fraction * self.kind.change_s))
-        await self.crash(schedule.seconds(self._plan.random.uniform(0.5, 4)))
+        fraction = self._scheduler.random.uniform(0.1, 0.9)
+        await self._scheduler.time.sleep(
+            seeded_scheduler.seconds(fraction * self.kind.change_s)
+        )
+        await self.crash(
+            seeded_scheduler.seconds(self._scheduler.random.uniform(0.5, 4))
+        )
 
     def _cut(self, cause: str) -> None:
         for request, cut in self.streams.items():
             self._recorder.add(
-                history.StreamCut(self._plan.now, self.name, request, cause)
+                control_history.StreamAborted(
+                    self._scheduler.now, self.name, request, cause
+                )
             )
             cut.set()
         self.streams.clear()
@@ -196,12 +212,12 @@
     def __init__(
         self,
         actor: str,
-        plan: schedule.Schedule,
+        scheduler: seeded_scheduler.Scheduler,
         engines: dict[int, MemoryEngine],
         links: Links,
     ) -> None:
         self._actor = actor
-        self._plan = plan
+        self._scheduler = scheduler
         self._engines = engines
         self._links = links
 
@@ -210,10 +226,10 @@
     ) -> order_client.EngineState | order_client.Unreachable:
         """See `orders.OrderClient.state`."""
         engine = self._engines[address.port]
-        await self._plan.point(self._actor, "state")
+        await self._scheduler.point(self._actor, "state")
         state = engine.state()
         reached = engine.up and self._is_connected(engine)
-        await self._plan.point(self._actor, "state seen")
+        await self._scheduler.point(self._actor, "state seen")
         return state if reached else order_client.Unreachable("no response")
 
     async def open(
@@ -221,11 +237,11 @@
     ) -> order_client.Attempt | order_client.Unreachable:
         """See `orders.OrderClient.open`."""
         engine = self._engines[address.port]
-        await self._plan.point(self._actor, "open")
+        await self._scheduler.point(self._actor, "open")
         if not engine.up or not self._is_connected(engine):
             return order_client.Unreachable("no connection")
-        attempt = _Attempt(self, engine, body, self._plan.now)
-        await self._plan.point(self._actor, "opened")
+        attempt = _Attempt(self, engine, body, self._scheduler.now)
+        await self._scheduler.point(self._actor, "opened")
         return attempt
 
     def _is_connected(self, engine: MemoryEngine) -> bool:
@@ -234,19 +250,21 @@
 
     async def exchange(self, attempt: "_Attempt") -> order_client.Sent:
         """Send the order and wait for the response."""
-        await self._plan.point(self._actor, "send")
+        await self._scheduler.point(self._actor, "send")
         # Once sent, the bytes are delivered even if the sender is cancelled.
-        delivery = self._plan.start(self._deliver(attempt))
+        delivery = self._scheduler.start(self._deliver(attempt))
         sent: order_client.Sent = await asyncio.shield(delivery)
-        await self._plan.point(self._actor, "sent")
+        await self._scheduler.point(self._actor, "sent")
         if not self._links.can_reach(attempt.engine.name, self._actor):
             return order_client.Unreachable("response lost")
         return sent
 
     async def _deliver(self, attempt: "_Attempt") -> order_client.Sent:
         engine = attempt.engine
-        latency = self._plan.random.choices((0.001, 0.01, 0.2, 3.0), (50, 30, 15, 5))[0]
-        await self._plan.time.sleep(schedule.seconds(latency))
+        latency = self._scheduler.random.choices(
+            (0.001, 0.01, 0.2, 3.0), (50, 30, 15, 5)
+        )[0]
+        await self._scheduler.time.sleep(seeded_scheduler.seconds(latency))
         reached = self._links.can_reach(self._actor, engine.name)
         # A connection does not survive a restart of the engine.
         if engine.incarnation != attempt.incarnation or not engine.up or not reached:
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,7 +1,8 @@
-"""Runs the fault matrix: each promise under each fault alone and in pairs.
+"""Runs the fault matrix: each promise under each single fault and each pair.
 
-Every history has a fixed seed, so a run gives the same verdict each time. Each promise
-is also run with its safeguard switched off, to see its checker reject something.
+Each history has a fixed seed, so that a run gives the same result each time. Each
+promise is also run with its safeguard disabled, where its checker must reject some
+history; a checker that never rejects proves nothing.
 """
 
 import argparse
@@ -17,13 +18,21 @@
 import time
 import typing
 
-from tests.support import matrix, proofs
+from tests.support import fault_matrix, proofs
 
-__all__ = ["Job", "Line", "alone", "alone_and_in_pairs", "main", "make", "run_matrix"]
+__all__ = [
+    "Job",
+    "PromiseResult",
+    "main",
+    "run_job",
+    "run_matrix",
+    "single_faults",
+    "single_faults_and_pairs",
+]
 
 PROMISES = range(1, 10)
 SEEDS = 4
-SEEDS_WITHOUT = 3
+SEEDS_WITHOUT_SAFEGUARD = 3
 PROCESSES = 4
 OUTPUT = pathlib.Path("build/faults.json")
 _SHOWN_VIOLATIONS = 5
@@ -34,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Job:
-    """One history to make."""
+    """One history to make and check."""
 
     module: str
     faults: tuple[str, ...]
@@ -43,12 +52,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Line:
-    """The figures of one promise.
+class PromiseResult:
+    """Results of one promise over all its histories.
 
     Attributes:
-        violations: What the checker rejected with the safeguards on.
-        failing_before: Seeds and faults rejected with the safeguard off.
+        violations: Violations found with the safeguards enabled.
+        rejected_without_safeguard: Seeds and faults of the histories that the checker
+            rejected with the safeguard disabled.
     """
 
     promise: int
@@ -57,7 +67,7 @@
     unknown: int = 0
     violations: list[str] = dataclasses.field(default_factory=list)
     longest_gap_s: dict[str, float] = dataclasses.field(default_factory=dict)
-    failing_before: list[tuple[int, tuple[str, ...]]] = dataclasses.field(
+    rejected_without_safeguard: list[tuple[int, tuple[str, ...]]] = dataclasses.field(
         default_factory=list
     )
 
@@ -68,14 +78,17 @@
 
     @property
     def holds(self) -> bool:
-        """Whether the promise held and its checker is known to reject."""
-        return bool(self.histories and self.failing_before) and not self.violations
+        """Whether the promise held and its checker rejected a weakened history."""
+        return (
+            bool(self.histories and self.rejected_without_safeguard)
+            and not self.violations
+        )
 
-    def add(self, run: matrix.ProofRun, safeguards: bool) -> None:
-        """Take one history in."""
+    def add(self, run: fault_matrix.ProofRun, safeguards: bool) -> None:
+        """Add the result of one history."""
         if not safeguards:
             if run.violations:
-                self.failing_before.append((run.seed, run.faults))
+                self.rejected_without_safeguard.append((run.seed, run.faults))
             return
         self.histories += 1
         self.operations += run.operations
@@ -87,17 +100,19 @@
             self.longest_gap_s[domain] = max(gap, self.longest_gap_s.get(domain, 0.0))
 
     def to_json(self) -> dict[str, typing.Any]:
-        """Return the figures for `build/faults.json`."""
+        """Return the entry for `build/faults.json`."""
         return {
             "promise": self.promise,
             "histories": self.histories,
             "operations": self.operations,
             "violations": len(self.violations),
             "unknown_share": self.unknown_share,
-            "seeds_failing_before": sorted({seed for seed, _ in self.failing_before}),
+            "seeds_failing_before": sorted(
+                {seed for seed, _ in self.rejected_without_safeguard}
+            ),
             "failing_before": [
                 {"seed": seed, "faults": list(faults)}
-                for seed, faults in self.failing_before
+                for seed, faults in self.rejected_without_safeguard
             ],
             "longest_gap_s": self.longest_gap_s,
         }
@@ -111,40 +126,40 @@
             f" {self.operations} operations, {len(self.violations)} violations,"
             f" outcome unknown {self.unknown_share:.2%},"
             f" longest without service: {gaps or 'not measured'};"
-            f" rejected with the safeguard off: {len(self.failing_before)}"
+            f" rejected with the safeguard off: {len(self.rejected_without_safeguard)}"
         )
 
 
 def proof_modules() -> list[str]:
-    """Return the names of the modules that prove a promise."""
+    """Return the names of the modules that contain a proof."""
     found = pkgutil.iter_modules(proofs.__path__, f"{proofs.__name__}.")
     return sorted(module.name for module in found)
 
 
-def _proof(module: str) -> matrix.Proof:
-    return typing.cast(matrix.Proof, importlib.import_module(module).PROOF)
+def _proof(module: str) -> fault_matrix.Proof:
+    return typing.cast(fault_matrix.Proof, importlib.import_module(module).PROOF)
 
 
-def alone(faults: tuple[str, ...]) -> list[tuple[str, ...]]:
-    """Return each fault alone."""
+def single_faults(faults: tuple[str, ...]) -> list[tuple[str, ...]]:
+    """Return a combination of each single fault."""
     return [(fault,) for fault in faults]
 
 
-def alone_and_in_pairs(faults: tuple[str, ...]) -> list[tuple[str, ...]]:
-    """Return each fault alone and each pair, in a fixed order."""
-    return alone(faults) + list(itertools.combinations(faults, 2))
+def single_faults_and_pairs(faults: tuple[str, ...]) -> list[tuple[str, ...]]:
+    """Return each single fault and each pair, in a fixed order."""
+    return single_faults(faults) + list(itertools.combinations(faults, 2))
 
 
 def _jobs(
-    module: str, seeds: int, seeds_without: int, combinations: Combinations
+    module: str, seeds: int, seeds_without_safeguard: int, combinations: Combinations
 ) -> list[Job]:
     chosen = combinations(_proof(module).faults)
     with_safeguards = itertools.product(chosen, range(seeds), (True,))
-    without = itertools.product(chosen, range(seeds_without), (False,))
+    without = itertools.product(chosen, range(seeds_without_safeguard), (False,))
     return [Job(module, *job) for job in itertools.chain(with_safeguards, without)]
 
 
-def make(job: Job) -> matrix.ProofRun:
+def run_job(job: Job) -> fault_matrix.ProofRun:
     """Make one history and check it."""
     return _proof(job.module).run(job.faults, job.seed, safeguards=job.safeguards)
 
@@ -152,33 +167,34 @@
 def run_matrix(
     modules: typing.Sequence[str],
     seeds: int,
-    seeds_without: int,
+    seeds_without_safeguard: int,
     combinations: Combinations,
     processes: int = PROCESSES,
-) -> dict[int, Line]:
-    """Make every history of the modules' promises; returns a line for each.
+) -> dict[int, PromiseResult]:
+    """Make and check every history of the modules; return a result for each promise.
 
     Args:
         modules: Modules of `tests.support.proofs`.
-        seeds: Histories for each combination of faults.
-        seeds_without: Those with the safeguard off, on top.
-        combinations: Returns the combinations of a proof's faults.
-        processes: Processes that make histories.
+        seeds: Number of histories for each combination of faults.
+        seeds_without_safeguard: Number of further histories for each combination, with
+            the safeguard disabled.
+        combinations: Returns the combinations to run of a proof's faults.
+        processes: Number of worker processes.
     """
     jobs = [
         job
         for name in modules
-        for job in _jobs(name, seeds, seeds_without, combinations)
+        for job in _jobs(name, seeds, seeds_without_safeguard, combinations)
     ]
-    lines = {promise: Line(promise) for promise in PROMISES}
+    results = {promise: PromiseResult(promise) for promise in PROMISES}
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
-        for job, run in zip(jobs, pool.map(make, jobs, chunksize=2), strict=True):
-            lines[run.promise].add(run, job.safeguards)
-    return lines
+        for job, run in zip(jobs, pool.map(run_job, jobs, chunksize=2), strict=True):
+            results[run.promise].add(run, job.safeguards)
+    return results
 
 
 def main() -> int:
-    """Run the matrix and print it; non-zero unless every promise held."""
+    """Run the matrix and print it; return non-zero unless every promise held."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--promise", type=int, action="append", choices=PROMISES)
     parser.add_argument("--seeds", type=int, default=SEEDS)
@@ -186,15 +202,17 @@
     wanted = set(chosen.promise or PROMISES)
     modules = [name for name in proof_modules() if _proof(name).promise in wanted]
     began = time.monotonic()
-    lines = run_matrix(modules, chosen.seeds, SEEDS_WITHOUT, alone_and_in_pairs)
-    shown = [lines[promise] for promise in sorted(wanted)]
-    for line in shown:
-        print(line)
-        for violation in line.violations[:_SHOWN_VIOLATIONS]:
+    results = run_matrix(
+        modules, chosen.seeds, SEEDS_WITHOUT_SAFEGUARD, single_faults_and_pairs
+    )
+    shown = [results[promise] for promise in sorted(wanted)]
+    for result in shown:
+        print(result)
+        for violation in result.violations[:_SHOWN_VIOLATIONS]:
             print(f"  {violation}")
     OUTPUT.parent.mkdir(exist_ok=True)
-    OUTPUT.write_text(json.dumps([line.to_json() for line in shown], indent=1))
-    total = collections.Counter(line.holds for line in shown)
+    OUTPUT.write_text(json.dumps([result.to_json() for result in shown], indent=1))
+    total = collections.Counter(result.holds for result in shown)
     print(
         f"{total[True]} of {len(shown)} promises held; {time.monotonic() - began:.0f} s"
     )
--- a/tests/support/history.py
+++ b/tests/support/control_history.py
@@ -1,32 +1,33 @@
-"""Events of a history, as the recorder writes them and the checkers read them.
+"""Events of a history of orders and streams, recorded for the checkers.
 
-Times are seconds on one clock that no actor sees, so the order of events is the order
-in which they took effect.
+Times are seconds on one clock that no actor reads, so events are ordered as they took
+effect.
 """
 
 import dataclasses
 
 __all__ = [
-    "EngineEnded",
+    "EngineCrashed",
     "Event",
     "LeavingShown",
-    "OrderDone",
-    "OrderTaken",
+    "OrderAccepted",
+    "OrderCompleted",
     "Recorder",
     "SlotWritten",
-    "StreamBegan",
-    "StreamCut",
+    "StreamAborted",
     "StreamEnded",
+    "StreamStarted",
 ]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OrderTaken:
-    """An engine began to carry an order out.
+class OrderAccepted:
+    """An engine began to execute an order.
 
     Attributes:
         target: The order's role and models, as text.
-        streams: Streams that ran at the engine.
+        streams: Number of streams running at the engine.
+        fenced: Whether the engine checks fencing tokens.
     """
 
     at: float
@@ -40,8 +41,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OrderDone:
-    """An engine finished a change."""
+class OrderCompleted:
+    """An engine finished executing an order."""
 
     at: float
     engine: str
@@ -49,8 +50,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EngineEnded:
-    """An engine crashed; a new incarnation of it knows nothing."""
+class EngineCrashed:
+    """An engine crashed; its next incarnation starts without state."""
 
     at: float
     engine: str
@@ -58,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotWritten:
-    """A slot took a new state in the store."""
+    """A slot was written to the store."""
 
     at: float
     engine: str
@@ -68,8 +69,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StreamBegan:
-    """A request reached an engine that took it."""
+class StreamStarted:
+    """An engine accepted a request."""
 
     at: float
     engine: str
@@ -79,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamEnded:
-    """A request had its whole answer, or its caller went away."""
+    """A request completed, or its caller disconnected."""
 
     at: float
     engine: str
@@ -87,8 +88,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StreamCut:
-    """An engine broke a request off; `cause` is `order` or `crash`."""
+class StreamAborted:
+    """An engine aborted a request; `cause` is `order` or `crash`."""
 
     at: float
     engine: str
@@ -98,10 +99,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeavingShown:
-    """From now on an instance could know that a server is leaving.
+    """An instance can know from now on that a server is leaving.
 
     Attributes:
-        sender: The instance; each is judged from when it could know.
+        sender: The instance; each is checked from the time at which it could know.
     """
 
     at: float
@@ -110,13 +111,13 @@
 
 
 Event = (
-    OrderTaken
-    | OrderDone
-    | EngineEnded
+    OrderAccepted
+    | OrderCompleted
+    | EngineCrashed
     | SlotWritten
-    | StreamBegan
+    | StreamStarted
     | StreamEnded
-    | StreamCut
+    | StreamAborted
     | LeavingShown
 )
 
@@ -128,5 +129,5 @@
         self.events: list[Event] = []
 
     def add(self, event: Event) -> None:
-        """Record an event; they are added in the order in which they took effect."""
+        """Record an event; events are added in the order in which they took effect."""
         self.events.append(event)
--- a/tests/support/proofs/promise_7.py
+++ b/tests/support/proofs/promise_7.py
@@ -1,16 +1,16 @@
-"""Promise 7: a leaving backend server gets no new work after a few seconds."""
+"""Promise 7: a leaving backend server gets no new requests after a few seconds."""
 
 from tests.support import (
     control_faults,
     control_proof,
     control_world,
-    matrix,
+    fault_matrix,
     order_checkers,
 )
 
 __all__ = ["PROOF"]
 
-# On top of the time that the instance has had to read the platform's list.
+# In addition to the time an instance has for reading the platform's list.
 _ALLOWED_S = 3.0
 
 
@@ -18,6 +18,6 @@
     return order_checkers.late_work(done.events, _ALLOWED_S)
 
 
-PROOF: matrix.Proof = control_proof.ControlProof(
-    7, _check, control_world.Safeguards(leaving=False), counts="requests"
+PROOF: fault_matrix.Proof = control_proof.ControlProof(
+    7, _check, control_world.Safeguards(instance_list=False), counts="requests"
 )
--- a/tests/support/raw_server.py
+++ b/tests/support/raw_server.py
@@ -1,4 +1,4 @@
-"""A server that answers with bytes from a script, for answers that go wrong."""
+"""A server that sends scripted bytes, to test malformed and truncated responses."""
 
 import asyncio
 import contextlib
@@ -8,16 +8,16 @@
 
 from pimentolatch import settings
 
-__all__ = ["Answer", "RawServer", "http_answer"]
+__all__ = ["RawServer", "ScriptedResponse", "http_response"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
-    """What to do with one request.
+class ScriptedResponse:
+    """Response to one request.
 
     Attributes:
         raw: Bytes to send.
-        delay_s: Wait before sending them.
+        delay_s: Seconds to wait before sending them.
         close: Whether to close the connection afterwards.
     """
 
@@ -26,8 +26,8 @@
     close: bool = False
 
 
-def http_answer(body: bytes, status: str = "200 OK") -> bytes:
-    """Return a whole HTTP answer."""
+def http_response(body: bytes, status: str = "200 OK") -> bytes:
+    """Return a complete HTTP response."""
     return b"HTTP/1.1 %s\r\ncontent-length: %d\r\n\r\n%s" % (
         status.encode(),
         len(body),
@@ -36,13 +36,13 @@
 
 
 class RawServer:
-    """Answers the n-th request with the n-th answer of its script.
+    """Responds to the n-th request with the n-th response of its script.
 
     Attributes:
         requests: For each request, the number of its connection and its body.
     """
 
-    def __init__(self, *script: Answer) -> None:
+    def __init__(self, *script: ScriptedResponse) -> None:
         self.requests: list[tuple[int, bytes]] = []
         self._script = list(script)
         self._connections = 0
@@ -51,7 +51,7 @@
     @contextlib.asynccontextmanager
     async def listening(self) -> abc.AsyncIterator[settings.Address]:
         """Listen on a free port."""
-        server = await asyncio.start_server(self._accepted, "127.0.0.1", 0)
+        server = await asyncio.start_server(self._on_connection, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         try:
             yield settings.Address(host="127.0.0.1", port=port)
@@ -61,7 +61,7 @@
                 task.cancel()
             await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _accepted(
+    def _on_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._connections += 1
@@ -77,10 +77,10 @@
                 length = re.search(rb"content-length: (\d+)", head)
                 body = await reader.readexactly(int(length[1]) if length else 0)
                 self.requests.append((number, body))
-                answer = self._script.pop(0)
-                await asyncio.sleep(answer.delay_s)
-                writer.write(answer.raw)
+                response = self._script.pop(0)
+                await asyncio.sleep(response.delay_s)
+                writer.write(response.raw)
                 await writer.drain()
-                if answer.close:
+                if response.close:
                     break
         writer.close()
--- a/tests/support/request_world.py
+++ b/tests/support/request_world.py
@@ -1,4 +1,4 @@
-"""A seeded world of callers that retry keyed calls while faults come and go."""
+"""Simulates callers that retry calls with idempotency keys under transient faults."""
 
 import asyncio
 import datetime
@@ -44,7 +44,7 @@
 
 
 async def _caller(world: _World, number: int) -> None:
-    """Use one key, with retries here and there, at once or much later."""
+    """Use one key, retried through several instances, at once or much later."""
     rng = world.random
     await asyncio.sleep(rng.uniform(0, _FAULT_SPAN_S))
     key = f"key-{number}"
@@ -55,8 +55,8 @@
         key = issued
     body = f"{number}"
     for _ in range(rng.randint(1, _ATTEMPTS)):
-        together = 2 if rng.random() < 0.3 else 1
-        attempts = [_attempt(world, key, body) for _ in range(together)]
+        concurrent = 2 if rng.random() < 0.3 else 1
+        attempts = [_attempt(world, key, body) for _ in range(concurrent)]
         await asyncio.gather(*attempts)
         await asyncio.sleep(rng.choice((0.0, 0.2, 3.0, 40.0)) * rng.random())
 
@@ -89,12 +89,12 @@
         key,
         "caller",
     )
-    patience = deadline + 1.0 if rng.random() < 0.8 else deadline * rng.random()
+    client_timeout = deadline + 1.0 if rng.random() < 0.8 else deadline * rng.random()
     work = asyncio.create_task(world.any_instance().serve(call))
-    done, _ = await asyncio.wait((work,), timeout=patience)
+    done, _ = await asyncio.wait((work,), timeout=client_timeout)
     if not done:
-        # The caller has gone; the instance goes on and finds nobody there.
-        world.history.add(request_history.Lost(request))
+        # The caller has disconnected; the instance still completes the call.
+        world.history.add(request_history.ResponseLost(request))
         return
     world.history.add(_seen(request, work.result()))
 
@@ -103,19 +103,19 @@
     request: str, outcome: outcomes.Response | results.Refusal | None
 ) -> request_history.Event:
     if outcome is None:
-        return request_history.Lost(request)
+        return request_history.ResponseLost(request)
     if isinstance(outcome, results.Refusal):
         return request_history.Refused(request, outcome.code, outcome.execution)
-    return request_history.Answer(request, outcome.body.decode())
+    return request_history.Response(request, outcome.body.decode())
 
 
 _Fault = typing.Callable[[_World], abc.Coroutine[typing.Any, typing.Any, None]]
 
 
 async def _kill(world: _World) -> None:
-    """Kill an instance, often in the middle of its most delicate steps.
+    """Kill an instance, often between two steps of a claim or a dispatch.
 
-    Now and then it is told to stop before, and gets as far as its last record.
+    In 30 % of cases it first shuts down gracefully, up to writing its final record.
     """
     if world.random.random() < 0.3:
         stopping = world.any_instance()
@@ -138,14 +138,14 @@
 
 
 async def _freeze(world: _World) -> None:
-    """Freeze an instance, often between its claim and its first byte."""
+    """Freeze an instance, often between its claim and the first byte it sends."""
     point = world.random.choice(("put claims", "put claims done", "send", "answered"))
     length = world.random.choice((0.5, 5.0, 30.0))
     world.traps.append((point, lambda instance: instance.freeze(length)))
 
 
 async def _cut(world: _World) -> None:
-    """Cut a link, that to servers while a call is on its way."""
+    """Cut a link; links to servers are cut while a call is in transit."""
     link = world.random.choice(("store", "server", "instance"))
     instance, other = world.any_instance(), world.any_instance()
     length = world.random.uniform(0.5, 6.0)
@@ -183,7 +183,7 @@
 
 
 async def _reply_lost(world: _World) -> None:
-    """Lose answers of the store, of its late writes and of servers."""
+    """Lose responses of the store and of servers, and delay writes of the store."""
     world.store_faults.lost_replies += world.random.randint(1, 3)
     world.store_faults.late_writes += world.random.randint(0, 2)
     for server in world.servers.values():
@@ -194,7 +194,7 @@
     server = world.any_server()
     server.slow_s = world.random.choice((0.0, 0.5, 20.0))
     server.refusals += world.random.randint(0, 2)
-    # The next call at each server is run and not answered.
+    # Each server runs its next call without responding.
     for each in world.servers.values():
         each.crashes = 1
     await asyncio.sleep(world.random.uniform(0.1, 2.0))
@@ -212,7 +212,7 @@
 }
 
 
-async def _bring_about(world: _World, name: str) -> None:
+async def _inject(world: _World, name: str) -> None:
     for _ in range(world.random.randint(2, 5)):
         await asyncio.sleep(world.random.uniform(0, _FAULT_SPAN_S / 3))
         await FAULTS[name](world)
@@ -223,12 +223,12 @@
 ) -> request_history.RequestHistory:
     world = _World(seed, safeguards)
     tasks = [asyncio.create_task(_caller(world, n)) for n in range(KEYS)]
-    tasks += [asyncio.create_task(_bring_about(world, name)) for name in faults]
-    done, waiting = await asyncio.wait(tasks, timeout=_HORIZON_S)
+    tasks += [asyncio.create_task(_inject(world, name)) for name in faults]
+    done, pending = await asyncio.wait(tasks, timeout=_HORIZON_S)
     for task in done:
         task.result()
-    assert not waiting, "callers or faults that never ended"
-    # Late runs and late writes still count.
+    assert not pending, "callers or faults did not finish within the time limit"
+    # Late runs and late writes belong to the history too.
     await asyncio.sleep(120.0)
     return world.history
 
@@ -237,6 +237,6 @@
     faults: tuple[str, ...], seed: int, safeguards: request_parts.Safeguards
 ) -> request_history.RequestHistory:
     """Return the history of one seeded run under faults."""
-    # The jitter of pauses in the code under test comes from here.
+    # The code under test draws the jitter of its backoff from the global generator.
     random.seed(seed)
     return virtual_time.run(_history(faults, seed, safeguards))
