--- a/tests/features/steps/capacity_steps.py
+++ b/tests/features/steps/capacity_steps.py
@@ -18,7 +18,7 @@
 
 SECOND = datetime.timedelta(seconds=1)
 PRICES = {"north": 1.0, "east": 0.8, "south": 1.25, "west": 0.9}
-SCALING = route_table.Scaling(1, 15, scaling_world.BOOT, 0.18, PRICES)
+SCALING = route_table.Scaling(1, 15, scaling_world.BOOT_TIME, 0.18, PRICES)
 FIRST = {"north": 8, "east": 8, "south": 7, "west": 7}
 NEED = sum(FIRST.values())
 DAYS = 40
@@ -114,7 +114,9 @@
 
 @behave.then("capacity: no dear server stands at the end")
 def none_dear(context):
-    assert not any(found.on_demand for found in context.scaling.standing().values())
+    assert not any(
+        found.on_demand for found in context.scaling.server_counts().values()
+    )
 
 
 @behave.when("capacity: {count:d} drawn days with lost orders and reclaims are played")
--- a/tests/features/steps/crash_replay_steps.py
+++ b/tests/features/steps/crash_replay_steps.py
@@ -62,8 +62,8 @@
 @behave.then("crashes: at most three sendings of it go out later than all must know")
 def few_late(context):
     # It has come so far that the bound says something.
-    assert all(len(ends) >= 3 for ends in context.result.ends.values())
-    assert all(count <= 3 for count in context.result.late_sendings.values())
+    assert all(len(ends) >= 3 for ends in context.result.crashes.values())
+    assert all(count <= 3 for count in context.result.late_dispatches.values())
 
 
 @behave.then("crashes: no other request is kept from servers")
--- a/tests/features/steps/crashing_requests_steps.py
+++ b/tests/features/steps/crashing_requests_steps.py
@@ -15,7 +15,7 @@
     context.route_runner = asyncio.Runner()
     context.run = context.route_runner.run
     context.world = crash_world.CrashWorld(body.encode())
-    context.run(context.world.begin())
+    context.run(context.world.start())
 
 
 @behave.when(
@@ -23,18 +23,18 @@
 )
 def until_ended(context, route, body, count):
     number = {"two": 2, "three": 3}[count]
-    context.run(context.world.ask_until_ended(route, body.encode(), number))
+    context.run(context.world.send_until_crashed(route, body.encode(), number))
 
 
 @behave.when('crashes: "{route}" is asked for "{body}" once while all servers fail')
 def while_all_fail(context, route, body):
-    reply = context.run(context.world.ask_failing(route, body.encode()))
+    reply = context.run(context.world.send_while_failing(route, body.encode()))
     assert reply.status == 500, reply.status
 
 
 @behave.then("crashes: at most four servers have ended")
 def at_most_four(context):
-    assert 3 <= len(context.world.ended) <= 4, len(context.world.ended)
+    assert 3 <= len(context.world.crashed) <= 4, len(context.world.crashed)
 
 
 @behave.when("crashes: the time passes in which every instance is to know")
@@ -45,26 +45,26 @@
 @behave.when('crashes: "{route}" is asked for "{body}" twice at each instance')
 def twice_each(context, route, body):
     world = context.world
-    context.before = world.sendings(body.encode())
-    context.replies = context.run(world.ask_everywhere(route, body.encode(), 2))
+    context.before = world.dispatches(body.encode())
+    context.replies = context.run(world.send_to_all(route, body.encode(), 2))
 
 
 @behave.then("crashes: at most three of the last sendings reach a server")
 def at_most_three(context):
-    reached = context.world.sendings(context.world.fatal_body) - context.before
+    reached = context.world.dispatches(context.world.fatal_body) - context.before
     assert reached <= 3, reached
 
 
 @behave.given("crashes: a completion that ends each engine that runs it")
 def fatal_completion(context):
-    context.engines = completion_crashes.Engines()
+    context.engines = completion_crashes.CrashingEngines()
 
 
 @behave.when("crashes: its caller sends it five times")
 def sent_five_times(context):
-    tries = completion_crashes.instance(context.engines)
+    runner = completion_crashes.instance(context.engines)
     for _ in range(5):
-        asyncio.run(completion_crashes.ask(tries))
+        asyncio.run(completion_crashes.ask(runner))
 
 
 @behave.given("crashes: a fleet of five instances in two failure domains")
@@ -75,14 +75,14 @@
 @behave.when("crashes: its caller sends it five times, to another instance each time")
 def sent_to_each(context):
     for instance in context.fleet.instances:
-        asyncio.run(completion_crashes.ask(instance.tries))
+        asyncio.run(completion_crashes.ask(instance.runner))
         context.fleet.deliver()
 
 
 @behave.when("crashes: its caller sends it to an instance that has just started")
 def sent_to_a_new_one(context):
     started = context.fleet.start("b")
-    asyncio.run(completion_crashes.ask(started.tries))
+    asyncio.run(completion_crashes.ask(started.runner))
 
 
 @behave.when("crashes: an engine answers it after all")
@@ -128,4 +128,4 @@
 
 @behave.then("crashes: at most six engines have ended")
 def at_most_six(context):
-    assert 3 <= context.engines.ended <= 6, context.engines.ended
+    assert 3 <= context.engines.crashes <= 6, context.engines.crashes
--- a/tests/features/steps/customers_steps.py
+++ b/tests/features/steps/customers_steps.py
@@ -231,7 +231,7 @@
 
 @behave.then("customers: one engine ran it and the answer does not look whole")
 def one_ran(context):
-    assert not context.reply.whole, context.reply
+    assert not context.reply.complete, context.reply
     assert len(received(context)) == 1, received(context)
 
 
--- a/tests/features/steps/fleet_replay_steps.py
+++ b/tests/features/steps/fleet_replay_steps.py
@@ -5,8 +5,8 @@
 from pimentolatch.requests import prompts
 from tests.support import fleet_parts, fleet_world
 
-LONG = fleet_parts.Kind("briefing", 51.5, 5382, 150, 6610, 42, 2, 823.0)
-SHORT = fleet_parts.Kind("draft", 81.0, 0, 0, 826, 32, 0, 609.0)
+LONG = fleet_parts.RequestKind("briefing", 51.5, 5382, 150, 6610, 42, 2, 823.0)
+SHORT = fleet_parts.RequestKind("draft", 81.0, 0, 0, 826, 32, 0, 609.0)
 FIRST_SEED = 1
 
 
@@ -16,7 +16,7 @@
 )
 def replayed_fleet(context, instances, domains, engines, reading):
     each = instances // domains
-    context.new_fleet = lambda seed: fleet_world.Fleet(
+    context.new_fleet = lambda seed: fleet_world.FleetSimulation(
         domains, each, engines, reading, seed
     )
 
@@ -31,7 +31,7 @@
 def all_at_once(context):
     context.fleet = context.new_fleet(FIRST_SEED)
     for instance in context.fleet.instances.values():
-        context.fleet.offer(instance, SHORT)
+        context.fleet.submit(instance, SHORT)
     context.chosen = collections.Counter(
         engine.server.server_id
         for instance in context.fleet.instances.values()
@@ -45,15 +45,15 @@
 )
 def read_again(context):
     fleet = context.fleet
-    assert fleet.tokens_read > 0
-    assert fleet.tokens_again <= fleet.tokens_read / 10, fleet.tokens_again
+    assert fleet.prefilled_tokens > 0
+    assert fleet.repeated_tokens <= fleet.prefilled_tokens / 10, fleet.repeated_tokens
 
 
 @behave.then(
     "replay: no engine that reads works more than half as much again as the mean"
 )
 def even(context):
-    assert context.fleet.busiest() <= 1.5, context.fleet.busiest()
+    assert context.fleet.max_to_mean_work() <= 1.5, context.fleet.max_to_mean_work()
 
 
 @behave.then("replay: every prompt is answered and nine of ten are on time")
@@ -66,7 +66,7 @@
 @behave.then("replay: no engine that reads gets more than twice the mean")
 def no_herd(context):
     assert context.chosen.total() == len(context.fleet.instances)
-    readers = [e for e in context.fleet.engines.values() if e.reads]
+    readers = [e for e in context.fleet.engines.values() if e.prefills]
     mean = context.chosen.total() / len(readers)
     assert max(context.chosen.values()) <= 2 * mean, context.chosen
 
@@ -108,7 +108,9 @@
     "replay: 24 of 70 engines prefill what 84 instances get, drawn by 2, 3 and 5"
 )
 def letters(context):
-    context.fleets = [fleet_world.Fleet(3, 28, 70, 24, seed) for seed in (2, 3, 5)]
+    context.fleets = [
+        fleet_world.FleetSimulation(3, 28, 70, 24, seed) for seed in (2, 3, 5)
+    ]
     for fleet in context.fleets:
         fleet.run(fleet_parts.LETTERS, 8)
 
@@ -127,5 +129,5 @@
 
 
 def served_share(ended):
-    served = [found for found in ended if found.fate in fleet_parts.SERVED]
+    served = [found for found in ended if found.status in fleet_parts.SERVED_STATUSES]
     return len(served) / len(ended)
--- a/tests/features/steps/path_steps.py
+++ b/tests/features/steps/path_steps.py
@@ -32,7 +32,7 @@
 
 @behave.then("every completion is whole and answers its own prompt")
 def completions_are_whole(context):
-    completions.check_whole(context.asks, context.replies)
+    completions.check_complete(context.asks, context.replies)
 
 
 @behave.when('a caller makes a "{operation}" call through every instance')
--- a/tests/features/steps/requests_http_steps.py
+++ b/tests/features/steps/requests_http_steps.py
@@ -152,7 +152,7 @@
 @behave.then("the stream under way is whole")
 def stream_is_whole(context):
     assert context.still_streaming, "the stream ended before the requests"
-    completions.check_whole(context.asks, context.replies)
+    completions.check_complete(context.asks, context.replies)
 
 
 @behave.then("two pipelined requests are answered in their order")
--- a/tests/features/steps/requests_once_steps.py
+++ b/tests/features/steps/requests_once_steps.py
@@ -113,34 +113,34 @@
     """Three instances before one slow server, driven by a scenario."""
 
     def __init__(self):
-        self.grounds = request_parts.Grounds(1, request_parts.Safeguards())
-        server = request_parts.Server(self.grounds, "plain-1", "127.0.1.1")
+        self.shared = request_parts.SharedState(1, request_parts.Safeguards())
+        server = request_parts.Server(self.shared, "plain-1", "127.0.1.1")
         server.slow_s = 0.5
-        self.grounds.servers["plain-1"] = server
+        self.shared.servers["plain-1"] = server
         for number in (1, 2, 3):
             name = f"entry-{number}"
             instance = request_parts.LogicInstance(
-                self.grounds, name, f"127.0.2.{number}"
+                self.shared, name, f"127.0.2.{number}"
             )
-            self.grounds.instances[name] = instance
-        self.grounds.fleet.adopt(request_parts.document_of([server]))
+            self.shared.instances[name] = instance
+        self.shared.fleet.adopt(request_parts.document_of([server]))
         self._count = 0
 
     @property
     def runs(self):
         return sum(
-            isinstance(e, request_history.Run) for e in self.grounds.history.events
+            isinstance(e, request_history.Run) for e in self.shared.history.events
         )
 
     async def key(self, kind, caller="caller"):
         if kind == "a caller's key":
             return "badge-1"
-        [ticket] = await self.grounds.instances["entry-1"].once.issue(caller, 1)
+        [ticket] = await self.shared.instances["entry-1"].once.issue(caller, 1)
         return ticket
 
     async def send(self, key, entry, *, body=b"guest", deadline_s=10.0):
         self._count += 1
-        deadline = self.grounds.time.monotonic() + seconds(deadline_s)
+        deadline = self.shared.time.monotonic() + seconds(deadline_s)
         call = service_call.ServiceCall(
             f"r{self._count}",
             "caller",
@@ -152,7 +152,7 @@
             key,
             "caller",
         )
-        return await self.grounds.instances[entry].serve(call)
+        return await self.shared.instances[entry].serve(call)
 
 
 def seconds(number):
@@ -204,7 +204,7 @@
         context.key = await meeting.key(kind)
         first = asyncio.create_task(meeting.send(context.key, "entry-1"))
         await asyncio.sleep(0.3)
-        meeting.grounds.instances["entry-1"].kill()
+        meeting.shared.instances["entry-1"].kill()
         assert await first is None
         await asyncio.sleep(2.0)
 
@@ -223,8 +223,8 @@
         if used == "expired":
             await asyncio.sleep(3600.0)
             await meeting.send(await meeting.key("a ticket"), "entry-1")
-        await meeting.grounds.instances["entry-1"].once.retire()
-        meeting.grounds.instances["entry-1"].kill()
+        await meeting.shared.instances["entry-1"].once.retire()
+        meeting.shared.instances["entry-1"].kill()
         await asyncio.sleep(2.0)
         context.runs_before = meeting.runs
 
@@ -245,7 +245,7 @@
     async def play(meeting):
         context.key = "badge-1"
         freeze = ("put claims done", lambda instance: instance.freeze(60.0))
-        meeting.grounds.traps.append(freeze)
+        meeting.shared.hooks.append(freeze)
         outcome = await meeting.send(context.key, "entry-1", deadline_s=5.0)
         await asyncio.sleep(60.0)
         return outcome
@@ -291,8 +291,8 @@
     async def play(meeting):
         context.key = await meeting.key("a ticket")
         # The other instance has read a ticket before, so it knows the secret.
-        await meeting.grounds.instances["entry-2"].once.issue("caller", 1)
-        meeting.grounds.store_faults.outage = True
+        await meeting.shared.instances["entry-2"].once.issue("caller", 1)
+        meeting.shared.store_faults.outage = True
 
     in_meeting(context, play)
 
@@ -317,13 +317,13 @@
 )
 def burst_of_keys(context, count, rate):
     async def play(meeting):
-        meeting.grounds.calls_per_second = float(rate)
-        instance = meeting.grounds.instances["entry-3"]
+        meeting.shared.calls_per_second = float(rate)
+        instance = meeting.shared.instances["entry-3"]
         instance.start()
-        began = meeting.grounds.time.monotonic()
+        began = meeting.shared.time.monotonic()
         sent = [meeting.send(f"badge-{n}", "entry-3") for n in range(count)]
         context.outcomes = await asyncio.gather(*sent)
-        context.seconds = (meeting.grounds.time.monotonic() - began).total_seconds()
+        context.seconds = (meeting.shared.time.monotonic() - began).total_seconds()
         context.calls = instance.store.calls
         context.rate = rate
 
@@ -346,7 +346,7 @@
 
 @behave.when("the store loses its next reply")
 def lose_reply(context):
-    context.meeting.grounds.store_faults.lost_replies = 1
+    context.meeting.shared.store_faults.lost_replies = 1
 
 
 @behave.then("a call with a caller's key is answered and the service ran once")
@@ -360,13 +360,13 @@
 def claim_on_its_way(context):
     async def play(meeting):
         context.key = "badge-1"
-        faults = meeting.grounds.store_faults
+        faults = meeting.shared.store_faults
 
         def go_out(instance):
             faults.late_writes = 1
             asyncio.get_running_loop().call_later(0.04, setattr, faults, "outage", True)
 
-        meeting.grounds.traps.append(("put claims", go_out))
+        meeting.shared.hooks.append(("put claims", go_out))
         context.outcome = await meeting.send(context.key, "entry-1")
         faults.outage = False
 
--- a/tests/features/steps/requests_stop_steps.py
+++ b/tests/features/steps/requests_stop_steps.py
@@ -77,5 +77,5 @@
 @behave.then("the stream under way ends whole and the instance with exit code {code:d}")
 def stream_ends_whole(context, code):
     context.thread.join()
-    completions.check_whole(context.asks, context.replies)
+    completions.check_complete(context.asks, context.replies)
     assert context.deployment.processes["entry-1"].popen.wait(20) == code
--- a/tests/features/steps/roles_demand_steps.py
+++ b/tests/features/steps/roles_demand_steps.py
@@ -96,14 +96,14 @@
 @behave.when("one engine gives no answer for 30 seconds")
 def no_answer(context):
     fleet = role_worlds.FixedFleet(context.chosen)
-    counted = role_worlds.Counted(role_worlds.EVEN, len(context.names))
+    counted = role_worlds.SteadyDemand(role_worlds.EVEN_DEMAND, len(context.names))
     real = planner.DemandPlanner(fleet, counted.totals)
-    told_of_roles = role_worlds.RolesOnly(context.chosen, counted.totals)
+    told_of_roles = role_worlds.UntrackedPlanner(context.chosen, counted.totals)
     context.orders = {"real": [], "roles": []}
     for at in range(0, 600, 5):
         counted.advance(at)
         gone = 300 <= at < 330
-        known = role_worlds.in_service(context.names)
+        known = role_worlds.serving_engines(context.names)
         seen = [standing(s, gone and s.engine.name == "e-2") for s in known]
         context.orders["real"] += real.plan(seen, seconds(at))
         if gone:
--- a/tests/features/steps/roles_steps.py
+++ b/tests/features/steps/roles_steps.py
@@ -8,7 +8,7 @@
 
 KITAGUNI, REGIE = role_worlds.policy("kitaguni"), role_worlds.policy("regie")
 POLICIES = {"Kitaguni's document": KITAGUNI, "the Régie's document": REGIE}
-LONG, SHORT = role_worlds.LONG, role_worlds.SHORT
+LONG, SHORT = role_worlds.LONG_PROMPTS, role_worlds.SHORT_PROMPTS
 
 
 @behave.given('role planning for the engines "{letters}" under both documents')
@@ -23,7 +23,7 @@
 
 def plan_through(context, load, seconds, **options):
     policy = options.pop("policy", context.policy)
-    world = role_worlds.World(context.names, policy, load, **options)
+    world = role_worlds.PlanningWorld(context.names, policy, load, **options)
     world.run(seconds)
     return world.changes
 
@@ -96,20 +96,20 @@
 
 @behave.when("the 2nd engine is withdrawn for 30 seconds under an even load")
 def drained(context):
-    context.load, context.length = lambda at: role_worlds.EVEN, 600
+    context.load, context.length = lambda at: role_worlds.EVEN_DEMAND, 600
     context.options = {"absent": ("e-2", 300, 330)}
 
 
 @behave.when("the 2nd engine is withdrawn for good under an even load")
 def withdrawn(context):
-    context.load, context.length = lambda at: role_worlds.EVEN, 600
+    context.load, context.length = lambda at: role_worlds.EVEN_DEMAND, 600
     context.options = {"absent": ("e-2", 300, 10_000)}
 
 
 @behave.then("a role planner that counts the time before changes at least 1 role")
 def counts_before(context):
     changes = plan_through(
-        context, context.load, context.length, **context.options, forget_events=True
+        context, context.load, context.length, **context.options, omit_change_times=True
     )
     assert changes
 
@@ -124,7 +124,7 @@
 @behave.given("long prompts came for 10 minutes")
 def long_came(context):
     context.now = datetime.timedelta(seconds=600)
-    context.states = role_worlds.in_service(context.names)
+    context.states = role_worlds.serving_engines(context.names)
     context.samples = role_worlds.samples(lambda at: LONG, 600, len(context.names))
 
 
@@ -137,12 +137,12 @@
     first, second = planned(context, context.states), planned(context, context.states)
     assert len(first) == 1 and first == second, (first, second)
     context.first = first[0]
-    context.after = role_worlds.ordered(context.states, context.first)
+    context.after = role_worlds.with_order(context.states, context.first)
 
 
 @behave.then("a second role planner that takes the change for done orders another one")
 def hasty_second(context):
-    done = role_worlds.settled(context.states, context.first, None)
+    done = role_worlds.with_change_done(context.states, context.first, None)
     changes = planned(context, done)
     assert changes and changes[0].engine != context.first.engine, changes
 
@@ -169,8 +169,8 @@
         if all(order.index((n, "take")) < order.index((n, "look")) for n in (0, 1)):
             for look in (True, False):
                 context.made[look].append(
-                    role_worlds.carried_out(
-                        context.names, changes, order, context.policy, look=look
+                    role_worlds.count_executed(
+                        context.names, changes, order, context.policy, confirm=look
                     )
                 )
 
@@ -190,7 +190,9 @@
 def change_ended(context):
     (context.first,) = planned(context, context.states)
     context.late = context.states
-    context.true = role_worlds.settled(context.states, context.first, context.now)
+    context.true = role_worlds.with_change_done(
+        context.states, context.first, context.now
+    )
 
 
 @behave.then("a role planner that trusts the report orders the same engine again")
@@ -206,7 +208,7 @@
 @behave.when("{count:d} drawn states of a failure domain are planned for")
 def drawn_states(context, count):
     context.found = {
-        floor: role_worlds.violations(count, roles.Safeguards(floor=floor))
+        floor: role_worlds.check_plans(count, roles.Safeguards(floor=floor))
         for floor in (True, False)
     }
 
--- a/tests/features/steps/routes_fleet_steps.py
+++ b/tests/features/steps/routes_fleet_steps.py
@@ -161,7 +161,7 @@
     context.teller, context.hearer = (
         fleet_parts.Instance(f"{domain}-0", domain, listed) for domain in ("d0", "d1")
     )
-    context.hearer.work.partial_view = True
+    context.hearer.load_exchange.partial_view = True
     for load in context.teller.loads.all():
         load.prefill_tokens[0] = 1000.0
         load.streams = 3
@@ -177,11 +177,11 @@
         for load in list(context.teller.loads.all())[::2]:
             load.prefill_tokens[0] = 0.0
             load.streams = load.kv_tokens = 0
-    for chunk, totals in context.teller.work.totals(NOW):
+    for chunk, totals in context.teller.load_exchange.totals(NOW):
         told = context.teller.beacon(NOW, totals=totals, chunk=chunk)
         sent = beacons.encode(told)
         assert len(totals) <= 40
-        context.hearer.work.receive(beacons.decode(sent), 1.0, NOW)
+        context.hearer.load_exchange.receive(beacons.decode(sent), 1.0, NOW)
 
 
 @behave.then("it counts the work of all {count:d}")
@@ -460,7 +460,7 @@
     async def served():
         return (await context.world.ask("added", "r9", name="d")).status
 
-    context.run(context.world.until_asked(served, 200))
+    context.run(context.world.until_returns(served, 200))
 
 
 @behave.then('fleet: "d" knows that "{name}" leaves')
--- a/tests/features/steps/routes_serving_steps.py
+++ b/tests/features/steps/routes_serving_steps.py
@@ -261,7 +261,7 @@
 @behave.then("routes: both answers are whole")
 def both_whole(context):
     for reply in context.replies:
-        assert reply.status == 200 and reply.whole, reply
+        assert reply.status == 200 and reply.complete, reply
 
 
 @behave.then('routes: "{name}" read {count:d} prompts and "{other}" read {others:d}')
@@ -313,15 +313,15 @@
 @behave.then("routes: the answer is whole with {count:d} pieces")
 def whole(context, count):
     reply = context.reply
-    assert reply.status == 200 and reply.whole, reply
-    assert reply.pieces == [str(n + 1) for n in range(count)], reply.pieces
+    assert reply.status == 200 and reply.complete, reply
+    assert reply.events == [str(n + 1) for n in range(count)], reply.events
     assert reply.fields["x-response-seal"].startswith("seal-"), reply.fields
 
 
 @behave.then("routes: the answer is not whole and has {count:d} pieces")
 def not_whole(context, count):
-    assert context.reply.status == 200 and not context.reply.whole, context.reply
-    assert len(context.reply.pieces) == count, context.reply.pieces
+    assert context.reply.status == 200 and not context.reply.complete, context.reply
+    assert len(context.reply.events) == count, context.reply.events
 
 
 @behave.then(
@@ -353,7 +353,7 @@
 @behave.then("routes: the status is {status:d}")
 def status_is(context, status):
     assert context.reply.status == status, context.reply
-    assert context.reply.whole
+    assert context.reply.complete
 
 
 @behave.then("routes: the body is the answer to this request")
@@ -401,7 +401,7 @@
     async def status():
         return (await context.world.ask("added", "r1")).status
 
-    context.run(context.world.until_asked(status, 200))
+    context.run(context.world.until_returns(status, 200))
 
 
 @behave.then("routes: the second instance serves the routes")
--- a/tests/features/steps/usage_steps.py
+++ b/tests/features/steps/usage_steps.py
@@ -37,7 +37,7 @@
     "usage: {count:d} schedules are played in which nothing is fixed before it is sent"
 )
 def played_unfixed(context, count):
-    play(context, range(count), kind=usage_world.Unfixed)
+    play(context, range(count), reporter_type=usage_world.UncommittedReporter)
 
 
 @behave.when("usage: a schedule without faults is played")
@@ -63,7 +63,7 @@
 @behave.then("usage: no fence is shared and none is followed by a lower one")
 def fences(context):
     for seed, world in enumerate(context.worlds):
-        assert all(len(found) == 1 for found in world.holders_by_fence().values()), seed
+        assert all(len(found) == 1 for found in world.hosts_by_fence().values()), seed
         sent = [call.fence for call in world.receiver.sent]
         assert sent == sorted(sent), (seed, sent)
 
@@ -73,7 +73,10 @@
 )
 def no_turns(context):
     for seed, world in enumerate(context.worlds):
-        assert world.turns() >= usage_world.BETWEEN, (seed, world.turns())
+        assert world.min_return_time() >= usage_world.HANDOVER_GAP, (
+            seed,
+            world.min_return_time(),
+        )
 
 
 @behave.then("usage: most of what was due was reported")
@@ -81,8 +84,8 @@
     due = reported = 0
     for world in context.worlds:
         contents = world.contents()
-        due += len(world.truth)
-        reported += sum(window in contents for window in world.truth)
+        due += len(world.true_counts_by_window)
+        reported += sum(window in contents for window in world.true_counts_by_window)
     assert reported > 0.7 * due, (reported, due)
 
 
@@ -90,8 +93,8 @@
 def true_counts(context):
     (world,) = context.worlds
     contents = world.contents()
-    assert len(world.truth) > 10
-    for window, truth in world.truth.items():
+    assert len(world.true_counts_by_window) > 10
+    for window, truth in world.true_counts_by_window.items():
         assert [dict(counts) for counts in contents[window]] == [dict(truth)], window
 
 
@@ -306,7 +309,7 @@
         context.receiver, route_world.HOST, port, control_api.build
     )
     context.run(served.start())
-    world.also_served.append(served)
+    world.extra_servers.append(served)
     world.control = {
         "address": f"{route_world.HOST}:{port}",
         "duties": ["usage"],
--- a/tests/features/steps/view_steps.py
+++ b/tests/features/steps/view_steps.py
@@ -4,9 +4,9 @@
 from tests.support import config_world, view_world
 
 STORIES = {
-    "an instance starts in an outage": view_world.start_in_an_outage,
-    "an instance starts cut off": view_world.cut_off_start,
-    "instances meet random trouble": view_world.random_trouble,
+    "an instance starts in an outage": view_world.start_during_outage,
+    "an instance starts cut off": view_world.start_cut_off,
+    "instances meet random trouble": view_world.random_faults,
 }
 WITHOUT = {
     "introductions": config_world.Safeguards(introduces=False),
--- a/tests/support/completion_crashes.py
+++ b/tests/support/completion_crashes.py
@@ -19,18 +19,18 @@
 from pimentolatch.requests import stream, suspect_completions
 
 
-class Engines:
+class CrashingEngines:
     """Each engine that runs the completion ends; another one takes its place."""
 
     def __init__(self):
-        self.ended = 0
+        self.crashes = 0
 
     async def generate(self, address, dispatch):
-        self.ended += 1
+        self.crashes += 1
         yield outcomes.Broken("connection lost", connection_lost=True)
 
 
-class Choice:
+class NewEngineSelector:
     """Returns a fresh engine each time."""
 
     def __init__(self, prefix="e"):
@@ -63,15 +63,17 @@
         self.prefill_tokens_per_s = 1000.0
 
 
-class _ClockWithoutPauses(clock.SystemClock):
+class _ClockWithoutSleep(clock.SystemClock):
     async def sleep(self, duration):
         pass
 
 
 def instance(engines):
     """Return what answers completions in one instance."""
-    time = _ClockWithoutPauses()
-    return stream.ResumingStream(engines, Choice(), time, chance=random.Random(1))
+    time = _ClockWithoutSleep()
+    return stream.ResumingStream(
+        engines, NewEngineSelector(), time, chance=random.Random(1)
+    )
 
 
 def _completion(deadline):
@@ -81,14 +83,14 @@
 DIGEST = _completion(datetime.timedelta()).digest
 
 
-async def ask(tries):
+async def ask(runner):
     """Send the completion once, as its caller would."""
-    time = _ClockWithoutPauses()
+    time = _ClockWithoutSleep()
     asked = _completion(time.monotonic() + datetime.timedelta(seconds=30))
-    return [event async for event in tries.run(asked)]
+    return [event async for event in runner.run(asked)]
 
 
-class Documents:
+class NullDocumentExchange:
     """Stands for the part that moves documents, which nothing here does."""
 
     number = 0
@@ -100,7 +102,7 @@
         pass
 
 
-class NoWork:
+class NullPeerWork:
     """Stands for the table of peers' work."""
 
     def update(self, peer, work):
@@ -114,11 +116,11 @@
     """One instance: what answers completions, and what tells its peers."""
 
     def __init__(self, fleet, number, domain):
-        self.time = _ClockWithoutPauses()
+        self.time = _ClockWithoutSleep()
         self.suspects = suspect_completions.SuspectCompletions(self.time)
-        self.tries = stream.ResumingStream(
+        self.runner = stream.ResumingStream(
             fleet.engines,
-            Choice(f"i{number}"),
+            NewEngineSelector(f"i{number}"),
             self.time,
             chance=random.Random(1),
             suspects=self.suspects,
@@ -127,13 +129,13 @@
         self.own = incarnations.Identity(f"i{number}/1-0", domain, f"i{number}", 1)
         self.node = node.Node(
             self.own,
-            network=Wire(fleet, self),
-            documents=Documents(),
+            network=EncodedLinks(fleet, self),
+            documents=NullDocumentExchange(),
             crashes=self.suspects,
             table=view_table.ViewTable(),
             work=work_exchange.WorkExchange(
                 work_reports.WorkReport,
-                NoWork(),
+                NullPeerWork(),
                 self.time,
                 datetime.timedelta(seconds=1),
             ),
@@ -152,7 +154,7 @@
         return messages.Hello(1, own.incarnation, own.failure_domain, own.host, 1)
 
 
-class Wire:
+class EncodedLinks:
     """An instance's links; messages travel as bytes."""
 
     def __init__(self, fleet, instance):
@@ -161,7 +163,7 @@
 
     def send(self, link, message):
         frame = codec.encode([message])
-        self._fleet.under_way.append((self._instance.peers[link], link, frame))
+        self._fleet.in_flight.append((self._instance.peers[link], link, frame))
 
     def close(self, link, reason):
         raise AssertionError(reason)
@@ -172,7 +174,7 @@
 
     def __init__(self, engines, domains):
         self.engines = engines
-        self.under_way = collections.deque()
+        self.in_flight = collections.deque()
         self.instances = []
         for domain in domains:
             self.start(domain)
@@ -200,7 +202,7 @@
 
     def deliver(self):
         """Carry all messages that are under way, and those that follow from them."""
-        while self.under_way:
-            receiver, link, frame = self.under_way.popleft()
+        while self.in_flight:
+            receiver, link, frame = self.in_flight.popleft()
             for message in codec.decode(frame):
                 receiver.node.handle(link, message)
--- a/tests/support/completions.py
+++ b/tests/support/completions.py
@@ -4,7 +4,7 @@
 
 from standins import callers, deployments
 
-__all__ = ["Ask", "ask", "check_whole", "start"]
+__all__ = ["Ask", "ask", "check_complete", "start"]
 
 Ask = tuple[str, dict[str, typing.Any], dict[str, str]]
 
@@ -27,7 +27,7 @@
     )
 
 
-def check_whole(
+def check_complete(
     asks: typing.Sequence[Ask], replies: typing.Sequence[callers.Reply]
 ) -> None:
     """Check that every ask has a whole answer, and its own."""
--- a/tests/support/crash_world.py
+++ b/tests/support/crash_world.py
@@ -5,11 +5,11 @@
 from tests.support import route_world
 
 HOSTS = {name: f"127.0.0.{n}" for n, name in enumerate("abcd", 1)}
-READERS = 2
-WRITERS = 6
-PLAIN = 6
+PREFILL_ENGINES = 2
+DECODE_ENGINES = 6
+PLAIN_SERVERS = 6
 # More attempts than any count of crashes needs; a loop that never ends would hide why.
-MOST_ATTEMPTS = 20
+MAX_ATTEMPTS = 20
 
 
 class CrashWorld(route_world.RouteWorld):
@@ -25,19 +25,19 @@
         self._numbers = itertools.count()
         self._names = itertools.cycle(HOSTS)
 
-    async def begin(self):
+    async def start(self):
         await self.start_store()
         await self.configure(1)
-        for _ in range(READERS):
+        for _ in range(PREFILL_ENGINES):
             await self.add("lm", "prefill")
-        for _ in range(WRITERS):
+        for _ in range(DECODE_ENGINES):
             await self.add("lm", "decode")
-        for _ in range(PLAIN):
+        for _ in range(PLAIN_SERVERS):
             await self.add("app")
         for name, host in HOSTS.items():
             seeds = [f"{HOSTS['a']}:{self.peer_port}"] if self.ports else []
             await self.add_instance(name, seeds, host=host)
-        await self.until(self._all_heard)
+        await self.until(self._peers_connected)
 
     async def add(self, service, stage=None):
         number = next(self._numbers)
@@ -45,11 +45,11 @@
         server.fatal_body = self.fatal_body
 
     @property
-    def ended(self):
+    def crashed(self):
         """Servers that have ended and are not replaced yet, or are."""
         return [server for server in self.servers.values() if server.ended]
 
-    def sendings(self, body):
+    def dispatches(self, body):
         """Return how often a body has reached a server, prefill included."""
         return sum(
             received.body == body
@@ -57,59 +57,59 @@
             for received in server.received
         )
 
-    async def replace_ended(self):
+    async def replace_crashed(self):
         """Have new servers in place of those that ended, known to all instances."""
-        for server in self.ended:
+        for server in self.crashed:
             if server.state == "draining":
                 continue
             await self.drain(server.server_id)
             await self.add(server.service, server.stage)
-        await self.until(self._all_know)
+        await self.until(self._lists_current)
 
-    async def attempt(self, place, body, name):
+    async def attempt(self, route_name, body, name):
         """Ask once, as a client that knows nothing of earlier attempts."""
         request_id = f"r{next(self._numbers)}"
-        reply = await self.ask(place, request_id, name=name, body=body)
-        await self.replace_ended()
+        reply = await self.ask(route_name, request_id, name=name, body=body)
+        await self.replace_crashed()
         return reply
 
-    async def ask_until_ended(self, place, body, count):
+    async def send_until_crashed(self, route_name, body, count):
         """Repeat a request, at one instance after the other, until servers ended."""
-        for _ in range(MOST_ATTEMPTS):
-            if len(self.ended) >= count:
+        for _ in range(MAX_ATTEMPTS):
+            if len(self.crashed) >= count:
                 return
-            await self.attempt(place, body, next(self._names))
-        raise AssertionError(f"only {len(self.ended)} servers ended")
+            await self.attempt(route_name, body, next(self._names))
+        raise AssertionError(f"only {len(self.crashed)} servers ended")
 
-    async def ask_failing(self, place, body):
+    async def send_while_failing(self, route_name, body):
         """Ask once while every server answers a failure of its own."""
         for server in self.servers.values():
             server.faults.append("fail")
-        reply = await self.attempt(place, body, next(self._names))
+        reply = await self.attempt(route_name, body, next(self._names))
         for server in self.servers.values():
             server.faults.clear()
         return reply
 
-    async def ask_everywhere(self, place, body, times):
+    async def send_to_all(self, route_name, body, times):
         return [
-            await self.attempt(place, body, name)
+            await self.attempt(route_name, body, name)
             for name in HOSTS
             for _ in range(times)
         ]
 
-    def _all_heard(self):
+    def _peers_connected(self):
         tables = [instance.peers for _, instance in self.instances.values()]
         return all(table.instances == len(HOSTS) for table in tables)
 
-    def _all_know(self):
+    def _lists_current(self):
         listed = {n for n, s in self.servers.items() if s.state == "ready"}
         for _, instance in self.instances.values():
-            known = instance.fleet.servers
-            taking = {
+            table = instance.fleet.servers
+            in_service = {
                 server.server_id
                 for service in ("lm", "app")
-                for server in known.of_service(service)
+                for server in table.of_service(service)
             }
-            if taking != listed:
+            if in_service != listed:
                 return False
         return True
--- a/tests/support/fleet_parts.py
+++ b/tests/support/fleet_parts.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Kind:
+class RequestKind:
     """Prompts of one route.
 
     Attributes:
@@ -44,19 +44,19 @@
 
     name: str
     rate: float
-    shared: int
+    prefix_tokens: int
     sessions: int
-    own: int
-    output: int
+    suffix_tokens: int
+    output_tokens: int
     rank: int
     target_ms: float
-    shared_sigma: float = 0.0
-    own_sigma: float = 0.0
+    prefix_sigma: float = 0.0
+    suffix_sigma: float = 0.0
     deadline_s: float = 10.0
-    returns: bool = False
+    retries: bool = False
 
 
-class Fate(enum.Enum):
+class Status(enum.Enum):
     """What became of a client's request."""
 
     SERVED = "served"
@@ -65,7 +65,7 @@
     LEFT = "left before its first event"
 
 
-SERVED = (Fate.SERVED, Fate.LATE)
+SERVED_STATUSES = (Status.SERVED, Status.LATE)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
 
     kind: str
     tokens: int
-    fate: Fate
+    status: Status
 
 
 @dataclasses.dataclass(slots=True)
@@ -91,53 +91,55 @@
         over: Its client has its answer, or has left.
     """
 
-    kind: Kind
+    kind: RequestKind
     prompt: prompts.Prompt
     arrived: float
     lot: float
-    first_asked: float | None = None
-    place: placement_types.Disaggregated | None = None
+    original_arrival: float | None = None
+    placement: placement_types.Disaggregated | None = None
     cost: float = 0.0
-    ahead: float = 0.0
-    sent: float = 0.0
+    queued_ahead: float = 0.0
+    dispatched_at: float = 0.0
     declined: set[servers.Incarnation] = dataclasses.field(default_factory=set)
     large: bool = False
     prefilled: bool = False
-    over: bool = False
+    finished: bool = False
 
     @property
-    def begun(self) -> float:
+    def first_arrival(self) -> float:
         """When its client asked first."""
-        return self.arrived if self.first_asked is None else self.first_asked
+        return self.arrived if self.original_arrival is None else self.original_arrival
 
     @property
-    def patience_ms(self) -> float:
+    def timeout_ms(self) -> float:
         """How long from its arrival its client waits for a first event."""
         gap = wait_policy.client_timeout(self.kind.target_ms * MS, _NO_TIME) / MS
-        return min(gap, self.begun + 1000 * self.kind.deadline_s - self.arrived)
+        return min(gap, self.first_arrival + 1000 * self.kind.deadline_s - self.arrived)
 
 
-def draw_prompt(kind: Kind, number: int, drawn: random.Random) -> prompts.Prompt:
+def draw_prompt(kind: RequestKind, number: int, rng: random.Random) -> prompts.Prompt:
     """Return a prompt of a kind; prompts of one session share a part of one size."""
-    session = drawn.randrange(max(1, kind.sessions))
-    if kind.own_sigma:
-        own = _log_normal(drawn, kind.own, kind.own_sigma)
+    session = rng.randrange(max(1, kind.sessions))
+    if kind.suffix_sigma:
+        own = _log_normal(rng, kind.suffix_tokens, kind.suffix_sigma)
     else:
-        own = max(1, round(kind.own * drawn.uniform(0.5, 1.5)))
+        own = max(1, round(kind.suffix_tokens * rng.uniform(0.5, 1.5)))
     parts = [prompts.Part(f"own-{number}", own)]
-    if kind.shared:
+    if kind.prefix_tokens:
         name = f"{kind.name}-{session}"
         # Drawn by the session's name, so that all its prompts agree on the size.
-        sized = random.Random(name)
-        shared = _log_normal(sized, kind.shared, kind.shared_sigma)
+        size_rng = random.Random(name)
+        shared = _log_normal(size_rng, kind.prefix_tokens, kind.prefix_sigma)
         parts.insert(0, prompts.Part(name, shared))
     total = sum(part.tokens for part in parts)
-    return prompts.Prompt("m", total, kind.output, kind.output, tuple(parts))
+    return prompts.Prompt(
+        "m", total, kind.output_tokens, kind.output_tokens, tuple(parts)
+    )
 
 
-def _log_normal(drawn: random.Random, mean: float, sigma: float) -> int:
+def _log_normal(rng: random.Random, mean: float, sigma: float) -> int:
     location = math.log(mean) - sigma**2 / 2
-    return max(1, round(drawn.lognormvariate(location, sigma)))
+    return max(1, round(rng.lognormvariate(location, sigma)))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -156,14 +158,14 @@
     def __init__(self, server: servers.Server) -> None:
         self.server = server
         self.queue: list[tuple[int, int, Instance, Job]] = []
-        self.kept: set[str] = set()
+        self.cached: set[str] = set()
         self.busy = False
         self.changing = False
-        self.writing = 0
-        self.worked_ms = 0.0
+        self.streams = 0
+        self.busy_ms = 0.0
 
     @property
-    def reads(self) -> bool:
+    def prefills(self) -> bool:
         """Whether the engine reads prompts for others."""
         return self.server.stage is servers.Stage.PREFILL
 
@@ -174,42 +176,44 @@
     def __init__(self, name: str, domain: str, listed: list[servers.Server]) -> None:
         self.name = name
         self.place = neighbours.Place(name, domain)
-        self.known = fleet_state.FleetState()
+        self.fleet = fleet_state.FleetState()
         services = {SERVICE: route_table.Service(SERVICE, TRAITS)}
         limits = route_table.ClientLimits(1, 1, MS, MS)
-        self.known.configure(route_table.Configuration(1, (), services, limits), None)
-        self.known.replace_servers(1, listed)
-        self.loads = self.known.loads(SERVICE)
+        self.fleet.configure(route_table.Configuration(1, (), services, limits), None)
+        self.fleet.replace_servers(1, listed)
+        self.loads = self.fleet.loads(SERVICE)
         self.updates = cache_updates.CacheUpdates()
-        self.work = load_exchange.LoadExchange(self.known, domain, self.updates)
-        self.chooser = placement.Placement(self.loads, domain)
+        self.load_exchange = load_exchange.LoadExchange(
+            self.fleet, domain, self.updates
+        )
+        self.placer = placement.Placement(self.loads, domain)
         self.demand = demand_rate.DemandRate()
         self.sizes = prompt_sizes.PromptSizes()
-        self.told = neighbours.Neighbours(())
+        self.neighbours = neighbours.Neighbours(())
 
     def beacon(self, now: datetime.timedelta, **fields: object) -> beacons.Beacon:
         """Return what this instance tells of engines."""
         domain = self.place.failure_domain
         head = (self.name, domain, "life", 1, 1, False, (), ())
-        changing = self.work.changing(now)
+        changing = self.load_exchange.changing(now)
         return beacons.Beacon(
-            *head, loads=self.work.own(), stage_changes=changing, **fields
+            *head, loads=self.load_exchange.own(), stage_changes=changing, **fields
         )
 
 
 # The mix of a kiosk fleet of 195 instances before 39 engines: long briefings in
 # sessions that come back about twice, short drafts and checks.
 KIOSK = (
-    Kind("briefing", 51.5, 5382, 900, 6610, 42, 2, 823.0),
-    Kind("draft", 81.0, 198, 200, 628, 32, 0, 609.0),
-    Kind("check", 74.0, 568, 200, 1800, 3, 1, 1011.0),
+    RequestKind("briefing", 51.5, 5382, 900, 6610, 42, 2, 823.0),
+    RequestKind("draft", 81.0, 198, 200, 628, 32, 0, 609.0),
+    RequestKind("check", 74.0, 568, 200, 1800, 3, 1, 1011.0),
 )
 
 # The mix of a fleet that drafts letters, 84 instances before 70 engines: histories and
 # offers whose sizes spread widely, short notices. While nothing is kept, it takes 58
 # engines to prefill them.
 LETTERS = (
-    Kind("summary", 131.0, 13_300, 590, 3720, 10, 2, 663.0, 0.7, 1.1, 5.5, True),
-    Kind("offer", 90.0, 6300, 400, 2890, 4, 1, 1045.0, 0.7, 1.0, 3.1, True),
-    Kind("notice", 139.0, 350, 420, 1110, 14, 0, 1026.0, 0.7, 1.0, 6.2, True),
+    RequestKind("summary", 131.0, 13_300, 590, 3720, 10, 2, 663.0, 0.7, 1.1, 5.5, True),
+    RequestKind("offer", 90.0, 6300, 400, 2890, 4, 1, 1045.0, 0.7, 1.0, 3.1, True),
+    RequestKind("notice", 139.0, 350, 420, 1110, 14, 0, 1026.0, 0.7, 1.0, 6.2, True),
 )
--- a/tests/support/fleet_world.py
+++ b/tests/support/fleet_world.py
@@ -29,48 +29,53 @@
 
 # An engine that reads: tokens in a millisecond, the time that each prompt keeps it
 # busy besides, and how much later its answer comes. As engines of today do.
-READING_RATE = 56.6
-OVERHEAD_MS = 4.0
-ANSWER_MS = 16.0
+PREFILL_TOKENS_PER_MS = 56.6
+PREFILL_OVERHEAD_MS = 4.0
+PREFILL_RESPONSE_MS = 16.0
 # From the end of reading to the first event, and one token after the other.
-HANDOVER_MS = 40.0
-TOKEN_MS = 6.0
-NEAR_WAY_MS = 1.0
-FAR_WAY_MS = 1.4
-NEAR_BEACON_MS = 400.0
-FAR_BEACONS = 2
-PLAN_MS = 500.0
+FIRST_EVENT_MS = 40.0
+TOKEN_GAP_MS = 6.0
+NEAR_LATENCY_MS = 1.0
+FAR_LATENCY_MS = 1.4
+BEACON_INTERVAL_MS = 400.0
+FAR_BEACON_EVERY = 2
+PLAN_INTERVAL_MS = 500.0
 LIST_LAG_MS = 600.0
 NO_ENGINE_RETRY = datetime.timedelta(milliseconds=500)
 # Clients wait for as long as they are told, up to this share of the time they have.
-MOST_WAITED = 1 / 3
+MAX_WAIT_SHARE = 1 / 3
 # Clients that gave a stream up ask again after this.
-AGAIN_MS = 50.0
+TIMEOUT_RETRY_MS = 50.0
 # Pauses between the events of a stream, and the longest that callers accept.
-EVENT_MS = 40.0
-PAUSE_TARGET_MS = 250.0
+EVENT_GAP_MS = 40.0
+EVENT_GAP_TARGET_MS = 250.0
 
 
-class Fleet:
+class FleetSimulation:
     """Instances before engines, with prompts arriving.
 
     Args:
         domains: Failure domains.
         instances: Instances in each.
         engines: Engines in the fleet.
-        reading: Those that read; the others write.
+        prefill_engines: Those that prefill; the others decode.
         seed: Draws arrivals and whom beacons reach.
     """
 
     def __init__(
-        self, domains: int, instances: int, engines: int, reading: int, seed: int
+        self,
+        domains: int,
+        instances: int,
+        engines: int,
+        prefill_engines: int,
+        seed: int,
     ) -> None:
         self.random = random.Random(seed)
         self.now = 0.0
         self._events: list[tuple[float, int, abc.Callable[[], None]]] = []
         self._numbers = itertools.count()
         self.names = [f"d{n}" for n in range(domains)]
-        listed = [self._server(n, n < reading) for n in range(engines)]
+        listed = [self._server(n, n < prefill_engines) for n in range(engines)]
         self.engines = {
             server.server_id: fleet_parts.Engine(server) for server in listed
         }
@@ -80,22 +85,22 @@
             for n in range(instances)
         }
         self._weight = 1.0
-        self._meet(instances)
+        self._choose_neighbours(instances)
         self.late: collections.Counter[str] = collections.Counter()
         self.refused: collections.Counter[str] = collections.Counter()
         self.done: collections.Counter[str] = collections.Counter()
-        self.errors: list[tuple[float, float]] = []
+        self.first_event_times: list[tuple[float, float]] = []
         self.outcomes: list[fleet_parts.Outcome] = []
-        self.tokens_read = 0
-        self.tokens_again = 0
-        self.orders: list[tuple[float, stage_plan.Change]] = []
-        self._ever_read: set[str] = set()
+        self.prefilled_tokens = 0
+        self.repeated_tokens = 0
+        self.stage_changes: list[tuple[float, stage_plan.Change]] = []
+        self._ever_prefilled: set[str] = set()
         self._planner = stage_plan.StagePlanner()
         self._revision = 1
         self._bursts: abc.Sequence[fleet_parts.Burst] = ()
 
-    def _server(self, number: int, reads: bool) -> servers.Server:
-        stage = servers.Stage.PREFILL if reads else servers.Stage.DECODE
+    def _server(self, number: int, prefills: bool) -> servers.Server:
+        stage = servers.Stage.PREFILL if prefills else servers.Stage.DECODE
         address = settings.Address.from_text(f"10.0.0.{number}:80")
         domain = self.names[number % len(self.names)]
         name = f"engine-{number:02}"
@@ -103,28 +108,28 @@
             name, fleet_parts.SERVICE, address, domain, False, stage, 64
         )
 
-    def _meet(self, instances: int) -> None:
+    def _choose_neighbours(self, instances: int) -> None:
         places = [instance.place for instance in self.instances.values()]
         for instance in self.instances.values():
             others = [place for place in places if place != instance.place]
-            instance.told = neighbours.choose(instance.place, others)
-            instance.work.partial_view = bool(instance.told.far)
-            instance.loads.partial_view = instance.work.partial_view
-            heard = [neighbours.Place(h, "d") for h in instance.told.near]
-            known = [neighbours.Place(str(n), "d") for n in range(instances - 1)]
-            self._weight = neighbours.domain_weights(known, heard).get("d", 1.0)
-
-    def at(self, when: float, call: abc.Callable[[], None]) -> None:
+            instance.neighbours = neighbours.choose(instance.place, others)
+            instance.load_exchange.partial_view = bool(instance.neighbours.far)
+            instance.loads.partial_view = instance.load_exchange.partial_view
+            near = [neighbours.Place(h, "d") for h in instance.neighbours.near]
+            linked = [neighbours.Place(str(n), "d") for n in range(instances - 1)]
+            self._weight = neighbours.domain_weights(linked, near).get("d", 1.0)
+
+    def schedule(self, when: float, call: abc.Callable[[], None]) -> None:
         """Have something called at a moment, in milliseconds."""
         heapq.heappush(self._events, (when, next(self._numbers), call))
 
     def run(
         self,
-        kinds: abc.Sequence[fleet_parts.Kind],
+        kinds: abc.Sequence[fleet_parts.RequestKind],
         seconds: float,
         bursts: abc.Sequence[fleet_parts.Burst] = (),
         *,
-        plans: bool = False,
+        plan_stages: bool = False,
     ) -> None:
         """Have prompts arrive for some seconds, and wait for what is under way.
 
@@ -132,17 +137,17 @@
             kinds: What arrives.
             seconds: For how long.
             bursts: When something arrives more or less often.
-            plans: Whether stages are planned, by the first instance.
+            plan_stages: Whether the first instance plans stages.
         """
         self._bursts = bursts
         until = 1000 * seconds
-        if plans:
-            self.at(PLAN_MS, lambda: self._plan(until))
+        if plan_stages:
+            self.schedule(PLAN_INTERVAL_MS, lambda: self._plan(until))
         for kind in kinds:
             self._arrive(kind, until)
         for instance in self.instances.values():
-            first = self.random.uniform(0, NEAR_BEACON_MS)
-            self.at(first, lambda i=instance: self._tell(i, 0, until))
+            first = self.random.uniform(0, BEACON_INTERVAL_MS)
+            self.schedule(first, lambda i=instance: self._send_beacons(i, 0, until))
         while self._events:
             self.now, _, call = heapq.heappop(self._events)
             call()
@@ -152,7 +157,7 @@
         """The time, as the decisions take it."""
         return datetime.timedelta(seconds=100) + self.now * fleet_parts.MS
 
-    def _arrive(self, kind: fleet_parts.Kind, until: float) -> None:
+    def _arrive(self, kind: fleet_parts.RequestKind, until: float) -> None:
         rate = kind.rate
         for burst in self._bursts:
             now_s = self.now / 1000
@@ -160,139 +165,147 @@
                 rate *= burst.factor
         when = self.now + self.random.expovariate(rate) * 1000
         if when < until:
-            self.at(when, lambda: self._take(kind, until))
+            self.schedule(when, lambda: self._receive(kind, until))
 
-    def _take(self, kind: fleet_parts.Kind, until: float) -> None:
+    def _receive(self, kind: fleet_parts.RequestKind, until: float) -> None:
         self._arrive(kind, until)
-        self.offer(self.random.choice(list(self.instances.values())), kind)
+        self.submit(self.random.choice(list(self.instances.values())), kind)
 
-    def offer(self, instance: fleet_parts.Instance, kind: fleet_parts.Kind) -> None:
+    def submit(
+        self, instance: fleet_parts.Instance, kind: fleet_parts.RequestKind
+    ) -> None:
         """Have an instance asked for a prompt now."""
         number = next(self._numbers)
         prompt = fleet_parts.draw_prompt(kind, number, self.random)
-        self._ask(instance, kind, prompt, self.random.random())
+        self._start_job(instance, kind, prompt, self.random.random())
 
-    def _ask(
+    def _start_job(
         self,
         instance: fleet_parts.Instance,
-        kind: fleet_parts.Kind,
+        kind: fleet_parts.RequestKind,
         prompt: prompts.Prompt,
         lot: float,
-        first_asked: float | None = None,
+        original_arrival: float | None = None,
     ) -> None:
-        job = fleet_parts.Job(kind, prompt, self.now, lot, first_asked)
+        job = fleet_parts.Job(kind, prompt, self.now, lot, original_arrival)
         size = instance.sizes.classify(kind.name, prompt.tokens)
         job.large = size is not prompt_sizes.SizeClass.REST
-        leaves_at = self.now + job.patience_ms
-        self.at(leaves_at, lambda: self._leave(job))
-        refused_at = (
-            wait_policy.refusal_time(leaves_at * fleet_parts.MS) / fleet_parts.MS
+        timeout_at = self.now + job.timeout_ms
+        self.schedule(timeout_at, lambda: self._time_out(job))
+        expires_at = (
+            wait_policy.refusal_time(timeout_at * fleet_parts.MS) / fleet_parts.MS
         )
-        self.at(max(self.now, refused_at), lambda: self._take_back(job))
-        self._place(instance, job)
+        self.schedule(max(self.now, expires_at), lambda: self._expire(job))
+        self._dispatch(instance, job)
 
-    def _leave(self, job: fleet_parts.Job) -> None:
+    def _time_out(self, job: fleet_parts.Job) -> None:
         """Have a client leave that has seen no event."""
-        if job.over:
+        if job.finished:
             return
-        self._forget(job)
-        if not self._return(job, AGAIN_MS):
-            self._end(job, fleet_parts.Fate.LEFT)
+        self._release_prefill_tokens(job)
+        if not self._schedule_retry(job, TIMEOUT_RETRY_MS):
+            self._finish(job, fleet_parts.Status.LEFT)
 
-    def _take_back(self, job: fleet_parts.Job) -> None:
+    def _expire(self, job: fleet_parts.Job) -> None:
         """Refuse a request whose prompt is not prefilled yet."""
-        if job.over or job.prefilled:
+        if job.finished or job.prefilled:
             return
-        self._forget(job)
+        self._release_prefill_tokens(job)
         self._refuse(job, wait_policy.retry_after(job.lot))
 
-    def _forget(self, job: fleet_parts.Job) -> None:
-        if job.place is not None:
-            job.place.prefill_engine.prefill_tokens[job.place.level] -= job.cost
+    def _release_prefill_tokens(self, job: fleet_parts.Job) -> None:
+        if job.placement is not None:
+            job.placement.prefill_engine.prefill_tokens[job.placement.level] -= job.cost
             job.cost = 0.0
 
-    def _end(self, job: fleet_parts.Job, fate: fleet_parts.Fate) -> None:
-        job.over = True
+    def _finish(self, job: fleet_parts.Job, status: fleet_parts.Status) -> None:
+        job.finished = True
         self.outcomes.append(
-            fleet_parts.Outcome(job.kind.name, job.prompt.tokens, fate)
+            fleet_parts.Outcome(job.kind.name, job.prompt.tokens, status)
         )
 
     def _refuse(self, job: fleet_parts.Job, retry_after: datetime.timedelta) -> None:
         """Refuse a request; its client may come back."""
         self.refused[job.kind.name] += 1
-        if not self._return(job, retry_after / fleet_parts.MS):
-            self._end(job, fleet_parts.Fate.REFUSED)
+        if not self._schedule_retry(job, retry_after / fleet_parts.MS):
+            self._finish(job, fleet_parts.Status.REFUSED)
 
-    def _return(self, job: fleet_parts.Job, wait_ms: float) -> bool:
+    def _schedule_retry(self, job: fleet_parts.Job, wait_ms: float) -> bool:
         """Have a client come back once, at any instance; False if it does not."""
-        left = job.begun + 1000 * job.kind.deadline_s - self.now
-        may_return = job.kind.returns and job.first_asked is None
-        if not may_return or wait_ms > left * MOST_WAITED:
+        left = job.first_arrival + 1000 * job.kind.deadline_s - self.now
+        may_return = job.kind.retries and job.original_arrival is None
+        if not may_return or wait_ms > left * MAX_WAIT_SHARE:
             return False
-        job.over = True
+        job.finished = True
         instance = self.random.choice(list(self.instances.values()))
         prompt, lot = job.prompt, self.random.random()
-        self.at(
+        self.schedule(
             self.now + wait_ms,
-            lambda: self._ask(instance, job.kind, prompt, lot, job.arrived),
+            lambda: self._start_job(instance, job.kind, prompt, lot, job.arrived),
         )
         return True
 
-    def _place(self, instance: fleet_parts.Instance, job: fleet_parts.Job) -> None:
+    def _dispatch(self, instance: fleet_parts.Instance, job: fleet_parts.Job) -> None:
         kind, prompt = job.kind, job.prompt
         target = kind.target_ms * fleet_parts.MS
-        patience = job.patience_ms * fleet_parts.MS
-        gone = (self.now - job.arrived) * fleet_parts.MS
-        asked = placement_types.PlacementRequest(
-            prompt, kind.rank, job.large, target - gone, patience - gone, job.lot
+        timeout = job.timeout_ms * fleet_parts.MS
+        elapsed = (self.now - job.arrived) * fleet_parts.MS
+        request = placement_types.PlacementRequest(
+            prompt, kind.rank, job.large, target - elapsed, timeout - elapsed, job.lot
         )
-        place = instance.chooser.choose(
-            asked, fleet_parts.TRAITS, self.time, frozenset(job.declined)
+        placement = instance.placer.choose(
+            request, fleet_parts.TRAITS, self.time, frozenset(job.declined)
         )
-        apart = isinstance(place, placement_types.Disaggregated)
+        disaggregated = isinstance(placement, placement_types.Disaggregated)
         if not job.declined:
-            cost = instance.loads.prefill_cost(place.tokens) if apart else 0.0
-            instance.demand.add(cost, kind.output, self.time)
-        if isinstance(place, placement_types.NoEngine):
+            cost = (
+                instance.loads.prefill_cost(placement.tokens) if disaggregated else 0.0
+            )
+            instance.demand.add(cost, kind.output_tokens, self.time)
+        if isinstance(placement, placement_types.NoEngine):
             self._refuse(job, NO_ENGINE_RETRY)
             return
-        if isinstance(place, placement_types.Infeasible):
-            self._refuse(job, place.retry_after)
+        if isinstance(placement, placement_types.Infeasible):
+            self._refuse(job, placement.retry_after)
             return
-        if isinstance(place, placement_types.Colocated):
-            self._write(instance, job, place)
+        if isinstance(placement, placement_types.Colocated):
+            self._decode(instance, job, placement)
             return
-        job.place = place
-        reader = place.prefill_engine
-        job.cost = instance.loads.prefill_cost(place.tokens)
-        job.ahead = reader.total_prefill_tokens(self.time, place.level)
-        reader.prefill_tokens[place.level] += job.cost
-        job.sent = self.now
-        way = self._way(instance, reader.server)
-        self.at(self.now + way, lambda: self._queue(instance, job))
-
-    def _way(self, instance: fleet_parts.Instance, server: servers.Server) -> float:
+        job.placement = placement
+        prefill_engine = placement.prefill_engine
+        job.cost = instance.loads.prefill_cost(placement.tokens)
+        job.queued_ahead = prefill_engine.total_prefill_tokens(
+            self.time, placement.level
+        )
+        prefill_engine.prefill_tokens[placement.level] += job.cost
+        job.dispatched_at = self.now
+        latency = self._latency(instance, prefill_engine.server)
+        self.schedule(self.now + latency, lambda: self._enqueue_prefill(instance, job))
+
+    def _latency(self, instance: fleet_parts.Instance, server: servers.Server) -> float:
         near = server.failure_domain == instance.place.failure_domain
-        return NEAR_WAY_MS if near else FAR_WAY_MS
+        return NEAR_LATENCY_MS if near else FAR_LATENCY_MS
 
-    def _queue(self, instance: fleet_parts.Instance, job: fleet_parts.Job) -> None:
-        engine = self.engines[job.place.prefill_engine.server.server_id]
-        if job.over:
+    def _enqueue_prefill(
+        self, instance: fleet_parts.Instance, job: fleet_parts.Job
+    ) -> None:
+        engine = self.engines[job.placement.prefill_engine.server.server_id]
+        if job.finished:
             return
         if engine.changing:
             self._decline(instance, job)
             return
-        entry = (job.place.level, next(self._numbers), instance, job)
+        entry = (job.placement.level, next(self._numbers), instance, job)
         heapq.heappush(engine.queue, entry)
         if not engine.busy:
-            self._read_next(engine)
+            self._prefill_next(engine)
 
     def _decline(self, instance: fleet_parts.Instance, job: fleet_parts.Job) -> None:
-        reader, level = job.place.prefill_engine, job.place.level
-        reader.prefill_tokens[level] -= job.cost
-        instance.loads.declined(reader, self.time)
-        job.declined.add(reader.server.incarnation)
-        self._place(instance, job)
+        prefill_engine, level = job.placement.prefill_engine, job.placement.level
+        prefill_engine.prefill_tokens[level] -= job.cost
+        instance.loads.declined(prefill_engine, self.time)
+        job.declined.add(prefill_engine.server.incarnation)
+        self._dispatch(instance, job)
 
     def _plan(self, until: float) -> None:
         """Have the first instance plan, and the engines do what it says."""
@@ -300,132 +313,150 @@
         demand = sum(i.demand.rate(self.time).prefill for i in self.instances.values())
         rate = max(i.loads.prefill_rate for i in self.instances.values())
         planned = self._planner.plan(
-            first.loads, fleet_parts.TRAITS, PAUSE_TARGET_MS, demand, rate, self.time
+            first.loads,
+            fleet_parts.TRAITS,
+            EVENT_GAP_TARGET_MS,
+            demand,
+            rate,
+            self.time,
         )
         for change in planned:
             self._planner.changed(change, self.time)
-            self.orders.append((self.now, change))
+            self.stage_changes.append((self.now, change))
             engine = self.engines[change.engine.server_id]
             engine.changing = True
-            away = fleet_parts.TRAITS.stage_change_time + stage_plan.STREAM_DRAIN_TIME
-            first.known.engine_load(change.engine).begin_change(
-                engine_loads.StageChange(change.stage, self.time + away)
+            duration = (
+                fleet_parts.TRAITS.stage_change_time + stage_plan.STREAM_DRAIN_TIME
             )
-            self._end_change(engine, change)
+            first.fleet.engine_load(change.engine).begin_change(
+                engine_loads.StageChange(change.stage, self.time + duration)
+            )
+            self._finish_change(engine, change)
         if self.now < until:
-            self.at(self.now + PLAN_MS, lambda: self._plan(until))
+            self.schedule(self.now + PLAN_INTERVAL_MS, lambda: self._plan(until))
 
-    def _end_change(
+    def _finish_change(
         self, engine: fleet_parts.Engine, change: stage_plan.Change
     ) -> None:
-        if engine.busy or engine.writing:
-            self.at(self.now + 20, lambda: self._end_change(engine, change))
+        if engine.busy or engine.streams:
+            self.schedule(self.now + 20, lambda: self._finish_change(engine, change))
             return
 
-        def back() -> None:
+        def apply() -> None:
             engine.changing = False
             engine.server = dataclasses.replace(engine.server, stage=change.stage)
 
-        def listed() -> None:
+        def publish() -> None:
             self._revision += 1
             for instance in self.instances.values():
-                instance.known.update_servers(self._revision, [engine.server], [])
+                instance.fleet.update_servers(self._revision, [engine.server], [])
 
-        away = fleet_parts.TRAITS.stage_change_time / fleet_parts.MS
-        self.at(self.now + away, back)
-        self.at(self.now + away + LIST_LAG_MS, listed)
+        duration = fleet_parts.TRAITS.stage_change_time / fleet_parts.MS
+        self.schedule(self.now + duration, apply)
+        self.schedule(self.now + duration + LIST_LAG_MS, publish)
 
-    def _read_next(self, engine: fleet_parts.Engine) -> None:
-        while engine.queue and engine.queue[0][-1].over:
+    def _prefill_next(self, engine: fleet_parts.Engine) -> None:
+        while engine.queue and engine.queue[0][-1].finished:
             heapq.heappop(engine.queue)
         engine.busy = bool(engine.queue)
         if not engine.queue:
             return
         _, _, instance, job = heapq.heappop(engine.queue)
-        kept, donor = set(engine.kept), job.place.kv_source
-        if donor is not None:
-            kept |= self.engines[donor.server.server_id].kept
-        unread = 0
+        cached, kv_source = set(engine.cached), job.placement.kv_source
+        if kv_source is not None:
+            cached |= self.engines[kv_source.server.server_id].cached
+        uncached = 0
         for part in job.prompt.parts:
-            if part.name in kept:
+            if part.name in cached:
                 continue
-            unread += part.tokens
-            if part.name in self._ever_read:
-                self.tokens_again += part.tokens
-        self._ever_read.update(part.name for part in job.prompt.parts[:-1])
-        self.tokens_read += unread
-        took = OVERHEAD_MS + unread / READING_RATE
-        engine.worked_ms += took
-        self.at(self.now + took, lambda: self._read_next(engine))
-        done = self.now + took + ANSWER_MS
-        self.at(done, lambda: self._was_read(engine, instance, job))
-
-    def _was_read(
+            uncached += part.tokens
+            if part.name in self._ever_prefilled:
+                self.repeated_tokens += part.tokens
+        self._ever_prefilled.update(part.name for part in job.prompt.parts[:-1])
+        self.prefilled_tokens += uncached
+        took = PREFILL_OVERHEAD_MS + uncached / PREFILL_TOKENS_PER_MS
+        engine.busy_ms += took
+        self.schedule(self.now + took, lambda: self._prefill_next(engine))
+        done = self.now + took + PREFILL_RESPONSE_MS
+        self.schedule(done, lambda: self._complete_prefill(engine, instance, job))
+
+    def _complete_prefill(
         self,
         engine: fleet_parts.Engine,
         instance: fleet_parts.Instance,
         job: fleet_parts.Job,
     ) -> None:
-        engine.kept.update(part.name for part in job.prompt.parts[:-1])
-        if job.over:
+        engine.cached.update(part.name for part in job.prompt.parts[:-1])
+        if job.finished:
             return
-        place, loads = job.place, instance.loads
-        place.prefill_engine.prefill_tokens[place.level] -= job.cost
+        placement, loads = job.placement, instance.loads
+        placement.prefill_engine.prefill_tokens[placement.level] -= job.cost
         loads.observe_prefill(
-            place.tokens, (self.now - job.sent) * fleet_parts.MS, job.ahead
+            placement.tokens,
+            (self.now - job.dispatched_at) * fleet_parts.MS,
+            job.queued_ahead,
         )
-        place.prefill_engine.prefix_cache.add_prompt(
+        placement.prefill_engine.prefix_cache.add_prompt(
             job.prompt, fleet_parts.TRAITS.kv_tokens
         )
-        instance.updates.add(place.prefill_engine.server.incarnation, job.prompt)
-        self.errors.append(
-            (place.expected / fleet_parts.MS, self.now - job.sent + HANDOVER_MS)
+        instance.updates.add(placement.prefill_engine.server.incarnation, job.prompt)
+        self.first_event_times.append(
+            (
+                placement.expected / fleet_parts.MS,
+                self.now - job.dispatched_at + FIRST_EVENT_MS,
+            )
         )
-        self._write(instance, job, place)
+        self._decode(instance, job, placement)
 
-    def _write(
+    def _decode(
         self,
         instance: fleet_parts.Instance,
         job: fleet_parts.Job,
-        place: placement_types.Disaggregated | placement_types.Colocated,
+        placement: placement_types.Disaggregated | placement_types.Colocated,
     ) -> None:
         job.prefilled = True
-        writer = place.engine
-        unread = place.tokens if isinstance(place, placement_types.Colocated) else 0
-        held = job.prompt.tokens + job.kind.output
-        at = self.engines[writer.server.server_id]
-        at.writing += 1
-        writer.streams += 1
-        writer.kv_tokens += held
-        writer.prefill_tokens[place.level] += unread
-        took = HANDOVER_MS + 2 * unread / READING_RATE
+        decode_engine = placement.engine
+        uncached = (
+            placement.tokens if isinstance(placement, placement_types.Colocated) else 0
+        )
+        kv_tokens = job.prompt.tokens + job.kind.output_tokens
+        engine = self.engines[decode_engine.server.server_id]
+        engine.streams += 1
+        decode_engine.streams += 1
+        decode_engine.kv_tokens += kv_tokens
+        decode_engine.prefill_tokens[placement.level] += uncached
+        took = FIRST_EVENT_MS + 2 * uncached / PREFILL_TOKENS_PER_MS
 
         def first() -> None:
-            writer.prefill_tokens[place.level] -= unread
-            if job.over:
+            decode_engine.prefill_tokens[placement.level] -= uncached
+            if job.finished:
                 return
             self.done[job.kind.name] += 1
-            fate = fleet_parts.Fate.SERVED
-            if self.now > job.begun + job.kind.target_ms:
+            status = fleet_parts.Status.SERVED
+            if self.now > job.first_arrival + job.kind.target_ms:
                 self.late[job.kind.name] += 1
-                fate = fleet_parts.Fate.LATE
-            self._end(job, fate)
+                status = fleet_parts.Status.LATE
+            self._finish(job, status)
 
         def end() -> None:
-            at.writing -= 1
-            instance.loads.observe_event_gap(writer, EVENT_MS * fleet_parts.MS)
-            writer.streams -= 1
-            writer.kv_tokens -= held
+            engine.streams -= 1
+            instance.loads.observe_event_gap(
+                decode_engine, EVENT_GAP_MS * fleet_parts.MS
+            )
+            decode_engine.streams -= 1
+            decode_engine.kv_tokens -= kv_tokens
 
-        self.at(self.now + took, first)
-        self.at(self.now + took + TOKEN_MS * job.kind.output, end)
+        self.schedule(self.now + took, first)
+        self.schedule(self.now + took + TOKEN_GAP_MS * job.kind.output_tokens, end)
 
-    def _tell(self, instance: fleet_parts.Instance, number: int, until: float) -> None:
+    def _send_beacons(
+        self, instance: fleet_parts.Instance, number: int, until: float
+    ) -> None:
         near = instance.beacon(self.time, cached=instance.updates.take_near())
-        for host in instance.told.near:
-            self._deliver(self.instances[host], near, self._weight, NEAR_WAY_MS)
-        if number % FAR_BEACONS == 0:
-            totals = instance.work.totals(self.time)
+        for host in instance.neighbours.near:
+            self._deliver(self.instances[host], near, self._weight, NEAR_LATENCY_MS)
+        if number % FAR_BEACON_EVERY == 0:
+            totals = instance.load_exchange.totals(self.time)
             cached = instance.updates.take_far()
             far = [
                 instance.beacon(
@@ -436,26 +467,29 @@
                 )
                 for chunk, loads in totals
             ]
-            for hosts in instance.told.far:
+            for hosts in instance.neighbours.far:
                 receiver = self.instances[self.random.choice(hosts)]
-                for piece in far:
-                    self._deliver(receiver, piece, 1.0, FAR_WAY_MS)
+                for message in far:
+                    self._deliver(receiver, message, 1.0, FAR_LATENCY_MS)
         if self.now < until:
-            later = self.now + NEAR_BEACON_MS
-            self.at(later, lambda: self._tell(instance, number + 1, until))
+            later = self.now + BEACON_INTERVAL_MS
+            self.schedule(
+                later, lambda: self._send_beacons(instance, number + 1, until)
+            )
 
     def _deliver(
         self,
         receiver: fleet_parts.Instance,
         beacon: beacons.Beacon,
         weight: float,
-        way: float,
+        latency: float,
     ) -> None:
-        self.at(
-            self.now + way, lambda: receiver.work.receive(beacon, weight, self.time)
+        self.schedule(
+            self.now + latency,
+            lambda: receiver.load_exchange.receive(beacon, weight, self.time),
         )
 
-    def busiest(self) -> float:
+    def max_to_mean_work(self) -> float:
         """Return the work of the busiest reading engine as a multiple of the mean."""
-        worked = [engine.worked_ms for engine in self.engines.values() if engine.reads]
+        worked = [engine.busy_ms for engine in self.engines.values() if engine.prefills]
         return max(worked) * len(worked) / sum(worked)
--- a/tests/support/proofs/promise_4.py
+++ b/tests/support/proofs/promise_4.py
@@ -23,7 +23,7 @@
     ) -> matrix.ProofRun:
         """Make one history of streams and one of calls, and check both."""
         seen = streams.run(faults, seed, safeguards=safeguards)
-        switches = request_parts.Safeguards(own_answers=safeguards)
+        switches = request_parts.Safeguards(match_answers=safeguards)
         called = calls.run(faults, seed, switches)
         return matrix.ProofRun(
             self.promise,
--- a/tests/support/proofs/promise_5.py
+++ b/tests/support/proofs/promise_5.py
@@ -17,7 +17,7 @@
         self, faults: tuple[str, ...], seed: int, *, safeguards: bool = True
     ) -> matrix.ProofRun:
         """Make one history of calls and one of streams, and check both."""
-        switches = request_parts.Safeguards(classes=safeguards)
+        switches = request_parts.Safeguards(distinguish_unknown=safeguards)
         called = calls.run(faults, seed, switches)
         at_engines = tuple(fault for fault in faults if fault in streams.FAULTS)
         seen = streams.run(at_engines, seed)
--- a/tests/support/request_parts.py
+++ b/tests/support/request_parts.py
@@ -17,7 +17,7 @@
 from standins import memory_store, objects
 from tests.support import request_history, virtual_time
 
-__all__ = ["Grounds", "LogicInstance", "Safeguards", "Server", "document_of"]
+__all__ = ["LogicInstance", "Safeguards", "Server", "SharedState", "document_of"]
 
 SERVICE, OPERATION = "booking", "confirm"
 _CONNECT_S = 1.0
@@ -34,11 +34,11 @@
     """
 
     claims: bool = True
-    classes: bool = True
-    own_answers: bool = True
+    distinguish_unknown: bool = True
+    match_answers: bool = True
 
 
-class Grounds:
+class SharedState:
     """What all instances of a world share."""
 
     def __init__(self, seed: int, safeguards: Safeguards) -> None:
@@ -54,7 +54,7 @@
         self.never = asyncio.Event()
         self.cut: set[tuple[str, str]] = set()
         self.fleet = fleet.Fleet()
-        self.traps: list[tuple[str, typing.Callable[[LogicInstance], None]]] = []
+        self.hooks: list[tuple[str, typing.Callable[[LogicInstance], None]]] = []
 
     def is_cut(self, one: str, other: str) -> bool:
         """Tell whether the link between two parts is cut."""
@@ -64,7 +64,7 @@
 class Server:
     """A plain server: runs calls, whatever becomes of their answers."""
 
-    def __init__(self, grounds: Grounds, name: str, host: str) -> None:
+    def __init__(self, shared: SharedState, name: str, host: str) -> None:
         self.name = name
         self.address = settings.Address(host=host, port=9200)
         self.down = False
@@ -72,8 +72,8 @@
         self.lost_answers = 0
         self.refusals = 0
         self.crashes = 0
-        self._grounds = grounds
-        self._last: outcomes.Answered | None = None
+        self._shared = shared
+        self._last_response: outcomes.Answered | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def receive(self, call: plain.Call) -> asyncio.Future[outcomes.ServiceOutcome]:
@@ -91,7 +91,7 @@
     async def _run(
         self, call: plain.Call, answer: asyncio.Future[outcomes.ServiceOutcome]
     ) -> None:
-        rng = self._grounds.random
+        rng = self._shared.random
         await asyncio.sleep(rng.uniform(0.001, 0.05) + self.slow_s)
         if self.down:
             answer.set_result(outcomes.Broken("reset"))
@@ -103,24 +103,27 @@
         key = call.body.decode()
         text = f"{self.name} ran {key} as {call.dispatch_id}"
         request = call.dispatch_id.rpartition(".")[0]
-        self._grounds.history.add(request_history.Run(request, key, text))
+        self._shared.history.add(request_history.Run(request, key, text))
         await asyncio.sleep(rng.uniform(0.001, 0.05) + self.slow_s)
         if self.crashes:
             self.crashes -= 1
             self.down = True
             asyncio.get_running_loop().call_later(rng.uniform(0.1, 3.0), self.restart)
-        mine = outcomes.Answered(200, text.encode(), "text/plain")
+        response = outcomes.Answered(200, text.encode(), "text/plain")
         if self.lost_answers or self.down:
             self.lost_answers = max(0, self.lost_answers - 1)
             answer.set_result(outcomes.Broken("connection lost"))
-        elif not self._grounds.safeguards.own_answers and self._last is not None:
-            answer.set_result(self._last)
+        elif (
+            not self._shared.safeguards.match_answers
+            and self._last_response is not None
+        ):
+            answer.set_result(self._last_response)
         else:
-            answer.set_result(mine)
-        self._last = mine
+            answer.set_result(response)
+        self._last_response = response
 
 
-class _Unbound(claims.ClaimPages):
+class _NonExclusiveClaims(claims.ClaimPages):
     """Claims without their safeguard: every attempt holds its key."""
 
     async def claim(self, name: str, fingerprint: str) -> typing.Any:
@@ -133,11 +136,11 @@
 class LogicInstance:
     """One entry instance, as far as keyed calls go; killed and started again."""
 
-    def __init__(self, grounds: Grounds, name: str, host: str) -> None:
+    def __init__(self, shared: SharedState, name: str, host: str) -> None:
         self.name = name
         self.address = settings.Address(host=host, port=8080)
         self.frozen_until = 0.0
-        self._grounds = grounds
+        self._shared = shared
         self._starts = 0
         self.start()
 
@@ -148,41 +151,41 @@
 
     def start(self) -> None:
         """Start a new incarnation, which remembers nothing."""
-        grounds = self._grounds
+        shared = self._shared
         self._starts += 1
         incarnation = f"{self.name}#{self._starts}"
         self.ended = asyncio.Event()
-        links = _Links(grounds, self, self.ended)
+        links = _Links(shared, self, self.ended)
         owner = claims.Owner(incarnation, self.address)
         self.store = store = memory_store.MemoryStore(
-            grounds.table,
-            time=grounds.time,
+            shared.table,
+            time=shared.time,
             link=self.name,
-            faults=grounds.store_faults,
+            faults=shared.store_faults,
             pause=links.point,
         )
-        pages = claims.ClaimPages if grounds.safeguards.claims else _Unbound
-        table = keys.KeyTable(grounds.time)
+        pages = claims.ClaimPages if shared.safeguards.claims else _NonExclusiveClaims
+        table = keys.KeyTable(shared.time)
         self.once = once.AtMostOnce(
             owner,
             pages=pages(
                 store,
                 owner,
-                grounds.time,
-                claims.share_of(grounds.calls_per_second, grounds.time),
+                shared.time,
+                claims.share_of(shared.calls_per_second, shared.time),
             ),
-            office=tickets.TicketOffice(store, owner, grounds.time, table.lifetime),
+            office=tickets.TicketOffice(store, owner, shared.time, table.lifetime),
             table=table,
-            retirements=retired.RetiredOwners(store, grounds.time, table.lifetime),
+            retirements=retired.RetiredOwners(store, shared.time, table.lifetime),
             instances=links,
             sender=service_call.Sender(
-                own_fleet=grounds.fleet,
+                own_fleet=shared.fleet,
                 own_domain="north",
                 servers=links,
                 work=outstanding_work.OutstandingWork(),
-                time=grounds.time,
+                time=shared.time,
             ),
-            time=grounds.time,
+            time=shared.time,
         )
 
     def kill(self) -> None:
@@ -200,52 +203,52 @@
         if ended.is_set():
             return None
         work = asyncio.create_task(self.once.run(call))
-        gone = asyncio.create_task(ended.wait())
-        await asyncio.wait((work, gone), return_when="FIRST_COMPLETED")
-        gone.cancel()
+        killed = asyncio.create_task(ended.wait())
+        await asyncio.wait((work, killed), return_when="FIRST_COMPLETED")
+        killed.cancel()
         if ended.is_set():
             work.cancel()
             return None
         outcome = work.result()
-        await self.thawed()
+        await self.wait_until_thawed()
         return None if ended.is_set() else outcome
 
-    async def thawed(self) -> None:
+    async def wait_until_thawed(self) -> None:
         """Wait for the end of a freeze."""
-        left = self.frozen_until - asyncio.get_running_loop().time()
-        if left > 0:
-            await asyncio.sleep(left)
-            await self.thawed()
+        remaining = self.frozen_until - asyncio.get_running_loop().time()
+        if remaining > 0:
+            await asyncio.sleep(remaining)
+            await self.wait_until_thawed()
 
 
 class _Links:
     """The links of one incarnation to servers, instances and the store."""
 
     def __init__(
-        self, grounds: Grounds, of: LogicInstance, ended: asyncio.Event
+        self, shared: SharedState, of: LogicInstance, ended: asyncio.Event
     ) -> None:
-        self._grounds = grounds
+        self._shared = shared
         self._of = of
         self._ended = ended
 
     async def point(self, name: str) -> None:
         """Go on, unless the incarnation is frozen or has ended."""
-        for trap in [t for t in self._grounds.traps if t[0] == name]:
-            self._grounds.traps.remove(trap)
-            trap[1](self._of)
-        await asyncio.sleep(self._grounds.random.uniform(0.0001, 0.004))
-        await self._of.thawed()
+        for hook in [t for t in self._shared.hooks if t[0] == name]:
+            self._shared.hooks.remove(hook)
+            hook[1](self._of)
+        await asyncio.sleep(self._shared.random.uniform(0.0001, 0.004))
+        await self._of.wait_until_thawed()
         if self._ended.is_set():
             # The process is no more: nothing after this point ever happens.
-            await self._grounds.never.wait()
+            await self._shared.never.wait()
 
     async def call(
         self, address: settings.Address, call: plain.Call
     ) -> outcomes.ServiceOutcome:
         """See `service_call.PlainCalls`."""
         await self.point("send")
-        server = next(s for s in self._grounds.servers.values() if s.address == address)
-        if server.down or self._grounds.is_cut(self._of.name, server.name):
+        server = next(s for s in self._shared.servers.values() if s.address == address)
+        if server.down or self._shared.is_cut(self._of.name, server.name):
             await asyncio.sleep(_CONNECT_S)
             await self.point("refused")
             return outcomes.NotRun("connect", reached=False)
@@ -254,12 +257,12 @@
         try:
             async with asyncio.timeout(call.time_limit.total_seconds()):
                 outcome = await asyncio.shield(answer)
-            if self._grounds.is_cut(self._of.name, server.name):
+            if self._shared.is_cut(self._of.name, server.name):
                 outcome = outcomes.Broken("cut")
         except TimeoutError:
             outcome = outcomes.Broken("no answer in time")
         await self.point("answered")
-        if not self._grounds.safeguards.classes and isinstance(
+        if not self._shared.safeguards.distinguish_unknown and isinstance(
             outcome, outcomes.Broken
         ):
             return outcomes.NotRun(outcome.reason, reached=False)
@@ -271,26 +274,26 @@
         """See `once.Instances`."""
         await self.point("forward")
         target = next(
-            i for i in self._grounds.instances.values() if i.address == address
+            i for i in self._shared.instances.values() if i.address == address
         )
-        if not target.alive or self._grounds.is_cut(self._of.name, target.name):
+        if not target.alive or self._shared.is_cut(self._of.name, target.name):
             await asyncio.sleep(_CONNECT_S)
             return outcomes.NotRun("connect", reached=False)
-        passed_on = service_call.ServiceCall(
+        forwarded_call = service_call.ServiceCall(
             call.request_id,
             call.authorization or "",
             call.service,
             call.operation,
             call.body,
             call.content_type,
-            self._grounds.time.monotonic() + call.time_limit,
+            self._shared.time.monotonic() + call.time_limit,
             call.idempotency_key,
             call.authorization,
             forwarded=True,
         )
         try:
             async with asyncio.timeout(call.time_limit.total_seconds()):
-                outcome = await target.serve(passed_on)
+                outcome = await target.serve(forwarded_call)
         except TimeoutError:
             return outcomes.Broken("no answer in time")
         await self.point("forwarded")
--- a/tests/support/request_world.py
+++ b/tests/support/request_world.py
@@ -22,7 +22,7 @@
 _FAULT_SPAN_S = 12.0
 
 
-class _World(request_parts.Grounds):
+class _World(request_parts.SharedState):
     def __init__(self, seed: int, safeguards: request_parts.Safeguards) -> None:
         super().__init__(seed, safeguards)
         self.numbers = itertools.count(1)
@@ -134,14 +134,14 @@
     if point is None:
         end(world.any_instance())
     else:
-        world.traps.append((point, end))
+        world.hooks.append((point, end))
 
 
 async def _freeze(world: _World) -> None:
     """Freeze an instance, often between its claim and its first byte."""
     point = world.random.choice(("put claims", "put claims done", "send", "answered"))
     length = world.random.choice((0.5, 5.0, 30.0))
-    world.traps.append((point, lambda instance: instance.freeze(length)))
+    world.hooks.append((point, lambda instance: instance.freeze(length)))
 
 
 async def _cut(world: _World) -> None:
@@ -150,7 +150,7 @@
     instance, other = world.any_instance(), world.any_instance()
     length = world.random.uniform(0.5, 6.0)
     if link == "server":
-        world.traps.append(("send", lambda sender: _cut_soon(world, sender, length)))
+        world.hooks.append(("send", lambda sender: _cut_soon(world, sender, length)))
         return
     if link == "store":
         world.store_faults.cut.add(instance.name)
--- a/tests/support/role_worlds.py
+++ b/tests/support/role_worlds.py
@@ -13,22 +13,22 @@
 from pimentolatch.document import schema
 
 __all__ = [
-    "EVEN",
-    "LONG",
-    "SHORT",
-    "Counted",
+    "EVEN_DEMAND",
+    "LONG_PROMPTS",
+    "SHORT_PROMPTS",
     "FixedFleet",
-    "Found",
-    "RolesOnly",
-    "World",
-    "carried_out",
-    "ordered",
+    "PlanCheck",
+    "PlanningWorld",
+    "SteadyDemand",
+    "UntrackedPlanner",
+    "check_plans",
+    "count_executed",
     "policy",
     "samples",
-    "in_service",
-    "settled",
-    "violations",
-    "withdrawn",
+    "serving_engines",
+    "with_change_done",
+    "with_order",
+    "with_withdrawal",
 ]
 
 _EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
@@ -46,9 +46,9 @@
 
 # Short prompts have 400 tokens and answers of 120, long ones 9,000 and 250; an engine
 # reads 3,000 tokens a second and writes 400.
-LONG = Demand(0.3, 0.2)
-SHORT = Demand(1.75, 0.01)
-EVEN = Demand(1.63, 0.002)
+LONG_PROMPTS = Demand(0.3, 0.2)
+SHORT_PROMPTS = Demand(1.75, 0.01)
+EVEN_DEMAND = Demand(1.63, 0.002)
 
 
 def policy(fleet: str) -> schema.RolePolicy:
@@ -77,7 +77,7 @@
     )
 
 
-def in_service(names: abc.Sequence[str]) -> list[engine_states.EngineState]:
+def serving_engines(names: abc.Sequence[str]) -> list[engine_states.EngineState]:
     """Return serving engines with roles."""
     return [
         engine_states.EngineState(engine(n, role), role)
@@ -95,8 +95,8 @@
     ]
 
 
-def _sample(asked: Demand, at: float, engines: int) -> demand.Sample:
-    short, long = asked.short_requests * engines, asked.long_requests * engines
+def _sample(load: Demand, at: float, engines: int) -> demand.Sample:
+    short, long = load.short_requests * engines, load.long_requests * engines
     return demand.Sample(
         datetime.timedelta(seconds=at),
         _TICK_S,
@@ -108,44 +108,44 @@
     )
 
 
-def ordered(
-    known: abc.Sequence[engine_states.EngineState], change: roles.RoleChange
+def with_order(
+    states: abc.Sequence[engine_states.EngineState], change: roles.RoleChange
 ) -> list[engine_states.EngineState]:
     """Return the states once the change's slot is taken."""
     return _with(
-        known,
+        states,
         change.engine,
         role=change.role,
         condition=engine_states.Condition.CHANGING,
     )
 
 
-def settled(
-    known: abc.Sequence[engine_states.EngineState],
+def with_change_done(
+    states: abc.Sequence[engine_states.EngineState],
     change: roles.RoleChange,
     at: datetime.timedelta | None,
 ) -> list[engine_states.EngineState]:
     """Return the states once the change has ended."""
-    return _with(known, change.engine, role=change.role, since=at)
+    return _with(states, change.engine, role=change.role, since=at)
 
 
-def withdrawn(
-    known: abc.Sequence[engine_states.EngineState], name: str
+def with_withdrawal(
+    states: abc.Sequence[engine_states.EngineState], name: str
 ) -> list[engine_states.EngineState]:
     """Return the states with one engine withdrawn."""
-    return _with(known, name, condition=engine_states.Condition.WITHDRAWN)
+    return _with(states, name, condition=engine_states.Condition.WITHDRAWN)
 
 
 def _with(
-    known: abc.Sequence[engine_states.EngineState], name: str, **changes: typing.Any
+    states: abc.Sequence[engine_states.EngineState], name: str, **changes: typing.Any
 ) -> list[engine_states.EngineState]:
     return [
         dataclasses.replace(state, **changes) if state.engine.name == name else state
-        for state in known
+        for state in states
     ]
 
 
-class World:
+class PlanningWorld:
     """Plans each five seconds and carries the changes out.
 
     Args:
@@ -156,58 +156,58 @@
     def __init__(
         self,
         names: abc.Sequence[str],
-        chosen: schema.RolePolicy,
+        role_policy: schema.RolePolicy,
         load: abc.Callable[[float], Demand],
         *,
         safeguards: roles.Safeguards | None = None,
         absent: tuple[str, float, float] | None = None,
-        forget_events: bool = False,
+        omit_change_times: bool = False,
     ) -> None:
         self.changes: list[tuple[float, roles.RoleChange]] = []
-        self._states = in_service(names)
-        self._policy = chosen
+        self._states = serving_engines(names)
+        self._policy = role_policy
         self._load = load
         self._safeguards = safeguards or roles.Safeguards()
         self._absent = absent
-        self._forget_events = forget_events
+        self._omit_change_times = omit_change_times
         self._samples: list[demand.Sample] = []
-        self._ends: list[tuple[float, roles.RoleChange]] = []
+        self._pending_changes: list[tuple[float, roles.RoleChange]] = []
 
     def run(self, seconds: int) -> None:
         """Plan for a time."""
         for at in range(_TICK_S, seconds + _TICK_S, _TICK_S):
-            self._settle(at)
-            self._come_and_go(at)
+            self._end_changes(at)
+            self._apply_absence(at)
             self._samples.append(_sample(self._load(at), at, len(self._states)))
             del self._samples[:-60]
             now = datetime.timedelta(seconds=at)
-            known = self._states
-            if self._forget_events:
-                known = [dataclasses.replace(s, since=None) for s in known]
+            states = self._states
+            if self._omit_change_times:
+                states = [dataclasses.replace(s, since=None) for s in states]
             for change in roles.plan(
-                now, known, self._samples, self._policy, self._safeguards
+                now, states, self._samples, self._policy, self._safeguards
             ):
                 self.changes.append((at, change))
-                self._states = ordered(self._states, change)
-                self._ends.append((at + self._policy.change_cost_s, change))
+                self._states = with_order(self._states, change)
+                self._pending_changes.append((at + self._policy.change_cost_s, change))
 
-    def _settle(self, at: float) -> None:
+    def _end_changes(self, at: float) -> None:
         now = datetime.timedelta(seconds=at)
-        for end, change in [item for item in self._ends if item[0] <= at]:
-            self._ends.remove((end, change))
+        for end, change in [item for item in self._pending_changes if item[0] <= at]:
+            self._pending_changes.remove((end, change))
             self._states = _with(
-                settled(self._states, change, now),
+                with_change_done(self._states, change, now),
                 change.engine,
                 condition=engine_states.Condition.SERVING,
             )
 
-    def _come_and_go(self, at: float) -> None:
+    def _apply_absence(self, at: float) -> None:
         if self._absent is None:
             return
-        name, gone, back = self._absent
+        name, start, end = self._absent
         for moment, condition in (
-            (gone, engine_states.Condition.WITHDRAWN),
-            (back, engine_states.Condition.SERVING),
+            (start, engine_states.Condition.WITHDRAWN),
+            (end, engine_states.Condition.SERVING),
         ):
             if at == moment:
                 now = datetime.timedelta(seconds=at)
@@ -231,11 +231,11 @@
         return self
 
 
-class Counted:
+class SteadyDemand:
     """What one instance counts of a steady demand."""
 
-    def __init__(self, asked: Demand, engines: int) -> None:
-        self._sample = _sample(asked, 0.0, engines)
+    def __init__(self, load: Demand, engines: int) -> None:
+        self._sample = _sample(load, 0.0, engines)
         self._at = 0.0
 
     def advance(self, at: float) -> None:
@@ -259,138 +259,142 @@
         )
 
 
-class RolesOnly:
+class UntrackedPlanner:
     """The planner without `state_tracker`: engine states carry no time of change."""
 
     def __init__(
         self,
-        chosen: schema.RolePolicy,
+        role_policy: schema.RolePolicy,
         totals: abc.Callable[[], abc.Iterable[demand.Totals]],
     ) -> None:
-        self._policy = chosen
+        self._policy = role_policy
         self._totals = totals
         self._history = demand.History()
 
     def plan(
-        self, known: abc.Sequence[engine_states.EngineState], now: datetime.timedelta
+        self, states: abc.Sequence[engine_states.EngineState], now: datetime.timedelta
     ) -> tuple[roles.RoleChange, ...]:
         """Return the changes wanted now."""
         self._history.observe(now, self._totals())
-        return roles.plan(now, known, self._history.samples, self._policy)
+        return roles.plan(now, states, self._history.samples, self._policy)
 
 
-def carried_out(
+def count_executed(
     names: abc.Sequence[str],
     changes: abc.Sequence[roles.RoleChange],
     order: abc.Sequence[tuple[int, str]],
-    chosen: schema.RolePolicy,
+    role_policy: schema.RolePolicy,
     *,
-    look: bool,
+    confirm: bool,
 ) -> int:
     """Return how many changes are made when two planners' steps come in an order."""
-    known = in_service(names)
+    states = serving_engines(names)
     made = 0
     for planner, step in order:
         change = changes[planner]
         if step == "take":
-            known = ordered(known, change)
-        elif not look or roles.confirm(change, known, chosen):
+            states = with_order(states, change)
+        elif not confirm or roles.confirm(change, states, role_policy):
             made += 1
         else:
-            known = _with(
-                known, change.engine, condition=engine_states.Condition.SERVING
+            states = _with(
+                states, change.engine, condition=engine_states.Condition.SERVING
             )
     return made
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Found:
+class PlanCheck:
     """What planning for many drawn states found."""
 
     plans: int
     violations: tuple[str, ...]
 
 
-def violations(count: int, safeguards: roles.Safeguards) -> Found:
+def check_plans(count: int, safeguards: roles.Safeguards) -> PlanCheck:
     """Plan for drawn states and check each plan."""
-    chance = random.Random(5)
+    rng = random.Random(5)
     plans = 0
-    found: list[str] = []
+    problems: list[str] = []
     for _ in range(count):
-        known, chosen = _drawn(chance)
-        load = chance.choice((LONG, SHORT))
+        states, role_policy = _random_states(rng)
+        load = rng.choice((LONG_PROMPTS, SHORT_PROMPTS))
         changes = roles.plan(
             datetime.timedelta(seconds=600),
-            known,
-            samples(functools.partial(_always, load), 300, len(known)),
-            chosen,
+            states,
+            samples(functools.partial(_always, load), 300, len(states)),
+            role_policy,
             safeguards,
         )
         plans += len(changes)
         for change in changes:
-            found += _wrong(known, change, chosen)
-            known = ordered(known, change)
-        under_way = sum(s.condition is engine_states.Condition.CHANGING for s in known)
-        if changes and under_way > chosen.concurrent_changes:
-            found.append("too many changes at once")
-    return Found(plans, tuple(found))
+            problems += _violations(states, change, role_policy)
+            states = with_order(states, change)
+        under_way = sum(s.condition is engine_states.Condition.CHANGING for s in states)
+        if changes and under_way > role_policy.concurrent_changes:
+            problems.append("too many changes at once")
+    return PlanCheck(plans, tuple(problems))
 
 
 def _always(load: Demand, at: float) -> Demand:
     return load
 
 
-def _drawn(
-    chance: random.Random,
+def _random_states(
+    rng: random.Random,
 ) -> tuple[list[engine_states.EngineState], schema.RolePolicy]:
-    known = [
+    states = [
         engine_states.EngineState(
-            engine(n, "mixed", pinned=chance.random() < 0.2),
-            chance.choice(("prefill", "decode", "mixed")),
-            chance.choices(_CONDITIONS, weights=(8, 1, 1, 1))[0],
+            engine(n, "mixed", pinned=rng.random() < 0.2),
+            rng.choice(("prefill", "decode", "mixed")),
+            rng.choices(_CONDITIONS, weights=(8, 1, 1, 1))[0],
         )
-        for n in range(chance.randint(2, 6))
+        for n in range(rng.randint(2, 6))
     ]
-    chosen = schema.RolePolicy(
+    role_policy = schema.RolePolicy(
         change_weight=1.0,
-        concurrent_changes=chance.randint(1, 3),
-        least_serving_share=chance.choice((0.5, 0.6, 0.8)),
+        concurrent_changes=rng.randint(1, 3),
+        least_serving_share=rng.choice((0.5, 0.6, 0.8)),
     )
-    return known, chosen
+    return states, role_policy
 
 
-def _wrong(
-    known: abc.Sequence[engine_states.EngineState],
+def _violations(
+    states: abc.Sequence[engine_states.EngineState],
     change: roles.RoleChange,
-    chosen: schema.RolePolicy,
+    role_policy: schema.RolePolicy,
 ) -> list[str]:
-    (changed,) = [s for s in known if s.engine.name == change.engine]
-    found = []
+    (changed,) = [s for s in states if s.engine.name == change.engine]
+    problems = []
     if (
         changed.engine.pinned
         or changed.condition is not engine_states.Condition.SERVING
     ):
-        found.append(f"{change} moves an engine that must stay")
-    serving = [s.role for s in known if s.condition is engine_states.Condition.SERVING]
+        problems.append(f"{change} moves an engine that must stay")
+    serving = [s.role for s in states if s.condition is engine_states.Condition.SERVING]
     staying = serving.copy()
     if changed.condition is engine_states.Condition.SERVING:
         staying.remove(changed.role)
-    if not _answers(known):
-        return found
-    present = [s for s in known if s.condition is not engine_states.Condition.WITHDRAWN]
-    least = serving_floor.min_serving(len(present), chosen.least_serving_share)
-    if len(staying) < least:
-        found.append(f"{change} leaves {len(staying)} of {len(present)} in service")
-    if _covered(serving) and not _covered(staying):
-        found.append(f"{change} leaves a model without a role")
-    return found
-
-
-def _answers(known: abc.Sequence[engine_states.EngineState]) -> bool:
+    if not _can_generate(states):
+        return problems
+    present = [
+        s for s in states if s.condition is not engine_states.Condition.WITHDRAWN
+    ]
+    min_serving = serving_floor.min_serving(
+        len(present), role_policy.least_serving_share
+    )
+    if len(staying) < min_serving:
+        problems.append(f"{change} leaves {len(staying)} of {len(present)} in service")
+    if _covers_both_stages(serving) and not _covers_both_stages(staying):
+        problems.append(f"{change} leaves a model without a role")
+    return problems
+
+
+def _can_generate(states: abc.Sequence[engine_states.EngineState]) -> bool:
     able = (engine_states.Condition.SERVING, engine_states.Condition.CHANGING)
-    return any(s.role != "prefill" for s in known if s.condition in able)
+    return any(s.role != "prefill" for s in states if s.condition in able)
 
 
-def _covered(present: abc.Sequence[str]) -> bool:
+def _covers_both_stages(present: abc.Sequence[str]) -> bool:
     found = set(present)
     return bool(found & {"prefill", "mixed"}) and bool(found & {"decode", "mixed"})
--- a/tests/support/route_world.py
+++ b/tests/support/route_world.py
@@ -123,10 +123,10 @@
     status: int
     fields: dict
     body: bytes
-    whole: bool
+    complete: bool
 
     @property
-    def pieces(self):
+    def events(self):
         lines = self.body.decode().split("\n")
         return [line.split()[-1] for line in lines if line.startswith("data:")]
 
@@ -137,7 +137,7 @@
     def __init__(self):
         self.platform = platform.Platform()
         self.control = None
-        self.also_served = []
+        self.extra_servers = []
         self.servers = {}
         self.instances = {}
         self.ports = {}
@@ -203,11 +203,11 @@
         self.instances[name] = (host, instance)
         if ready:
             await self.until_ready(name)
-            await self.until(lambda: follows(instance))
+            await self.until(lambda: receives_updates(instance))
         return instance
 
     async def until_ready(self, name):
-        await self.until_asked(lambda: self.ask_ready(name), 200)
+        await self.until_returns(lambda: self.ask_ready(name), 200)
 
     async def ask_ready(self, name):
         host, _ = self.instances[name]
@@ -233,9 +233,9 @@
         host, _ = self.instances[name]
         return await asyncio.open_connection(host, self.ports[name])
 
-    async def ask(self, place, request_id, *, name="one", body=b"", **fields):
+    async def ask(self, route_name, request_id, *, name="one", body=b"", **fields):
         reader, writer = await self.connect(name)
-        writer.write(request(place, request_id, body, **fields))
+        writer.write(request(route_name, request_id, body, **fields))
         try:
             async with asyncio.timeout(WAIT_S):
                 return await reply(reader)
@@ -249,9 +249,9 @@
             await asyncio.sleep(POLL_S)
         raise TimeoutError
 
-    async def until_asked(self, ask, wanted):
+    async def until_returns(self, ask, expected):
         for _ in range(round(WAIT_S / POLL_S)):
-            if await ask() == wanted:
+            if await ask() == expected:
                 return
             await asyncio.sleep(POLL_S)
         raise TimeoutError
@@ -261,29 +261,29 @@
             await instance.abort()
         for server in self.servers.values():
             await server.stop()
-        for served in self.also_served:
+        for served in self.extra_servers:
             await served.stop()
         await self.stop_store()
 
 
-def follows(instance):
+def receives_updates(instance):
     """Tell whether an instance hears of changes, from the store or from readers."""
     return instance.fleet.watches_store or len(instance.peers.readers()) == 3
 
 
-def request(place, request_id, body=b"", **fields):
+def request(route_name, request_id, body=b"", **fields):
     """Return the bytes of a client's request."""
-    lines = {"host": "site.example", "x-request-id": request_id}
-    lines |= {"x-deadline-ms": "6000", "content-length": str(len(body))}
-    if place in ("digest", "draft"):
-        lines |= {
+    headers = {"host": "site.example", "x-request-id": request_id}
+    headers |= {"x-deadline-ms": "6000", "content-length": str(len(body))}
+    if route_name in ("digest", "draft"):
+        headers |= {
             "x-model": "m",
             "x-token-counts": "1200,20",
             "x-prompt-prefix": f"aa:800,{request_id}:400",
         }
-    lines |= {name.replace("_", "-"): value for name, value in fields.items()}
-    head = "".join(f"{name}: {value}\r\n" for name, value in lines.items())
-    return f"POST /{place}/x HTTP/1.1\r\n{head}\r\n".encode() + body
+    headers |= {name.replace("_", "-"): value for name, value in fields.items()}
+    head = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
+    return f"POST /{route_name}/x HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
 async def reply(reader):
--- a/tests/support/scaling_world.py
+++ b/tests/support/scaling_world.py
@@ -7,11 +7,11 @@
 from pimentolatch.decisions import server_plan
 
 STEP = datetime.timedelta(milliseconds=500)
-BOOT = datetime.timedelta(seconds=4)
-NOTICE = datetime.timedelta(seconds=2.5)
+BOOT_TIME = datetime.timedelta(seconds=4)
+RECLAIM_NOTICE = datetime.timedelta(seconds=2.5)
 # How long nothing that may be taken back is to be had after a reclaim.
-GONE = datetime.timedelta(seconds=11)
-DRAIN = datetime.timedelta(seconds=3)
+UNAVAILABLE_AFTER_RECLAIM = datetime.timedelta(seconds=11)
+DRAIN_TIME = datetime.timedelta(seconds=3)
 ZERO = datetime.timedelta()
 
 
@@ -26,8 +26,8 @@
 
     domain: str
     spot: bool
-    serves_at: datetime.timedelta
-    leaves_at: datetime.timedelta | None = None
+    ready_at: datetime.timedelta
+    ends_at: datetime.timedelta | None = None
 
 
 class ScalingWorld:
@@ -40,19 +40,19 @@
         seed: Draws which orders get lost.
     """
 
-    def __init__(self, policy, first, scaling, seed=1, lost_share=0.0):
-        self.chance = random.Random(seed)
+    def __init__(self, policy, initial, scaling, seed=1, lost_share=0.0):
+        self.rng = random.Random(seed)
         self.scaling = scaling
         self.now = ZERO
         self.servers = [
             Server(domain, False, ZERO)
-            for domain, count in first.items()
+            for domain, count in initial.items()
             for _ in range(count)
         ]
-        self.planner = server_plan.ServerPlanner(policy, sum(first.values()))
-        self.gone = {}
+        self.planner = server_plan.ServerPlanner(policy, sum(initial.values()))
+        self.spot_unavailable_until = {}
         self.orders = []
-        self.desired = {(d, False): c for d, c in first.items()}
+        self.desired = {(d, False): c for d, c in initial.items()}
         self.serving = []
         self.cost = 0.0
         self._lost_share = lost_share
@@ -64,35 +64,35 @@
             seconds: How long.
             reclaims: Pairs of a second and the domain that is reclaimed then.
         """
-        left = sorted(reclaims)
+        pending = sorted(reclaims)
         for _ in range(round(seconds / STEP.total_seconds())):
             self.now += STEP
-            while left and self.now.total_seconds() >= left[0][0]:
-                self._reclaim(left.pop(0)[1])
+            while pending and self.now.total_seconds() >= pending[0][0]:
+                self._reclaim(pending.pop(0)[1])
             self._step()
 
     def _reclaim(self, domain):
-        self.gone[domain] = self.now + GONE
+        self.spot_unavailable_until[domain] = self.now + UNAVAILABLE_AFTER_RECLAIM
         for server in self.servers:
             if server.domain == domain and server.spot:
-                server.leaves_at = self.now + NOTICE
+                server.ends_at = self.now + RECLAIM_NOTICE
 
     def _step(self):
         self.servers = [
-            s for s in self.servers if s.leaves_at is None or s.leaves_at > self.now
+            s for s in self.servers if s.ends_at is None or s.ends_at > self.now
         ]
         for server in self.servers:
             price = self.scaling.prices[server.domain]
             price *= self.scaling.spot_price if server.spot else 1.0
             self.cost += price * STEP.total_seconds()
         self.serving.append(sum(self._serves(s) for s in self.servers))
-        for order in self.planner.plan(self.scaling, self.standing(), self.now):
-            self._carry_out(order)
+        for order in self.planner.plan(self.scaling, self.server_counts(), self.now):
+            self._execute(order)
 
     def _serves(self, server):
-        return server.serves_at <= self.now and server.leaves_at is None
+        return server.ready_at <= self.now and server.ends_at is None
 
-    def standing(self):
+    def server_counts(self):
         """Return the servers that take requests, by domain."""
         found = {}
         for domain in self.scaling.prices:
@@ -106,21 +106,25 @@
             found[domain] = server_plan.ServerCounts(on_demand, spot)
         return found
 
-    def _carry_out(self, order):
+    def _execute(self, order):
         key = order.failure_domain, order.spot
         self.orders.append((self.now, order))
-        there = [
-            s for s in self.servers if (s.domain, s.spot) == key and s.leaves_at is None
+        current = [
+            s for s in self.servers if (s.domain, s.spot) == key and s.ends_at is None
         ]
-        more = order.count - len(there)
-        if order.spot and more > 0 and self.gone.get(key[0], ZERO) > self.now:
+        missing = order.count - len(current)
+        if (
+            order.spot
+            and missing > 0
+            and self.spot_unavailable_until.get(key[0], ZERO) > self.now
+        ):
             self.planner.refused(order, self.now)
             return
         self.planner.sent(order, self.now)
-        if self.chance.random() < self._lost_share:
+        if self.rng.random() < self._lost_share:
             return
         self.desired[key] = order.count
-        for _ in range(max(0, more)):
-            self.servers.append(Server(*key, self.now + BOOT))
-        for server in there[: max(0, -more)]:
-            server.leaves_at = self.now + DRAIN
+        for _ in range(max(0, missing)):
+            self.servers.append(Server(*key, self.now + BOOT_TIME))
+        for server in current[: max(0, -missing)]:
+            server.ends_at = self.now + DRAIN_TIME
--- a/tests/support/usage_world.py
+++ b/tests/support/usage_world.py
@@ -14,11 +14,11 @@
 from standins import memory_store, objects
 
 WINDOW = datetime.timedelta(seconds=5)
-BETWEEN = datetime.timedelta(seconds=3)
+HANDOVER_GAP = datetime.timedelta(seconds=3)
 STEP = datetime.timedelta(milliseconds=500)
 NAMES = ("one", "two", "three")
 CUSTOMERS = ("north", "south", "east")
-LATE_S = (2.0, 9.0)
+DELAY_S = (2.0, 9.0)
 
 
 @dataclasses.dataclass(frozen=True)
@@ -38,13 +38,13 @@
     def __init__(self, world, faulty):
         self._world = world
         self._faulty = faulty
-        self.highest = 0
+        self.highest_fence = 0
         self.accepted = []
         self.sent = []
-        self.late = []
-        self.silent = False
+        self.delayed = []
+        self.unresponsive = False
 
-    def of(self, host):
+    def for_host(self, host):
         """Return the receiver as one instance reaches it."""
 
         async def report(holder, window, counts):
@@ -58,38 +58,38 @@
         if host in self._world.cut_off:
             return control_api.Unanswered("no connection", reached=False)
         self.sent.append(call)
-        chance = self._world.chance
-        fate = chance.random() if self._faulty else 1.0
-        if self.silent or fate < 0.1:
+        rng = self._world.rng
+        draw = rng.random() if self._faulty else 1.0
+        if self.unresponsive or draw < 0.1:
             return control_api.Unanswered("nothing done", reached=True)
-        if fate < 0.2:
-            self.late.append(
-                (now + datetime.timedelta(seconds=chance.uniform(*LATE_S)), call)
+        if draw < 0.2:
+            self.delayed.append(
+                (now + datetime.timedelta(seconds=rng.uniform(*DELAY_S)), call)
             )
             return control_api.Unanswered("carried out late", reached=True)
-        if fate < 0.3:
+        if draw < 0.3:
             return control_api.NotNow("too many calls")
-        outcome = self._carry_out(call)
-        if fate < 0.4:
+        outcome = self._execute(call)
+        if draw < 0.4:
             return control_api.Unanswered("carried out", reached=True)
         return outcome
 
-    def carry_out_late(self):
+    def execute_delayed(self):
         now = self._world.time.monotonic()
-        due = [call for at, call in self.late if at <= now]
-        self.late = [(at, call) for at, call in self.late if at > now]
+        due = [call for at, call in self.delayed if at <= now]
+        self.delayed = [(at, call) for at, call in self.delayed if at > now]
         for call in due:
-            self._carry_out(call)
+            self._execute(call)
 
-    def _carry_out(self, call):
-        if call.fence < self.highest:
+    def _execute(self, call):
+        if call.fence < self.highest_fence:
             return control_api.FencedOff("a higher fence was seen")
-        self.highest = call.fence
+        self.highest_fence = call.fence
         self.accepted.append(call)
         return control_api.Accepted()
 
 
-class Unfixed(usage_reports.UsageReporter):
+class UncommittedReporter(usage_reports.UsageReporter):
     """Sends what it has counted, without having it fixed in the store."""
 
     async def _read_record(self):
@@ -106,29 +106,31 @@
 class Instance:
     """One life of an instance."""
 
-    def __init__(self, world, name, kind):
+    def __init__(self, world, name, reporter_type):
         self.world = world
         self.name = name
         self.host = f"host-{name}"
-        self.life = f"{name}-{next(world.lives)}"
-        origin = usage.Origin(name, self.life)
-        self.book = usage.UsageCounter(origin, WINDOW, world.time.now())
+        self.incarnation = f"{name}-{next(world.incarnation_numbers)}"
+        origin = usage.Origin(name, self.incarnation)
+        self.counter = usage.UsageCounter(origin, WINDOW, world.time.now())
         link = memory_store.MemoryStore(
             world.table, time=world.time, link=name, faults=world.faults
         )
-        held = lease.LeaderLease(link, name, self.life, BETWEEN, world.time)
+        leader_lease = lease.LeaderLease(
+            link, name, self.incarnation, HANDOVER_GAP, world.time
+        )
         self.peers = types.SimpleNamespace(live=self.live)
-        self.tenure = leadership.Leadership(
-            name, self.host, self.peers, held, world.time, permanent=True
+        self.leadership = leadership.Leadership(
+            name, self.host, self.peers, leader_lease, world.time, permanent=True
         )
-        self.reporter = kind(
+        self.reporter = reporter_type(
             name,
             WINDOW,
-            self.book,
+            self.counter,
             self.peers,
-            self.tenure,
+            self.leadership,
             link,
-            world.receiver.of(self.host),
+            world.receiver.for_host(self.host),
             world.time,
         )
 
@@ -139,7 +141,7 @@
                 host=other.host, beacon=types.SimpleNamespace(instance=other.name)
             )
             for other in self.world.running()
-            if other is not self and self.world.hear_each_other(self, other)
+            if other is not self and self.world.connected(self, other)
         ]
 
 
@@ -149,22 +151,22 @@
     Args:
         seed: Draws all.
         faulty: Whether anything fails.
-        kind: What reports.
+        reporter_type: What reports.
     """
 
-    def __init__(self, seed, faulty=True, kind=usage_reports.UsageReporter):
-        self.chance = random.Random(seed)
+    def __init__(self, seed, faulty=True, reporter_type=usage_reports.UsageReporter):
+        self.rng = random.Random(seed)
         self.time = clock.ManualClock()
         self.faults = memory_store.StoreFaults()
         self.table = objects.ObjectTable()
-        self.lives = iter(range(1_000_000))
+        self.incarnation_numbers = iter(range(1_000_000))
         self.receiver = Receiver(self, faulty)
         self.cut_off = set()
         self.frozen = {}
         self._faulty = faulty
-        self._kind = kind
-        self.truth = collections.defaultdict(collections.Counter)
-        self.instances = {name: Instance(self, name, kind) for name in NAMES}
+        self._reporter_type = reporter_type
+        self.true_counts_by_window = collections.defaultdict(collections.Counter)
+        self.instances = {name: Instance(self, name, reporter_type) for name in NAMES}
 
     def running(self):
         """Return the instances that are neither frozen nor gone."""
@@ -175,105 +177,107 @@
             if self.frozen.get(instance.host, datetime.timedelta()) <= now
         ]
 
-    def hear_each_other(self, one, two):
+    def connected(self, one, two):
         return (one.host in self.cut_off) == (two.host in self.cut_off)
 
     async def play(self, seconds):
         """Play some seconds, then five windows without faults."""
         for number in range(round(seconds / STEP.total_seconds())):
-            if self._faulty and self.chance.random() < 0.15:
-                self._fault()
+            if self._faulty and self.rng.random() < 0.15:
+                self._inject_fault()
             await self._step(number)
         self._heal()
 
     async def settle(self):
         """Play on without faults until everything that is due was sent."""
         for number in range(60):
-            await self._step(number, begin=False)
+            await self._step(number, start_requests=False)
 
-    async def _step(self, number, begin=True):
+    async def _step(self, number, start_requests=True):
         self.time.advance(STEP)
-        self.receiver.carry_out_late()
+        self.receiver.execute_delayed()
         running = self.running()
         for instance in running:
-            if begin:
-                self._begin_requests(instance)
+            if start_requests:
+                self._start_requests(instance)
         if number % 2 == 0:
-            self._tell(running)
+            self._send_rows(running)
         for instance in running:
-            self._announce(instance, running)
+            self._send_announcements(instance, running)
         for instance in running:
-            await self._act(instance)
+            await self._run_reporter(instance)
 
-    async def _act(self, instance):
-        await instance.tenure.acquire()
-        if self._faulty and self.chance.random() < 0.03:
+    async def _run_reporter(self, instance):
+        await instance.leadership.acquire()
+        if self._faulty and self.rng.random() < 0.03:
             # Between two steps of a report: it goes on with what it knew.
             self.frozen[instance.host] = self.time.monotonic() + datetime.timedelta(
-                seconds=self.chance.uniform(1, 9)
+                seconds=self.rng.uniform(1, 9)
             )
             return
-        if instance.tenure.active:
+        if instance.leadership.active:
             await instance.reporter.report_due()
 
-    def _begin_requests(self, instance):
+    def _start_requests(self, instance):
         now = self.time.now()
         for customer in CUSTOMERS:
-            for _ in range(self.chance.randrange(4)):
-                if instance.book.count_started(customer, now):
-                    self.truth[usage.window_of(now, WINDOW)][customer] += 1
+            for _ in range(self.rng.randrange(4)):
+                if instance.counter.count_started(customer, now):
+                    self.true_counts_by_window[usage.window_of(now, WINDOW)][
+                        customer
+                    ] += 1
 
-    def _tell(self, running):
+    def _send_rows(self, running):
         for instance in running:
             others = [
                 other
                 for other in running
-                if other is not instance and self.hear_each_other(instance, other)
+                if other is not instance and self.connected(instance, other)
             ]
             live = {other.name for other in others}
             rows = [
-                *instance.book.own_rows(self.time.now()),
-                *instance.book.rows_of_terminated(live),
+                *instance.counter.own_rows(self.time.now()),
+                *instance.counter.rows_of_terminated(live),
             ]
             for other in others:
                 for row in rows:
-                    if not self._faulty or self.chance.random() < 0.9:
-                        other.book.merge(row)
+                    if not self._faulty or self.rng.random() < 0.9:
+                        other.counter.merge(row)
 
-    def _announce(self, instance, running):
+    def _send_announcements(self, instance, running):
         for other in running:
-            if other is not instance and self.hear_each_other(instance, other):
-                other.tenure.receive(instance.tenure.announcement())
+            if other is not instance and self.connected(instance, other):
+                other.leadership.receive(instance.leadership.announcement())
 
-    def _fault(self):
-        name = self.chance.choice(NAMES)
+    def _inject_fault(self):
+        name = self.rng.choice(NAMES)
         instance = self.instances[name]
-        what = self.chance.choice(
+        fault = self.rng.choice(
             ("lose", "late", "store cut", "store out", "kill", "cut off", "silent")
             + 3 * ("heal",)
         )
-        if what == "lose":
+        if fault == "lose":
             self.faults.lost_replies = 1
-        elif what == "late":
+        elif fault == "late":
             self.faults.late_writes = 1
-        elif what == "store cut":
+        elif fault == "store cut":
             self.faults.cut.add(name)
-        elif what == "store out":
+        elif fault == "store out":
             self.faults.outage = True
-        elif what == "kill":
-            self.instances[name] = Instance(self, name, self._kind)
-        elif what == "cut off":
+        elif fault == "kill":
+            self.instances[name] = Instance(self, name, self._reporter_type)
+        elif fault == "cut off":
             self.cut_off.add(instance.host)
             self.faults.cut.add(name)
-        elif what == "silent":
-            self.receiver.silent = True
+        elif fault == "silent":
+            self.receiver.unresponsive = True
         else:
             self._heal()
 
     def _heal(self):
         self.faults.end()
         self.cut_off.clear()
-        self.receiver.silent = False
+        self.receiver.unresponsive = False
 
     def contents(self):
         """Return the contents that were accepted of each window."""
@@ -282,20 +286,20 @@
             found[call.window].add(call.counts)
         return found
 
-    def holders_by_fence(self):
+    def hosts_by_fence(self):
         """Return which hosts have sent each fence."""
         found = collections.defaultdict(set)
         for call in self.receiver.sent:
             found[call.fence].add(call.host)
         return found
 
-    def closest(self):
+    def min_handover_gap(self):
         """Return the shortest time between calls of two holders."""
         pairs = zip(self.receiver.sent, self.receiver.sent[1:], strict=False)
         gaps = [b.at - a.at for a, b in pairs if a.host != b.host]
         return min(gaps, default=datetime.timedelta.max)
 
-    def turns(self):
+    def min_return_time(self):
         """Return the shortest time in which a holder, another and it again called."""
         runs = []
         for call in self.receiver.sent:
@@ -311,13 +315,13 @@
         return min(spans, default=datetime.timedelta.max)
 
 
-def play(seed, faulty=True, kind=usage_reports.UsageReporter, seconds=60):
+def play(seed, faulty=True, reporter_type=usage_reports.UsageReporter, seconds=60):
     """Play one world to its end."""
-    world = UsageWorld(seed, faulty, kind)
+    world = UsageWorld(seed, faulty, reporter_type)
 
-    async def whole():
+    async def play_to_end():
         await world.play(seconds)
         await world.settle()
 
-    asyncio.run(whole())
+    asyncio.run(play_to_end())
     return world
--- a/tests/support/view_world.py
+++ b/tests/support/view_world.py
@@ -12,13 +12,13 @@
 from pimentolatch.membership import views
 from tests.support import config_world, schedule
 
-__all__ = ["ViewWorld", "cut_off_start", "random_trouble", "start_in_an_outage"]
+__all__ = ["ViewWorld", "random_faults", "start_cut_off", "start_during_outage"]
 
 _DOMAIN = "north"
-_HOLDER = "entry-1"
-_POLL = schedule.seconds(0.1)
-_LIST_EVERY = schedule.seconds(1)
-_SHOWN_LATE = schedule.seconds(2)
+_LEADER = "entry-1"
+_POLL_INTERVAL = schedule.seconds(0.1)
+_LIST_INTERVAL = schedule.seconds(1)
+_LIST_DELAY = schedule.seconds(2)
 
 
 class ViewWorld(config_world.ConfigWorld):
@@ -33,9 +33,9 @@
         super().__init__(seed, safeguards)
         self.violations: list[str] = []
         self.confirmed: list[int] = []
-        self.plan.start(self._read_lists())
+        self.plan.start(self._publish_lists())
 
-    def start_held(self, instance: str, reachable: frozenset[str]) -> None:
+    def start_with_peers(self, instance: str, reachable: frozenset[str]) -> None:
         """Start an instance that reaches some peers only."""
         for other in self.processes:
             if other not in reachable:
@@ -44,24 +44,24 @@
 
     async def write_view(self) -> None:
         """Write a view as the holder and wait until nobody is missing."""
-        holder = self.processes[_HOLDER]
-        number = holder.table.number(_DOMAIN)
+        leader = self.processes[_LEADER]
+        number = leader.table.number(_DOMAIN)
         value = {"withdrawn": [f"engine-{number}"], "roles": {}}
-        outcome = await holder.objects.put(
+        outcome = await leader.objects.put(
             views.DOMAIN_VIEW_KIND, _DOMAIN, value, if_version=number
         )
         if not isinstance(outcome, store.Written):
             return
         number = outcome.version
-        holder.node.announce(views.DomainView.from_json(_DOMAIN, number, value))
-        while self.processes.get(_HOLDER) is holder:
-            found = await holder.registrations.read()
+        leader.node.announce(views.DomainView.from_json(_DOMAIN, number, value))
+        while self.processes.get(_LEADER) is leader:
+            found = await leader.registrations.read()
             if not isinstance(found, store.Unavailable):
-                holder.node.apply_registrations(found, {_DOMAIN: number})
-            if not holder.node.acknowledged.missing(_DOMAIN, number):
+                leader.node.apply_registrations(found, {_DOMAIN: number})
+            if not leader.node.acknowledged.missing(_DOMAIN, number):
                 self._confirm(number)
                 return
-            await holder.time.sleep(_POLL)
+            await leader.time.sleep(_POLL_INTERVAL)
 
     def _confirm(self, number: int) -> None:
         self.confirmed.append(number)
@@ -70,98 +70,100 @@
             if process.table.complete and behind:
                 self.violations.append(f"{process.name} routes by an older view")
 
-    async def _read_lists(self) -> None:
+    async def _publish_lists(self) -> None:
         while True:
             rows = tuple(
                 store.Instance(name, "entry", _DOMAIN, name, 1, "live")
                 for name in self.processes
             )
-            self.plan.start(self._show(rows))
-            await self.plan.time.sleep(_LIST_EVERY)
+            self.plan.start(self._deliver_list(rows))
+            await self.plan.time.sleep(_LIST_INTERVAL)
 
-    async def _show(self, rows: tuple[store.Instance, ...]) -> None:
-        asked = self.plan.time.monotonic()
-        await self.plan.time.sleep(_SHOWN_LATE)
+    async def _deliver_list(self, rows: tuple[store.Instance, ...]) -> None:
+        requested_at = self.plan.time.monotonic()
+        await self.plan.time.sleep(_LIST_DELAY)
         for process in list(self.processes.values()):
             if not self.plan.is_frozen(process.name) and not self.faults.outage:
-                process.node.apply_instance_list(rows, asked)
+                process.node.apply_instance_list(rows, requested_at)
 
 
-def start_in_an_outage(seed: int, safeguards: config_world.Safeguards) -> ViewWorld:
+def start_during_outage(seed: int, safeguards: config_world.Safeguards) -> ViewWorld:
     """One instance starts by the word of a single peer, then is frozen."""
 
-    async def trouble(world: ViewWorld) -> None:
+    async def inject_faults(world: ViewWorld) -> None:
         sleep = world.plan.time.sleep
         await sleep(schedule.seconds(6))
         await world.write_view()
         world.faults.outage = True
         await sleep(schedule.seconds(0.5))
-        world.start_held("entry-5", frozenset({"entry-2"}))
+        world.start_with_peers("entry-5", frozenset({"entry-2"}))
         newcomer = world.processes["entry-5"]
         while not newcomer.table.complete:
-            await sleep(_POLL)
-        await sleep(_POLL * 2)
+            await sleep(_POLL_INTERVAL)
+        await sleep(_POLL_INTERVAL * 2)
         world.plan.freeze(newcomer.name, schedule.seconds(30))
         world.faults.outage = False
         await world.write_view()
 
-    return asyncio.run(_run(seed, safeguards, trouble))
+    return asyncio.run(_run(seed, safeguards, inject_faults))
 
 
-def cut_off_start(seed: int, safeguards: config_world.Safeguards) -> ViewWorld:
+def start_cut_off(seed: int, safeguards: config_world.Safeguards) -> ViewWorld:
     """One instance reaches the platform only, and is frozen once it has the views."""
 
-    async def trouble(world: ViewWorld) -> None:
+    async def inject_faults(world: ViewWorld) -> None:
         await world.plan.time.sleep(schedule.seconds(6))
         await world.write_view()
-        world.start_held("entry-5", frozenset())
+        world.start_with_peers("entry-5", frozenset())
         newcomer = world.processes["entry-5"]
         while not newcomer.table.complete:
             await world.plan.time.sleep(schedule.seconds(0.001))
         world.plan.freeze(newcomer.name, schedule.seconds(30))
         await world.write_view()
 
-    return asyncio.run(_run(seed, safeguards, trouble))
+    return asyncio.run(_run(seed, safeguards, inject_faults))
 
 
-def random_trouble(seed: int, safeguards: config_world.Safeguards) -> ViewWorld:
+def random_faults(seed: int, safeguards: config_world.Safeguards) -> ViewWorld:
     """Instances start, freeze, are cut off and killed while views are written."""
 
-    async def trouble(world: ViewWorld) -> None:
-        chance = world.plan.random
+    async def inject_faults(world: ViewWorld) -> None:
+        rng = world.plan.random
         for number in range(10):
-            await world.plan.time.sleep(schedule.seconds(1 + 3 * chance.random()))
+            await world.plan.time.sleep(schedule.seconds(1 + 3 * rng.random()))
             world.plan.start(world.write_view())
-            others = sorted(name for name in world.processes if name != _HOLDER)
-            chosen = chance.choice(others)
-            match chance.randrange(6):
+            others = sorted(name for name in world.processes if name != _LEADER)
+            chosen = rng.choice(others)
+            match rng.randrange(6):
                 case 0:
                     process = world.processes[chosen]
                     world.plan.freeze(process.name, schedule.seconds(8))
                 case 1:
-                    world.cut(chosen, one_way=chance.random() < 0.5)
+                    world.cut(chosen, one_way=rng.random() < 0.5)
                 case 2:
                     world.kill(chosen)
                     world.start(chosen, _DOMAIN)
                 case 3:
-                    world.start_held(f"entry-{10 + number}", frozenset({chosen}))
+                    world.start_with_peers(f"entry-{10 + number}", frozenset({chosen}))
                 case 4:
                     world.faults.outage = not world.faults.outage
                 case _:
                     world.heal()
         world.heal()
 
-    return asyncio.run(_run(seed, safeguards, trouble))
+    return asyncio.run(_run(seed, safeguards, inject_faults))
 
 
 async def _run(
     seed: int,
     safeguards: config_world.Safeguards,
-    trouble: typing.Callable[[ViewWorld], abc.Coroutine[typing.Any, typing.Any, None]],
+    inject_faults: typing.Callable[
+        [ViewWorld], abc.Coroutine[typing.Any, typing.Any, None]
+    ],
 ) -> ViewWorld:
     world = ViewWorld(seed, safeguards)
     try:
-        world.plan.start(trouble(world))
+        world.plan.start(inject_faults(world))
         await world.plan.run_until(60)
     finally:
         await world.plan.end()
