--- a/tests/support/completion_crashes.py
+++ b/tests/support/completion_crashes.py
@@ -1,4 +1,4 @@
-"""Engines of the first face that all end under one completion, without a network."""
+"""Instances and engines that all crash under one completion, without a network."""
 
 import collections
 import datetime
@@ -20,7 +20,7 @@
 
 
 class CrashingEngines:
-    """Each engine that runs the completion ends; another one takes its place."""
+    """Engines of which each crashes when it runs the completion."""
 
     def __init__(self):
         self.crashes = 0
@@ -31,7 +31,7 @@
 
 
 class NewEngineSelector:
-    """Returns a fresh engine each time."""
+    """Selects a new engine for each dispatch."""
 
     def __init__(self, prefix="e"):
         self._prefix = prefix
@@ -69,7 +69,7 @@
 
 
 def instance(engines):
-    """Return what answers completions in one instance."""
+    """Return the runner of completions of a single instance."""
     time = _ClockWithoutSleep()
     return stream.ResumingStream(
         engines, NewEngineSelector(), time, chance=random.Random(1)
@@ -84,14 +84,14 @@
 
 
 async def ask(runner):
-    """Send the completion once, as its caller would."""
+    """Run the completion once and return its events."""
     time = _ClockWithoutSleep()
     asked = _completion(time.monotonic() + datetime.timedelta(seconds=30))
     return [event async for event in runner.run(asked)]
 
 
 class NullDocumentExchange:
-    """Stands for the part that moves documents, which nothing here does."""
+    """Replaces the transfer of documents, which is not needed here."""
 
     number = 0
 
@@ -103,7 +103,7 @@
 
 
 class NullPeerWork:
-    """Stands for the table of peers' work."""
+    """Replaces the table of peers' work reports."""
 
     def update(self, peer, work):
         pass
@@ -113,7 +113,7 @@
 
 
 class Instance:
-    """One instance: what answers completions, and what tells its peers."""
+    """One instance: its runner of completions and its node in the membership."""
 
     def __init__(self, fleet, number, domain):
         self.time = _ClockWithoutSleep()
@@ -155,7 +155,7 @@
 
 
 class EncodedLinks:
-    """An instance's links; messages travel as bytes."""
+    """An instance's links to its peers; each message is sent as an encoded frame."""
 
     def __init__(self, fleet, instance):
         self._fleet = fleet
@@ -170,7 +170,7 @@
 
 
 class Fleet:
-    """Instances of two failure domains, linked as the topology has it."""
+    """Instances of two failure domains, linked as in the product's topology."""
 
     def __init__(self, engines, domains):
         self.engines = engines
@@ -180,7 +180,7 @@
             self.start(domain)
 
     def start(self, domain):
-        """Start one more instance; returns it."""
+        """Start another instance and return it."""
         started = Instance(self, len(self.instances), domain)
         self.instances.append(started)
         for other in self.instances[:-1]:
@@ -194,14 +194,14 @@
         return started
 
     def _link(self, one, other):
-        # The same number on both sides, which no other link of either has.
+        # Both sides use the same number, which is unique in the fleet.
         number = sum(len(instance.peers) for instance in self.instances)
         one.peers[number], other.peers[number] = other, one
         one.node.opened(number, other.hello)
         other.node.opened(number, one.hello)
 
     def deliver(self):
-        """Carry all messages that are under way, and those that follow from them."""
+        """Deliver all messages in flight, and those sent in response."""
         while self.in_flight:
             receiver, link, frame = self.in_flight.popleft()
             for message in codec.decode(frame):
--- a/tests/support/crash_replay.py
+++ b/tests/support/crash_replay.py
@@ -1,8 +1,9 @@
-"""A fleet, without a network, in which some requests end the servers that run them.
+"""Simulates a fleet in which some requests crash the servers that run them.
 
-The instances' quarantine and what they tell each other are those of the product; whom
-an instance tells is chosen as in the product. Beacons get lost one time in ten. Servers
-are counts of what runs; an instance knows the counts of others a quarter second late.
+There is no network. The quarantine, the notices between instances and the choice of
+receivers are the product's. One beacon in ten is lost. Servers are represented by the
+dispatches that they run; these counts are refreshed every quarter second for all
+instances.
 """
 
 import collections
@@ -17,27 +18,35 @@
 from pimentolatch.gateway import quarantine
 from pimentolatch.routes import servers
 
-# Beacons as in the product: everybody hears everybody every 250 ms, or neighbours
-# every 400 ms and one instance of each other domain every 800 ms.
+# Beacons as in the product: in a small fleet every instance sends to every other each
+# 250 ms; in a large one it sends to its neighbours each 400 ms and to one instance of
+# each other failure domain each 800 ms.
 BEACON_INTERVAL_S = 0.25
 LARGE_FLEET_BEACON_INTERVAL_S = 0.4
 FAR_BEACON_EVERY = 2
 BEACON_LOSS_RATE = 0.1
-# A server ends this long after it began to run the request that ends it.
+# Time after which a server crashes that runs a fatal request.
 CRASH_AFTER_S = 0.1
 RESTART_AFTER_S = 3.0
 CRASH_DETECTION_S = 0.005
 KILLED_WITHIN_S = 0.5
 RUN_S = (0.2, 1.5)
 ATTEMPTS = 3
-# Time between two attempts of a request that ends servers.
+# Time between two attempts of a fatal request.
 FATAL_RETRY_S = (0.3, 3.0)
 PROPAGATION_S = 3.0
 
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """One attempt of a client."""
+    """One attempt of a client.
+
+    Attributes:
+        fatal: Whether it crashes the servers that run it.
+        attempts: Number of dispatches so far.
+        crashes: Number of servers that crashed while they ran it.
+        retried: Whether the client has already retried.
+    """
 
     digest: int
     instance: "Instance"
@@ -49,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dispatch:
-    """A request at a server."""
+    """One dispatch of a request to a server."""
 
     request: Request
     server: servers.Server
@@ -57,7 +66,7 @@
 
 
 class Instance:
-    """What one instance knows."""
+    """One instance: its quarantine and its neighbours."""
 
     def __init__(self, name, domain, time):
         self.place = neighbours.Place(name, domain)
@@ -67,7 +76,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """What was seen."""
+    """Counts over a run.
+
+    Attributes:
+        served: Requests that were answered.
+        lost: Harmless requests without an answer although their client had retried.
+        refused_innocent: Requests in quarantine that crash no server.
+        lost_two_servers: Requests that crash no server but lost at least two.
+        crashes: Times of the crashes by the digest of the fatal request, in seconds.
+        late_dispatches: Dispatches of a fatal request, by its digest, that began more
+            than `PROPAGATION_S` after its third crash.
+    """
 
     served: int = 0
     lost: int = 0
@@ -82,14 +101,14 @@
 
 
 class CrashReplay:
-    """The fleet and its events.
+    """Discrete-event simulation of the fleet.
 
     Args:
-        instances, domains, engines: Sizes.
-        seed: Draws all.
-        rate: Requests a second.
-        fatal_after_s: Bounds of the time after which a server ends that runs a
-            request which ends it.
+        instances, domains, engines: Number of each in the fleet.
+        seed: Seed of all random choices.
+        rate: Requests per second.
+        crash_after_s: Bounds of the time after which a server crashes that runs a
+            fatal request.
     """
 
     def __init__(
@@ -102,7 +121,7 @@
         crash_after_s=(CRASH_AFTER_S, CRASH_AFTER_S),
     ):
         self._rng = random.Random(seed)
-        # Drawn apart, so that the other draws are the same whatever the bounds.
+        # A separate generator, so that the bounds do not change other random choices.
         self._fatal_rng = random.Random(seed)
         self._crash_after_s = crash_after_s
         self._time = clock.ManualClock()
@@ -128,12 +147,16 @@
         self.result = Result()
 
     def run(self, seconds, fatal=0, kills=()):
-        """Play some seconds; returns what was seen.
+        """Run the simulation.
 
         Args:
-            seconds: How long requests arrive.
-            fatal: How many requests end the servers that run them.
-            kills: Pairs of a second and the share of the servers that end then.
+            seconds: Time in which requests arrive.
+            fatal: Number of fatal requests.
+            kills: Pairs of a time in seconds and the share of the servers that are
+                killed then.
+
+        Returns:
+            The counts.
         """
         self._until = seconds
         self._schedule(0.0, self._arrive)
@@ -172,7 +195,7 @@
         self._observed_counts[server] = 0
 
     def _sample_counts(self):
-        """Let the instances know how much runs where."""
+        """Refresh the number of dispatches at each server that instances see."""
         self._observed_counts = {
             server: len(dispatches) for server, dispatches in self._running.items()
         }
@@ -216,7 +239,7 @@
         server = min(
             usable, key=lambda s: (self._observed_counts.get(s, 0), self._rng.random())
         )
-        # An instance counts at once what it sends itself.
+        # An instance counts its own dispatches at once.
         self._observed_counts[server] = self._observed_counts.get(server, 0) + 1 / len(
             self._instances
         )
@@ -233,7 +256,7 @@
             self._schedule(self._now() + duration, self._complete, dispatch)
 
     def _refuse(self, request, verdict):
-        """Refuse a request that ends no server; it comes back if it is to be soon."""
+        """Refuse a harmless request; unless it is in quarantine, its client retries."""
         if verdict.confirmed:
             self.result.refused_innocent += 1
             return
@@ -244,7 +267,7 @@
         )
 
     def _fail(self, request):
-        """End an attempt; its client comes back once, through any instance."""
+        """Fail a client's attempt; the client retries once, at any instance."""
         if request.retried:
             self.result.lost += 1
             return
@@ -266,7 +289,7 @@
             self._crash(dispatch.server)
 
     def _kill(self, share):
-        """End some of the servers, one after the other within half a second."""
+        """Kill a share of the servers at random times within half a second."""
         for server in list(self._running):
             if self._rng.random() < share:
                 at = self._now() + self._rng.uniform(0, KILLED_WITHIN_S)
--- a/tests/support/crash_world.py
+++ b/tests/support/crash_world.py
@@ -1,4 +1,4 @@
-"""A fleet over sockets whose servers end when they run one certain request."""
+"""A fleet on sockets whose servers crash when they run one particular request."""
 
 import itertools
 
@@ -8,15 +8,16 @@
 PREFILL_ENGINES = 2
 DECODE_ENGINES = 6
 PLAIN_SERVERS = 6
-# More attempts than any count of crashes needs; a loop that never ends would hide why.
+# More attempts than any number of crashes needs; an endless loop would hide the cause
+# of a failure.
 MAX_ATTEMPTS = 20
 
 
 class CrashWorld(route_world.RouteWorld):
-    """Four instances; a server that ends is replaced by one with another id.
+    """Four instances; a crashed server is replaced by one with another id.
 
     Args:
-        fatal_body: The body of the request that ends servers.
+        fatal_body: Body of the request that crashes servers.
     """
 
     def __init__(self, fatal_body):
@@ -46,11 +47,11 @@
 
     @property
     def crashed(self):
-        """Servers that have ended and are not replaced yet, or are."""
+        """All servers that have crashed, whether replaced or not."""
         return [server for server in self.servers.values() if server.ended]
 
     def dispatches(self, body):
-        """Return how often a body has reached a server, prefill included."""
+        """Return how many dispatches of a body reached a server, prefill included."""
         return sum(
             received.body == body
             for server in self.servers.values()
@@ -58,7 +59,7 @@
         )
 
     async def replace_crashed(self):
-        """Have new servers in place of those that ended, known to all instances."""
+        """Replace crashed servers and wait until all instances have the new list."""
         for server in self.crashed:
             if server.state == "draining":
                 continue
@@ -67,22 +68,22 @@
         await self.until(self._lists_current)
 
     async def attempt(self, route_name, body, name):
-        """Ask once, as a client that knows nothing of earlier attempts."""
+        """Send a request once, as a client without knowledge of earlier attempts."""
         request_id = f"r{next(self._numbers)}"
         reply = await self.ask(route_name, request_id, name=name, body=body)
         await self.replace_crashed()
         return reply
 
     async def send_until_crashed(self, route_name, body, count):
-        """Repeat a request, at one instance after the other, until servers ended."""
+        """Repeat a request, at each instance in turn, until servers have crashed."""
         for _ in range(MAX_ATTEMPTS):
             if len(self.crashed) >= count:
                 return
             await self.attempt(route_name, body, next(self._names))
-        raise AssertionError(f"only {len(self.crashed)} servers ended")
+        raise AssertionError(f"only {len(self.crashed)} servers crashed")
 
     async def send_while_failing(self, route_name, body):
-        """Ask once while every server answers a failure of its own."""
+        """Send a request once while every server answers with a failure."""
         for server in self.servers.values():
             server.faults.append("fail")
         reply = await self.attempt(route_name, body, next(self._names))
--- a/tests/support/fleet_parts.py
+++ b/tests/support/fleet_parts.py
@@ -1,4 +1,4 @@
-"""Prompts, engines and instances of a fleet that is replayed without a network."""
+"""Requests, engines and instances of the fleet simulation in `fleet_world`."""
 
 import dataclasses
 import datetime
@@ -27,19 +27,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestKind:
-    """Prompts of one route.
+    """Requests of one route.
 
     Attributes:
-        rate: Prompts a second in the whole fleet.
-        shared: Tokens of the part that a session shares, as a mean; 0 for none.
-        sessions: Sessions that are asked for over and over.
-        own: Tokens of each prompt's own part, as a mean.
-        shared_sigma: Spread of the shared parts' sizes, as the standard deviation of
-            their logarithm; 0 for parts of one size.
-        own_sigma: The same of the own parts; 0 for sizes drawn evenly within half of
-            the mean.
-        deadline_s: Clients wait no longer than this for an answer.
-        returns: Whether clients come back once when they are refused.
+        rate: Requests per second in the whole fleet.
+        prefix_tokens: Mean size of the prefix that a session's prompts share; 0 for
+            no shared prefix.
+        sessions: Number of sessions, each of which sends requests again and again.
+        suffix_tokens: Mean size of the part that only one prompt has.
+        output_tokens: Tokens of each answer.
+        rank: Priority rank; 0 is the highest.
+        target_ms: Latency target of the first event.
+        prefix_sigma: Standard deviation of the logarithm of the prefix sizes; 0 for
+            prefixes of one size.
+        suffix_sigma: The same for the suffixes; 0 for sizes that are uniformly
+            distributed from 0.5 to 1.5 times the mean.
+        deadline_s: Longest time that clients wait for an answer.
+        retries: Whether clients retry once after a refusal or a time-out.
     """
 
     name: str
@@ -57,7 +61,7 @@
 
 
 class Status(enum.Enum):
-    """What became of a client's request."""
+    """How a client's request ended."""
 
     SERVED = "served"
     LATE = "served late"
@@ -70,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of a request, its size in tokens."""
+    """Status and prompt size, in tokens, of a request that has ended."""
 
     kind: str
     tokens: int
@@ -79,16 +83,20 @@
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """A prompt on its way through the fleet.
+    """A request in the simulation; times are in milliseconds.
 
     Attributes:
-        cost: Tokens that it counts for while it is read.
-        ahead: Tokens that were to be read before it, as far as was known.
-        declined: Engines that did not take it.
-        first_asked: When its client asked first, if it has come back after a refusal.
+        arrived: When it arrived at its instance.
+        lot: Uniform random number from 0 to 1, fixed for the request.
+        original_arrival: When the client's first attempt arrived, if this is a retry.
+        placement: Where it is placed, if its prefill is disaggregated.
+        cost: Tokens that it counts for until its prefill ends.
+        queued_ahead: Tokens queued ahead of it, as far as its instance knew.
+        dispatched_at: When it was dispatched to its prefill engine.
+        declined: Engines that declined it.
         large: It is large among the prompts of its kind that its instance has seen.
         prefilled: An engine has prefilled the prompt.
-        over: Its client has its answer, or has left.
+        finished: The client has its answer, or this attempt has ended without one.
     """
 
     kind: RequestKind
@@ -107,18 +115,18 @@
 
     @property
     def first_arrival(self) -> float:
-        """When its client asked first."""
+        """When the client's first attempt arrived."""
         return self.arrived if self.original_arrival is None else self.original_arrival
 
     @property
     def timeout_ms(self) -> float:
-        """How long from its arrival its client waits for a first event."""
+        """Time from its arrival for which the client waits for the first event."""
         gap = wait_policy.client_timeout(self.kind.target_ms * MS, _NO_TIME) / MS
         return min(gap, self.first_arrival + 1000 * self.kind.deadline_s - self.arrived)
 
 
 def draw_prompt(kind: RequestKind, number: int, rng: random.Random) -> prompts.Prompt:
-    """Return a prompt of a kind; prompts of one session share a part of one size."""
+    """Return a prompt of a kind; the prompts of a session share one prefix."""
     session = rng.randrange(max(1, kind.sessions))
     if kind.suffix_sigma:
         own = _log_normal(rng, kind.suffix_tokens, kind.suffix_sigma)
@@ -127,7 +135,7 @@
     parts = [prompts.Part(f"own-{number}", own)]
     if kind.prefix_tokens:
         name = f"{kind.name}-{session}"
-        # Drawn by the session's name, so that all its prompts agree on the size.
+        # Seeded with the session's name: all its prompts share one prefix size.
         size_rng = random.Random(name)
         shared = _log_normal(size_rng, kind.prefix_tokens, kind.prefix_sigma)
         parts.insert(0, prompts.Part(name, shared))
@@ -144,7 +152,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Burst:
-    """A time in which one kind of prompts comes more or less often."""
+    """A period in which one kind of request arrives `factor` times as often."""
 
     kind: str
     begins_s: float
@@ -153,7 +161,15 @@
 
 
 class Engine:
-    """A queue that reads prompts, the most urgent first."""
+    """An engine that prefills queued prompts in order of priority.
+
+    Attributes:
+        cached: Names of the prompt parts in its prefix cache.
+        busy: Whether it is prefilling a prompt.
+        changing: Whether it is changing its stage.
+        streams: Number of streams that it decodes.
+        busy_ms: Total time spent on prefill.
+    """
 
     def __init__(self, server: servers.Server) -> None:
         self.server = server
@@ -166,12 +182,12 @@
 
     @property
     def prefills(self) -> bool:
-        """Whether the engine reads prompts for others."""
+        """Whether the engine runs the prefill stage for other engines."""
         return self.server.stage is servers.Stage.PREFILL
 
 
 class Instance:
-    """One instance: its counts, and what it hears."""
+    """One instance: its load counts and what it receives from peers."""
 
     def __init__(self, name: str, domain: str, listed: list[servers.Server]) -> None:
         self.name = name
@@ -192,7 +208,7 @@
         self.neighbours = neighbours.Neighbours(())
 
     def beacon(self, now: datetime.timedelta, **fields: object) -> beacons.Beacon:
-        """Return what this instance tells of engines."""
+        """Return a beacon with this instance's load on engines."""
         domain = self.place.failure_domain
         head = (self.name, domain, "life", 1, 1, False, (), ())
         changing = self.load_exchange.changing(now)
@@ -201,17 +217,17 @@
         )
 
 
-# The mix of a kiosk fleet of 195 instances before 39 engines: long briefings in
-# sessions that come back about twice, short drafts and checks.
+# Workload of a kiosk fleet with 195 instances and 39 engines: long briefings in
+# sessions that return about twice, short drafts and checks.
 KIOSK = (
     RequestKind("briefing", 51.5, 5382, 900, 6610, 42, 2, 823.0),
     RequestKind("draft", 81.0, 198, 200, 628, 32, 0, 609.0),
     RequestKind("check", 74.0, 568, 200, 1800, 3, 1, 1011.0),
 )
 
-# The mix of a fleet that drafts letters, 84 instances before 70 engines: histories and
-# offers whose sizes spread widely, short notices. While nothing is kept, it takes 58
-# engines to prefill them.
+# Workload of a fleet that drafts letters, with 84 instances and 70 engines: histories
+# and offers of widely varying size, short notices. With empty prefix caches, prefilling
+# it takes 58 engines.
 LETTERS = (
     RequestKind("summary", 131.0, 13_300, 590, 3720, 10, 2, 663.0, 0.7, 1.1, 5.5, True),
     RequestKind("offer", 90.0, 6300, 400, 2890, 4, 1, 1045.0, 0.7, 1.0, 3.1, True),
--- a/tests/support/fleet_world.py
+++ b/tests/support/fleet_world.py
@@ -1,8 +1,8 @@
-"""Replays prompts through the decisions of a whole fleet, without a network.
+"""Discrete-event simulation of a whole fleet, without a network.
 
-Every instance has its own counts and hears of the others by beacons that take their
-time, as in a fleet; engines are queues that read prompts at a fixed rate. What is
-decided is decided by the modules that serve.
+Each instance has its own load counts and learns of the other instances' work from
+beacons, which arrive with a latency. Engines are queues that prefill prompts at a
+fixed rate. All decisions are made by the product's own modules.
 """
 
 import collections
@@ -27,12 +27,12 @@
 from pimentolatch.routes import servers
 from tests.support import fleet_parts
 
-# An engine that reads: tokens in a millisecond, the time that each prompt keeps it
-# busy besides, and how much later its answer comes. As engines of today do.
+# Model of a prefill engine: prefill rate, overhead per prompt in which the engine is
+# busy, and delay of the response after the prefill. Typical of current engines.
 PREFILL_TOKENS_PER_MS = 56.6
 PREFILL_OVERHEAD_MS = 4.0
 PREFILL_RESPONSE_MS = 16.0
-# From the end of reading to the first event, and one token after the other.
+# Time from the end of the prefill to the first event, and time per output token.
 FIRST_EVENT_MS = 40.0
 TOKEN_GAP_MS = 6.0
 NEAR_LATENCY_MS = 1.0
@@ -42,24 +42,25 @@
 PLAN_INTERVAL_MS = 500.0
 LIST_LAG_MS = 600.0
 NO_ENGINE_RETRY = datetime.timedelta(milliseconds=500)
-# Clients wait for as long as they are told, up to this share of the time they have.
+# Clients wait for the time in the refusal, up to this share of the time that is left
+# to their deadline.
 MAX_WAIT_SHARE = 1 / 3
-# Clients that gave a stream up ask again after this.
+# Clients retry this long after they gave up a stream.
 TIMEOUT_RETRY_MS = 50.0
-# Pauses between the events of a stream, and the longest that callers accept.
+# Gap between the events of a stream, and the longest that clients accept.
 EVENT_GAP_MS = 40.0
 EVENT_GAP_TARGET_MS = 250.0
 
 
 class FleetSimulation:
-    """Instances before engines, with prompts arriving.
+    """Instances that dispatch arriving prompts to engines.
 
     Args:
-        domains: Failure domains.
-        instances: Instances in each.
-        engines: Engines in the fleet.
-        prefill_engines: Those that prefill; the others decode.
-        seed: Draws arrivals and whom beacons reach.
+        domains: Number of failure domains.
+        instances: Number of instances in each failure domain.
+        engines: Number of engines in the fleet.
+        prefill_engines: How many of the engines prefill; the others decode.
+        seed: Seed for arrivals, prompts and the receivers of beacons.
     """
 
     def __init__(
@@ -120,7 +121,7 @@
             self._weight = neighbours.domain_weights(linked, near).get("d", 1.0)
 
     def schedule(self, when: float, call: abc.Callable[[], None]) -> None:
-        """Have something called at a moment, in milliseconds."""
+        """Schedule a call at a simulated time in milliseconds."""
         heapq.heappush(self._events, (when, next(self._numbers), call))
 
     def run(
@@ -131,13 +132,13 @@
         *,
         plan_stages: bool = False,
     ) -> None:
-        """Have prompts arrive for some seconds, and wait for what is under way.
+        """Simulate arrivals for a time, then run until no events are left.
 
         Args:
-            kinds: What arrives.
-            seconds: For how long.
-            bursts: When something arrives more or less often.
-            plan_stages: Whether the first instance plans stages.
+            kinds: Kinds of requests that arrive.
+            seconds: Time in which requests arrive.
+            bursts: Periods in which a kind arrives at another rate.
+            plan_stages: Whether the first instance plans changes of engines' stages.
         """
         self._bursts = bursts
         until = 1000 * seconds
@@ -154,7 +155,7 @@
 
     @property
     def time(self) -> datetime.timedelta:
-        """The time, as the decisions take it."""
+        """Simulated time as the decision modules expect it."""
         return datetime.timedelta(seconds=100) + self.now * fleet_parts.MS
 
     def _arrive(self, kind: fleet_parts.RequestKind, until: float) -> None:
@@ -174,7 +175,7 @@
     def submit(
         self, instance: fleet_parts.Instance, kind: fleet_parts.RequestKind
     ) -> None:
-        """Have an instance asked for a prompt now."""
+        """Send a request of a kind to an instance now."""
         number = next(self._numbers)
         prompt = fleet_parts.draw_prompt(kind, number, self.random)
         self._start_job(instance, kind, prompt, self.random.random())
@@ -199,7 +200,7 @@
         self._dispatch(instance, job)
 
     def _time_out(self, job: fleet_parts.Job) -> None:
-        """Have a client leave that has seen no event."""
+        """Have the client give up if it has received no event."""
         if job.finished:
             return
         self._release_prefill_tokens(job)
@@ -207,7 +208,7 @@
             self._finish(job, fleet_parts.Status.LEFT)
 
     def _expire(self, job: fleet_parts.Job) -> None:
-        """Refuse a request whose prompt is not prefilled yet."""
+        """Refuse the request if its prompt is not prefilled yet."""
         if job.finished or job.prefilled:
             return
         self._release_prefill_tokens(job)
@@ -225,13 +226,17 @@
         )
 
     def _refuse(self, job: fleet_parts.Job, retry_after: datetime.timedelta) -> None:
-        """Refuse a request; its client may come back."""
+        """Refuse a request; its client may retry."""
         self.refused[job.kind.name] += 1
         if not self._schedule_retry(job, retry_after / fleet_parts.MS):
             self._finish(job, fleet_parts.Status.REFUSED)
 
     def _schedule_retry(self, job: fleet_parts.Job, wait_ms: float) -> bool:
-        """Have a client come back once, at any instance; False if it does not."""
+        """Schedule the client's only retry, at any instance.
+
+        Returns:
+            Whether the client retries.
+        """
         left = job.first_arrival + 1000 * job.kind.deadline_s - self.now
         may_return = job.kind.retries and job.original_arrival is None
         if not may_return or wait_ms > left * MAX_WAIT_SHARE:
@@ -308,7 +313,7 @@
         self._dispatch(instance, job)
 
     def _plan(self, until: float) -> None:
-        """Have the first instance plan, and the engines do what it says."""
+        """Let the first instance plan and carry out its changes of stage."""
         first = next(iter(self.instances.values()))
         demand = sum(i.demand.rate(self.time).prefill for i in self.instances.values())
         rate = max(i.loads.prefill_rate for i in self.instances.values())
@@ -490,6 +495,6 @@
         )
 
     def max_to_mean_work(self) -> float:
-        """Return the work of the busiest reading engine as a multiple of the mean."""
+        """Return the prefill time of the busiest engine relative to the mean."""
         worked = [engine.busy_ms for engine in self.engines.values() if engine.prefills]
         return max(worked) * len(worked) / sum(worked)
--- a/tests/support/request_parts.py
+++ b/tests/support/request_parts.py
@@ -1,7 +1,7 @@
-"""Parts of the world that keyed calls run in: instances, their links and servers.
+"""Simulated instances, links and servers for calls with an idempotency key.
 
-Everything an instance does that another process could see passes a *point*, where the
-instance can be frozen or has been killed: a dead one never passes again.
+Every action of an instance that another process could see first passes a *point*. There
+the instance can be frozen or killed; a killed one never gets past a point.
 """
 
 import asyncio
@@ -25,12 +25,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Safeguards:
-    """Safeguards that a proof can switch off, to see its checker reject the rest.
+    """Safeguards that a proof can disable to show that its checker then fails.
 
     Attributes:
-        claims: Whether a key is bound in the store before its call is sent.
-        classes: Whether a lost answer is told apart from a call that was not sent.
-        own_answers: Whether an answer is matched with the call it belongs to.
+        claims: Whether a key is claimed in the store before its call is dispatched.
+        distinguish_unknown: Whether a lost answer is distinguished from a call that
+            was not sent.
+        match_answers: Whether each answer goes to the call that it belongs to.
     """
 
     claims: bool = True
@@ -39,7 +40,14 @@
 
 
 class SharedState:
-    """What all instances of a world share."""
+    """State that all instances of a simulation share.
+
+    Attributes:
+        never: Event that is never set; a killed incarnation waits for it.
+        cut: Pairs of names between which the link is cut.
+        hooks: Pairs of a point and a function that is called once, with the instance
+            that passes the point first.
+    """
 
     def __init__(self, seed: int, safeguards: Safeguards) -> None:
         self.random = random.Random(seed)
@@ -57,12 +65,19 @@
         self.hooks: list[tuple[str, typing.Callable[[LogicInstance], None]]] = []
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Tell whether the link between two parts is cut."""
+        """Return whether the link between two instances or servers is cut."""
         return (one, other) in self.cut or (other, one) in self.cut
 
 
 class Server:
-    """A plain server: runs calls, whatever becomes of their answers."""
+    """A plain server: runs each call even if its answer is lost.
+
+    Attributes:
+        slow_s: Additional time before and after each run, in seconds.
+        lost_answers: Number of the next answers that are lost.
+        refusals: Number of the next calls that are refused without being run.
+        crashes: Number of the next calls after whose run the server crashes.
+    """
 
     def __init__(self, shared: SharedState, name: str, host: str) -> None:
         self.name = name
@@ -77,7 +92,10 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def receive(self, call: plain.Call) -> asyncio.Future[outcomes.ServiceOutcome]:
-        """Take a call; the future is its answer, and goes on if nobody waits."""
+        """Start a call and return a future of its answer.
+
+        The call runs on even if nobody waits for the future.
+        """
         answer: asyncio.Future[outcomes.ServiceOutcome] = asyncio.Future()
         task = asyncio.create_task(self._run(call, answer))
         self._tasks.add(task)
@@ -85,7 +103,7 @@
         return answer
 
     def restart(self) -> None:
-        """Serve again after a crash."""
+        """Accept calls again after a crash."""
         self.down = False
 
     async def _run(
@@ -124,7 +142,7 @@
 
 
 class _NonExclusiveClaims(claims.ClaimPages):
-    """Claims without their safeguard: every attempt holds its key."""
+    """Claims with the safeguard disabled: every attempt gets the claim of its key."""
 
     async def claim(self, name: str, fingerprint: str) -> typing.Any:
         found = await super().claim(name, fingerprint)
@@ -134,7 +152,10 @@
 
 
 class LogicInstance:
-    """One entry instance, as far as keyed calls go; killed and started again."""
+    """The part of an entry instance that runs calls with an idempotency key.
+
+    It can be killed and restarted.
+    """
 
     def __init__(self, shared: SharedState, name: str, host: str) -> None:
         self.name = name
@@ -146,11 +167,11 @@
 
     @property
     def alive(self) -> bool:
-        """Whether an incarnation runs now."""
+        """Whether an incarnation is running."""
         return not self.ended.is_set()
 
     def start(self) -> None:
-        """Start a new incarnation, which remembers nothing."""
+        """Start a new incarnation without any state of earlier ones."""
         shared = self._shared
         self._starts += 1
         incarnation = f"{self.name}#{self._starts}"
@@ -189,16 +210,16 @@
         )
 
     def kill(self) -> None:
-        """End the incarnation at once; what it sent goes on."""
+        """Kill the incarnation; calls that it has sent still run."""
         self.ended.set()
 
     def freeze(self, seconds: float) -> None:
-        """Hold the incarnation for a time."""
+        """Freeze the incarnation for a time."""
         until = asyncio.get_running_loop().time() + seconds
         self.frozen_until = max(self.frozen_until, until)
 
     async def serve(self, call: service_call.ServiceCall) -> keys.Outcome | None:
-        """Answer a call; None if the connection broke because the instance died."""
+        """Answer a call; None if the instance was killed meanwhile."""
         ended = self.ended
         if ended.is_set():
             return None
@@ -214,7 +235,7 @@
         return None if ended.is_set() else outcome
 
     async def wait_until_thawed(self) -> None:
-        """Wait for the end of a freeze."""
+        """Wait until the incarnation is not frozen."""
         remaining = self.frozen_until - asyncio.get_running_loop().time()
         if remaining > 0:
             await asyncio.sleep(remaining)
@@ -222,7 +243,7 @@
 
 
 class _Links:
-    """The links of one incarnation to servers, instances and the store."""
+    """Links of one incarnation to the servers, the instances and the store."""
 
     def __init__(
         self, shared: SharedState, of: LogicInstance, ended: asyncio.Event
@@ -232,20 +253,20 @@
         self._ended = ended
 
     async def point(self, name: str) -> None:
-        """Go on, unless the incarnation is frozen or has ended."""
+        """Pass a point: wait while frozen, and for ever once killed."""
         for hook in [t for t in self._shared.hooks if t[0] == name]:
             self._shared.hooks.remove(hook)
             hook[1](self._of)
         await asyncio.sleep(self._shared.random.uniform(0.0001, 0.004))
         await self._of.wait_until_thawed()
         if self._ended.is_set():
-            # The process is no more: nothing after this point ever happens.
+            # The process has been killed: nothing after this point may happen.
             await self._shared.never.wait()
 
     async def call(
         self, address: settings.Address, call: plain.Call
     ) -> outcomes.ServiceOutcome:
-        """See `service_call.PlainCalls`."""
+        """Send a call to a plain server, as the product's client does."""
         await self.point("send")
         server = next(s for s in self._shared.servers.values() if s.address == address)
         if server.down or self._shared.is_cut(self._of.name, server.name):
@@ -271,7 +292,7 @@
     async def forward(
         self, address: settings.Address, call: instance.Forward
     ) -> outcomes.Answered | results.Refusal | outcomes.NotRun | outcomes.Broken:
-        """See `once.Instances`."""
+        """Forward a call to another instance, as the product's client does."""
         await self.point("forward")
         target = next(
             i for i in self._shared.instances.values() if i.address == address
@@ -301,7 +322,7 @@
 
 
 def document_of(servers: typing.Iterable[Server]) -> fleet.Configuration:
-    """Return a configuration with one service on the servers."""
+    """Return a configuration with one service that the servers offer."""
     document = schema.FleetDocument(
         fleet="proof",
         failure_domains=({"name": "north", "region": "region"},),
--- a/tests/support/role_worlds.py
+++ b/tests/support/role_worlds.py
@@ -1,4 +1,4 @@
-"""Small worlds for scenarios of role planning: engines, demand, no network."""
+"""Engines and demand for scenarios of role planning, without a network."""
 
 import dataclasses
 import datetime
@@ -38,21 +38,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """Demand of a domain for each of its engines, by the second."""
+    """Demand of a failure domain in requests per second and engine."""
 
     short_requests: float
     long_requests: float
 
 
-# Short prompts have 400 tokens and answers of 120, long ones 9,000 and 250; an engine
-# reads 3,000 tokens a second and writes 400.
+# Short prompts have 400 tokens and answers of 120 tokens, long ones 9,000 and 250; an
+# engine prefills 3,000 tokens per second and decodes 400.
 LONG_PROMPTS = Demand(0.3, 0.2)
 SHORT_PROMPTS = Demand(1.75, 0.01)
 EVEN_DEMAND = Demand(1.63, 0.002)
 
 
 def policy(fleet: str) -> schema.RolePolicy:
-    """Return the role policy of an example document."""
+    """Return the role policy in the example document of a fleet."""
     path = _EXAMPLES / f"{fleet}-fleet.jsonc"
     document = checks.read_file(schema.FleetDocument, path)
     assert isinstance(document, schema.FleetDocument), document
@@ -60,7 +60,7 @@
 
 
 def engine(number: int, role: schema.Role, *, pinned: bool = False) -> schema.Engine:
-    """Return an engine of a document."""
+    """Return an engine as a fleet document has it."""
     return schema.Engine.model_validate(
         {
             "name": f"e-{number}",
@@ -78,7 +78,7 @@
 
 
 def serving_engines(names: abc.Sequence[str]) -> list[engine_states.EngineState]:
-    """Return serving engines with roles."""
+    """Return the states of serving engines with the given roles."""
     return [
         engine_states.EngineState(engine(n, role), role)
         for n, role in enumerate(typing.cast(abc.Sequence[schema.Role], names), 1)
@@ -88,7 +88,7 @@
 def samples(
     load: abc.Callable[[float], Demand], seconds: int, engines: int
 ) -> list[demand.Sample]:
-    """Return the samples of a load, one each five seconds."""
+    """Return demand samples of a load, one every five seconds."""
     return [
         _sample(load(at), at, engines)
         for at in range(_TICK_S, seconds + _TICK_S, _TICK_S)
@@ -111,7 +111,7 @@
 def with_order(
     states: abc.Sequence[engine_states.EngineState], change: roles.RoleChange
 ) -> list[engine_states.EngineState]:
-    """Return the states once the change's slot is taken."""
+    """Return the states after the slot of a change was taken."""
     return _with(
         states,
         change.engine,
@@ -125,7 +125,7 @@
     change: roles.RoleChange,
     at: datetime.timedelta | None,
 ) -> list[engine_states.EngineState]:
-    """Return the states once the change has ended."""
+    """Return the states after a change has ended."""
     return _with(states, change.engine, role=change.role, since=at)
 
 
@@ -146,11 +146,17 @@
 
 
 class PlanningWorld:
-    """Plans each five seconds and carries the changes out.
+    """Plans role changes every five seconds and carries them out.
 
     Args:
-        absent: Name of an engine, and from when to when it is withdrawn.
-        forget_events: Whether the planner is not told when engines came and went.
+        names: Roles of the engines at first.
+        role_policy: Policy to plan by.
+        load: Demand at a time in seconds.
+        safeguards: Safeguards of the planner.
+        absent: Name of an engine, and the times in seconds from which and until which
+            it is withdrawn.
+        omit_change_times: Whether the planner gets no times at which engines were
+            withdrawn or returned.
     """
 
     def __init__(
@@ -174,7 +180,7 @@
         self._pending_changes: list[tuple[float, roles.RoleChange]] = []
 
     def run(self, seconds: int) -> None:
-        """Plan for a time."""
+        """Plan for a time in seconds."""
         for at in range(_TICK_S, seconds + _TICK_S, _TICK_S):
             self._end_changes(at)
             self._apply_absence(at)
@@ -216,7 +222,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FixedFleet:
-    """Stands for `fleet.Fleet` with one document, of which only the roles count."""
+    """Replaces `fleet.Fleet`; has one document with only a role policy."""
 
     roles: schema.RolePolicy
 
@@ -232,7 +238,7 @@
 
 
 class SteadyDemand:
-    """What one instance counts of a steady demand."""
+    """Demand totals of one instance under a constant demand."""
 
     def __init__(self, load: Demand, engines: int) -> None:
         self._sample = _sample(load, 0.0, engines)
@@ -243,7 +249,7 @@
         self._at = at
 
     def totals(self) -> tuple[demand.Totals, ...]:
-        """Return the totals as of now."""
+        """Return the totals at the set time."""
         one, at = self._sample, self._at
         return (
             demand.Totals(
@@ -260,7 +266,7 @@
 
 
 class UntrackedPlanner:
-    """The planner without `state_tracker`: engine states carry no time of change."""
+    """Planner without `state_tracker`: engine states have no time of their change."""
 
     def __init__(
         self,
@@ -274,7 +280,7 @@
     def plan(
         self, states: abc.Sequence[engine_states.EngineState], now: datetime.timedelta
     ) -> tuple[roles.RoleChange, ...]:
-        """Return the changes wanted now."""
+        """Return the changes that the planner wants now."""
         self._history.observe(now, self._totals())
         return roles.plan(now, states, self._history.samples, self._policy)
 
@@ -287,7 +293,15 @@
     *,
     confirm: bool,
 ) -> int:
-    """Return how many changes are made when two planners' steps come in an order."""
+    """Return how many changes are made if two planners' steps run in an order.
+
+    Args:
+        names: Roles of the engines at first.
+        changes: The change of each planner.
+        order: Pairs of a planner and its step.
+        role_policy: Policy of the planners.
+        confirm: Whether a planner checks its change again after it took the slot.
+    """
     states = serving_engines(names)
     made = 0
     for planner, step in order:
@@ -305,14 +319,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlanCheck:
-    """What planning for many drawn states found."""
+    """Result of planning for many random states."""
 
     plans: int
     violations: tuple[str, ...]
 
 
 def check_plans(count: int, safeguards: roles.Safeguards) -> PlanCheck:
-    """Plan for drawn states and check each plan."""
+    """Plan for random states and check each plan."""
     rng = random.Random(5)
     plans = 0
     problems: list[str] = []
--- a/tests/support/route_world.py
+++ b/tests/support/route_world.py
@@ -1,4 +1,4 @@
-"""Instances that serve routes, a store and servers, over sockets in one process."""
+"""Gateway instances, an object store and backend servers in one process, on sockets."""
 
 import asyncio
 import dataclasses
@@ -17,15 +17,15 @@
 POLL_S = 0.01
 
 
-# Below the range from which the system takes ports for outgoing connections: one that
-# it gave out there was taken by a connection of another process before it was bound.
+# Below the ephemeral port range: a free port from that range could be taken by an
+# outgoing connection of another process before the test had bound it.
 FIRST_PORT = 10_000
 PORTS_OF_PROCESS = 100
 _ports = itertools.count()
 
 
 def free_port():
-    """Return a port that no other process of a test run is given."""
+    """Return a free port from a range that depends on this process's id."""
     first = FIRST_PORT + os.getpid() % 200 * PORTS_OF_PROCESS
     for _ in range(PORTS_OF_PROCESS):
         port = first + next(_ports) % PORTS_OF_PROCESS
@@ -39,7 +39,7 @@
 
 
 def route(name, service, kind, **fields):
-    """Return a route as the operator writes it."""
+    """Return a route in the format of the operator's configuration."""
     chosen = {
         "name": name,
         "host": "site.example",
@@ -58,7 +58,10 @@
 
 
 def configuration(version, routes, customers=None):
-    """Return a configuration as the operator writes it; no customers, no keys."""
+    """Return a configuration in the operator's format.
+
+    Without customers, requests need no API keys.
+    """
     engine = {
         "slots": 8,
         "kv_tokens": 100_000,
@@ -97,7 +100,10 @@
 
 
 class HeldClock(clock.SystemClock):
-    """Holds the sleep of a stopping instance, the only long one, until released."""
+    """Blocks sleeps of at least `LONG` until released.
+
+    The only one that long is the sleep of an instance that shuts down.
+    """
 
     LONG = datetime.timedelta(seconds=2)
 
@@ -118,7 +124,11 @@
 
 @dataclasses.dataclass
 class Reply:
-    """An answer as a client saw it; `whole` is False if it broke off."""
+    """A response as a client received it.
+
+    Attributes:
+        complete: False if the connection broke before the end of the body.
+    """
 
     status: int
     fields: dict
@@ -132,7 +142,7 @@
 
 
 class RouteWorld:
-    """Everything that a scenario starts."""
+    """Store, servers and instances that a scenario starts."""
 
     def __init__(self):
         self.platform = platform.Platform()
@@ -218,7 +228,7 @@
         return int(line.split()[1]) if line else 0
 
     async def ask_metrics(self, name="one"):
-        """Return the metrics of an instance, by name with labels."""
+        """Return an instance's metric values by name with labels."""
         host, _ = self.instances[name]
         reader, writer = await asyncio.open_connection(host, self.metrics[name])
         writer.write(b"GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
@@ -267,12 +277,12 @@
 
 
 def receives_updates(instance):
-    """Tell whether an instance hears of changes, from the store or from readers."""
+    """Return whether an instance receives changes, from the store or from watchers."""
     return instance.fleet.watches_store or len(instance.peers.readers()) == 3
 
 
 def request(route_name, request_id, body=b"", **fields):
-    """Return the bytes of a client's request."""
+    """Return a client's HTTP request as bytes."""
     headers = {"host": "site.example", "x-request-id": request_id}
     headers |= {"x-deadline-ms": "6000", "content-length": str(len(body))}
     if route_name in ("digest", "draft"):
@@ -287,7 +297,7 @@
 
 
 async def reply(reader):
-    """Read an answer, to its end or to where it broke off."""
+    """Read a response up to its end or up to where the connection broke."""
     status = int((await reader.readline()).split()[1])
     fields = {}
     while (line := (await reader.readline()).strip()) != b"":
--- a/tests/support/scaling_world.py
+++ b/tests/support/scaling_world.py
@@ -1,4 +1,4 @@
-"""A service whose servers are ordered, without a network: boots, reclaims, prices."""
+"""Simulates a service whose servers are ordered: boot times, spot reclaims, prices."""
 
 import dataclasses
 import datetime
@@ -9,7 +9,7 @@
 STEP = datetime.timedelta(milliseconds=500)
 BOOT_TIME = datetime.timedelta(seconds=4)
 RECLAIM_NOTICE = datetime.timedelta(seconds=2.5)
-# How long nothing that may be taken back is to be had after a reclaim.
+# Time after a reclaim in which the failure domain offers no spot servers.
 UNAVAILABLE_AFTER_RECLAIM = datetime.timedelta(seconds=11)
 DRAIN_TIME = datetime.timedelta(seconds=3)
 ZERO = datetime.timedelta()
@@ -20,8 +20,8 @@
     """One ordered server.
 
     Attributes:
-        serves_at: When it has booted.
-        leaves_at: When it ends; None if nobody has said so.
+        ready_at: When it has booted.
+        ends_at: When it terminates; None if that is not decided.
     """
 
     domain: str
@@ -31,13 +31,14 @@
 
 
 class ScalingWorld:
-    """The platform's side of orders.
+    """Simulates the platform that carries out orders of servers.
 
     Args:
-        policy: How servers are ordered.
-        first: Dear servers in each domain at first.
-        scaling: What the operator says.
-        seed: Draws which orders get lost.
+        policy: Policy of the server planner.
+        initial: Initial number of on-demand servers in each failure domain.
+        scaling: Scaling settings of the service.
+        seed: Seed that decides which orders are lost.
+        lost_share: Share of the orders that are lost.
     """
 
     def __init__(self, policy, initial, scaling, seed=1, lost_share=0.0):
@@ -58,11 +59,12 @@
         self._lost_share = lost_share
 
     def play(self, seconds, reclaims=()):
-        """Play some seconds.
+        """Simulate a time.
 
         Args:
-            seconds: How long.
-            reclaims: Pairs of a second and the domain that is reclaimed then.
+            seconds: Simulated time.
+            reclaims: Pairs of a time in seconds and the failure domain whose spot
+                servers are reclaimed then.
         """
         pending = sorted(reclaims)
         for _ in range(round(seconds / STEP.total_seconds())):
@@ -93,7 +95,7 @@
         return server.ready_at <= self.now and server.ends_at is None
 
     def server_counts(self):
-        """Return the servers that take requests, by domain."""
+        """Return the numbers of servers in service, by failure domain."""
         found = {}
         for domain in self.scaling.prices:
             on_demand, spot = (
--- a/tests/support/usage_world.py
+++ b/tests/support/usage_world.py
@@ -1,4 +1,4 @@
-"""Instances that count and report usage, without a network, in drawn schedules."""
+"""Instances that count and report usage, on random schedules without a network."""
 
 import asyncio
 import collections
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Call:
-    """A report as the receiver carried it out."""
+    """A usage report as the receiver got it."""
 
     at: datetime.timedelta
     host: str
@@ -33,7 +33,7 @@
 
 
 class Receiver:
-    """Takes reports; drawn ones are lost, refused, or carried out late."""
+    """Receiver of usage reports that randomly loses, refuses or delays them."""
 
     def __init__(self, world, faulty):
         self._world = world
@@ -45,7 +45,7 @@
         self.unresponsive = False
 
     def for_host(self, host):
-        """Return the receiver as one instance reaches it."""
+        """Return the receiver's client for the instance on a host."""
 
         async def report(holder, window, counts):
             return await self._report(host, holder, window, counts)
@@ -90,7 +90,7 @@
 
 
 class UncommittedReporter(usage_reports.UsageReporter):
-    """Sends what it has counted, without having it fixed in the store."""
+    """Sends its counts without first committing them to the store."""
 
     async def _read_record(self):
         if not await self._leadership.acquire():
@@ -104,7 +104,7 @@
 
 
 class Instance:
-    """One life of an instance."""
+    """One incarnation of an instance."""
 
     def __init__(self, world, name, reporter_type):
         self.world = world
@@ -135,7 +135,7 @@
         )
 
     def live(self):
-        """Return the peers that it hears."""
+        """Return the peers whose beacons it receives."""
         return [
             types.SimpleNamespace(
                 host=other.host, beacon=types.SimpleNamespace(instance=other.name)
@@ -149,9 +149,9 @@
     """Three instances, the store and the receiver of reports.
 
     Args:
-        seed: Draws all.
-        faulty: Whether anything fails.
-        reporter_type: What reports.
+        seed: Seed of all random choices.
+        faulty: Whether faults are injected.
+        reporter_type: Class of the usage reporter.
     """
 
     def __init__(self, seed, faulty=True, reporter_type=usage_reports.UsageReporter):
@@ -169,7 +169,7 @@
         self.instances = {name: Instance(self, name, reporter_type) for name in NAMES}
 
     def running(self):
-        """Return the instances that are neither frozen nor gone."""
+        """Return the instances that are not frozen."""
         now = self.time.monotonic()
         return [
             instance
@@ -181,7 +181,7 @@
         return (one.host in self.cut_off) == (two.host in self.cut_off)
 
     async def play(self, seconds):
-        """Play some seconds, then five windows without faults."""
+        """Run for some seconds, then end all faults."""
         for number in range(round(seconds / STEP.total_seconds())):
             if self._faulty and self.rng.random() < 0.15:
                 self._inject_fault()
@@ -189,7 +189,7 @@
         self._heal()
 
     async def settle(self):
-        """Play on without faults until everything that is due was sent."""
+        """Run on without faults or new requests until all due reports were sent."""
         for number in range(60):
             await self._step(number, start_requests=False)
 
@@ -210,7 +210,7 @@
     async def _run_reporter(self, instance):
         await instance.leadership.acquire()
         if self._faulty and self.rng.random() < 0.03:
-            # Between two steps of a report: it goes on with what it knew.
+            # Frozen between two steps of a report: it resumes with outdated state.
             self.frozen[instance.host] = self.time.monotonic() + datetime.timedelta(
                 seconds=self.rng.uniform(1, 9)
             )
@@ -280,27 +280,30 @@
         self.receiver.unresponsive = False
 
     def contents(self):
-        """Return the contents that were accepted of each window."""
+        """Return the distinct contents that were accepted for each window."""
         found = collections.defaultdict(set)
         for call in self.receiver.accepted:
             found[call.window].add(call.counts)
         return found
 
     def hosts_by_fence(self):
-        """Return which hosts have sent each fence."""
+        """Return the hosts that have sent each fencing token."""
         found = collections.defaultdict(set)
         for call in self.receiver.sent:
             found[call.fence].add(call.host)
         return found
 
     def min_handover_gap(self):
-        """Return the shortest time between calls of two holders."""
+        """Return the shortest time between consecutive calls of different hosts."""
         pairs = zip(self.receiver.sent, self.receiver.sent[1:], strict=False)
         gaps = [b.at - a.at for a, b in pairs if a.host != b.host]
         return min(gaps, default=datetime.timedelta.max)
 
     def min_return_time(self):
-        """Return the shortest time in which a holder, another and it again called."""
+        """Return the shortest time from a host's last call to its next one.
+
+        Only the cases count in which exactly one other host called in between.
+        """
         runs = []
         for call in self.receiver.sent:
             if not runs or runs[-1][0] != call.host:
@@ -316,7 +319,7 @@
 
 
 def play(seed, faulty=True, reporter_type=usage_reports.UsageReporter, seconds=60):
-    """Play one world to its end."""
+    """Run one world until all due reports were sent."""
     world = UsageWorld(seed, faulty, reporter_type)
 
     async def play_to_end():
--- a/tests/support/view_world.py
+++ b/tests/support/view_world.py
@@ -1,7 +1,8 @@
-"""Instances in memory that acknowledge domain views, on a schedule from a seed.
+"""Simulated instances that acknowledge domain views, on a random schedule.
 
-A holder writes views of its failure domain and waits until nobody is missing. At that
-moment no process may route by an older view: an engine would be ordered away under it.
+The leader writes views of its failure domain and waits until all instances have
+acknowledged them. From then on no process may route by an older view: the leader would
+order changes of engines that this process still sends requests to.
 """
 
 import asyncio
@@ -22,11 +23,12 @@
 
 
 class ViewWorld(config_world.ConfigWorld):
-    """Adds a holder, and the platform's list as each instance reads it.
+    """Adds a leader, and the platform's instance list, to the simulation.
 
     Attributes:
-        violations: Processes that routed by an older view when nobody was missing.
-        confirmed: Numbers of views that nobody was missing for.
+        violations: Processes that routed by an older view when no acknowledgement was
+            missing.
+        confirmed: Numbers of the views that were acknowledged by all.
     """
 
     def __init__(self, seed: int, safeguards: config_world.Safeguards) -> None:
@@ -36,14 +38,14 @@
         self.plan.start(self._publish_lists())
 
     def start_with_peers(self, instance: str, reachable: frozenset[str]) -> None:
-        """Start an instance that reaches some peers only."""
+        """Start an instance with links to some peers only."""
         for other in self.processes:
             if other not in reachable:
                 self.cuts |= {(other, instance), (instance, other)}
         self.start(instance, _DOMAIN)
 
     async def write_view(self) -> None:
-        """Write a view as the holder and wait until nobody is missing."""
+        """Write a view as the leader and wait for all acknowledgements."""
         leader = self.processes[_LEADER]
         number = leader.table.number(_DOMAIN)
         value = {"withdrawn": [f"engine-{number}"], "roles": {}}
@@ -88,7 +90,7 @@
 
 
 def start_during_outage(seed: int, safeguards: config_world.Safeguards) -> ViewWorld:
-    """One instance starts by the word of a single peer, then is frozen."""
+    """An instance introduced by one peer in a store outage is frozen afterwards."""
 
     async def inject_faults(world: ViewWorld) -> None:
         sleep = world.plan.time.sleep
@@ -109,7 +111,7 @@
 
 
 def start_cut_off(seed: int, safeguards: config_world.Safeguards) -> ViewWorld:
-    """One instance reaches the platform only, and is frozen once it has the views."""
+    """An instance without links to peers is frozen once it has the views."""
 
     async def inject_faults(world: ViewWorld) -> None:
         await world.plan.time.sleep(schedule.seconds(6))
@@ -125,7 +127,7 @@
 
 
 def random_faults(seed: int, safeguards: config_world.Safeguards) -> ViewWorld:
-    """Instances start, freeze, are cut off and killed while views are written."""
+    """Instances start, freeze, are cut off and are killed while views are written."""
 
     async def inject_faults(world: ViewWorld) -> None:
         rng = world.plan.random
