--- a/tests/support/completion_crashes.py
+++ b/tests/support/completion_crashes.py
@@ -1,4 +1,4 @@
-"""Engines of the first face that all end under one completion, without a network."""
+"""Instances and engines that all crash under one completion, without a network."""
 
 import collections
 import datetime
@@ -19,19 +19,19 @@
 from pimentolatch.requests import completion_stream, suspect_completions
 
 
-class Engines:
-    """Each engine that runs the completion ends; another one takes its place."""
+class CrashingEngines:
+    """Engines of which each crashes when it runs the completion."""
 
     def __init__(self):
-        self.ended = 0
+        self.crashes = 0
 
     async def generate(self, address, dispatch):
-        self.ended += 1
+        self.crashes += 1
         yield outcomes.OutcomeUnknown("connection lost", connection_lost=True)
 
 
-class Choice:
-    """Returns a fresh engine each time."""
+class NewEngineSelector:
+    """Selects a new engine for each dispatch."""
 
     def __init__(self, prefix="e"):
         self._prefix = prefix
@@ -63,16 +63,16 @@
         self.prefill_tokens_per_s = 1000.0
 
 
-class _ClockWithoutPauses(clock.SystemClock):
+class _ClockWithoutSleep(clock.SystemClock):
     async def sleep(self, duration):
         pass
 
 
 def instance(engines):
-    """Return what answers completions in one instance."""
-    time = _ClockWithoutPauses()
+    """Return the runner of completions of a single instance."""
+    time = _ClockWithoutSleep()
     return completion_stream.ResumingStream(
-        engines, Choice(), time, rng=random.Random(1)
+        engines, NewEngineSelector(), time, rng=random.Random(1)
     )
 
 
@@ -83,15 +83,15 @@
 DIGEST = _completion(datetime.timedelta()).digest
 
 
-async def ask(tries):
-    """Send the completion once, as its caller would."""
-    time = _ClockWithoutPauses()
+async def ask(runner):
+    """Run the completion once and return its events."""
+    time = _ClockWithoutSleep()
     asked = _completion(time.monotonic() + datetime.timedelta(seconds=30))
-    return [event async for event in tries.run(asked)]
+    return [event async for event in runner.run(asked)]
 
 
-class Documents:
-    """Stands for the part that moves documents, which nothing here does."""
+class NullDocumentExchange:
+    """Replaces the transfer of documents, which is not needed here."""
 
     number = 0
 
@@ -102,8 +102,8 @@
         pass
 
 
-class NoWork:
-    """Stands for the table of peers' work."""
+class NullPeerWork:
+    """Replaces the table of peers' work reports."""
 
     def update(self, peer, work):
         pass
@@ -113,14 +113,14 @@
 
 
 class Instance:
-    """One instance: what answers completions, and what tells its peers."""
+    """One instance: its runner of completions and its node in the membership."""
 
     def __init__(self, fleet, number, domain):
-        self.time = _ClockWithoutPauses()
+        self.time = _ClockWithoutSleep()
         self.suspects = suspect_completions.SuspectCompletions(self.time)
-        self.tries = completion_stream.ResumingStream(
+        self.runner = completion_stream.ResumingStream(
             fleet.engines,
-            Choice(f"i{number}"),
+            NewEngineSelector(f"i{number}"),
             self.time,
             rng=random.Random(1),
             suspects=self.suspects,
@@ -129,13 +129,13 @@
         self.own = incarnations.Identity(f"i{number}/1-0", domain, f"i{number}", 1)
         self.node = node.Node(
             self.own,
-            network=Wire(fleet, self),
-            documents=Documents(),
+            network=EncodedLinks(fleet, self),
+            documents=NullDocumentExchange(),
             crashes=self.suspects,
             table=view_table.ViewTable(),
             work=work_exchange.WorkExchange(
                 work_reports.WorkReport,
-                NoWork(),
+                NullPeerWork(),
                 self.time,
                 datetime.timedelta(seconds=1),
             ),
@@ -154,8 +154,8 @@
         return messages.Hello(1, own.incarnation, own.failure_domain, own.host, 1)
 
 
-class Wire:
-    """An instance's links; messages travel as bytes."""
+class EncodedLinks:
+    """An instance's links to its peers; each message is sent as an encoded frame."""
 
     def __init__(self, fleet, instance):
         self._fleet = fleet
@@ -163,24 +163,24 @@
 
     def send(self, link, message):
         frame = codec.encode([message])
-        self._fleet.under_way.append((self._instance.peers[link], link, frame))
+        self._fleet.in_flight.append((self._instance.peers[link], link, frame))
 
     def close(self, link, reason):
         raise AssertionError(reason)
 
 
 class Fleet:
-    """Instances of two failure domains, linked as the topology has it."""
+    """Instances of two failure domains, linked as in the product's topology."""
 
     def __init__(self, engines, domains):
         self.engines = engines
-        self.under_way = collections.deque()
+        self.in_flight = collections.deque()
         self.instances = []
         for domain in domains:
             self.start(domain)
 
     def start(self, domain):
-        """Start one more instance; returns it."""
+        """Start another instance and return it."""
         started = Instance(self, len(self.instances), domain)
         self.instances.append(started)
         for other in self.instances[:-1]:
@@ -194,15 +194,15 @@
         return started
 
     def _link(self, one, other):
-        # The same number on both sides, which no other link of either has.
+        # Both sides use the same number, which is unique in the fleet.
         number = sum(len(instance.peers) for instance in self.instances)
         one.peers[number], other.peers[number] = other, one
         one.node.opened(number, other.hello)
         other.node.opened(number, one.hello)
 
     def deliver(self):
-        """Carry all messages that are under way, and those that follow from them."""
-        while self.under_way:
-            receiver, link, frame = self.under_way.popleft()
+        """Deliver all messages in flight, and those sent in response."""
+        while self.in_flight:
+            receiver, link, frame = self.in_flight.popleft()
             for message in codec.decode(frame):
                 receiver.node.handle(link, message)
--- a/tests/support/request_parts.py
+++ b/tests/support/request_parts.py
@@ -1,7 +1,7 @@
-"""Parts of the world that keyed calls run in: instances, their links and servers.
+"""Simulated instances, links and servers for calls with an idempotency key.
 
-Everything an instance does that another process could see passes a *point*, where the
-instance can be frozen or has been killed: a dead one never passes again.
+Every action of an instance that another process could see first passes a *point*. There
+the instance can be frozen or killed; a killed one never gets past a point.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 from standins import memory_store, object_table
 from tests.support import request_history, virtual_time
 
-__all__ = ["Grounds", "LogicInstance", "Safeguards", "Server", "document_of"]
+__all__ = ["LogicInstance", "Safeguards", "Server", "SharedState", "document_of"]
 
 SERVICE, OPERATION = "booking", "confirm"
 _CONNECT_S = 1.0
@@ -32,21 +32,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Safeguards:
-    """Safeguards that a proof can switch off, to see its checker reject the rest.
+    """Safeguards that a proof can disable to show that its checker then fails.
 
     Attributes:
-        claims: Whether a key is bound in the store before its call is sent.
-        classes: Whether a lost answer is told apart from a call that was not sent.
-        own_answers: Whether an answer is matched with the call it belongs to.
+        claims: Whether a key is claimed in the store before its call is dispatched.
+        distinguish_unknown: Whether a lost answer is distinguished from a call that
+            was not sent.
+        match_answers: Whether each answer goes to the call that it belongs to.
     """
 
     claims: bool = True
-    classes: bool = True
-    own_answers: bool = True
+    distinguish_unknown: bool = True
+    match_answers: bool = True
 
 
-class Grounds:
-    """What all instances of a world share."""
+class SharedState:
+    """State that all instances of a simulation share.
+
+    Attributes:
+        never: Event that is never set; a killed incarnation waits for it.
+        cut: Pairs of names between which the link is cut.
+        hooks: Pairs of a point and a function that is called once, with the instance
+            that passes the point first.
+    """
 
     def __init__(self, seed: int, safeguards: Safeguards) -> None:
         self.random = random.Random(seed)
@@ -61,17 +69,24 @@
         self.never = asyncio.Event()
         self.cut: set[tuple[str, str]] = set()
         self.fleet = fleet.Fleet()
-        self.traps: list[tuple[str, typing.Callable[[LogicInstance], None]]] = []
+        self.hooks: list[tuple[str, typing.Callable[[LogicInstance], None]]] = []
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Tell whether the link between two parts is cut."""
+        """Return whether the link between two instances or servers is cut."""
         return (one, other) in self.cut or (other, one) in self.cut
 
 
 class Server:
-    """A plain server: runs calls, whatever becomes of their answers."""
+    """A plain server: runs each call even if its answer is lost.
+
+    Attributes:
+        slow_s: Additional time before and after each run, in seconds.
+        lost_answers: Number of the next answers that are lost.
+        refusals: Number of the next calls that are refused without being run.
+        crashes: Number of the next calls after whose run the server crashes.
+    """
 
-    def __init__(self, grounds: Grounds, name: str, host: str) -> None:
+    def __init__(self, shared: SharedState, name: str, host: str) -> None:
         self.name = name
         self.address = settings.Address(host=host, port=9200)
         self.down = False
@@ -79,14 +94,17 @@
         self.lost_answers = 0
         self.refusals = 0
         self.crashes = 0
-        self._grounds = grounds
-        self._last: outcomes.Response | None = None
+        self._shared = shared
+        self._last_response: outcomes.Response | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     def receive(
         self, call: plain_client.Call
     ) -> asyncio.Future[outcomes.ServiceOutcome]:
-        """Take a call; the future is its answer, and goes on if nobody waits."""
+        """Start a call and return a future of its answer.
+
+        The call runs on even if nobody waits for the future.
+        """
         answer: asyncio.Future[outcomes.ServiceOutcome] = asyncio.Future()
         task = asyncio.create_task(self._run(call, answer))
         self._tasks.add(task)
@@ -94,13 +112,13 @@
         return answer
 
     def restart(self) -> None:
-        """Serve again after a crash."""
+        """Accept calls again after a crash."""
         self.down = False
 
     async def _run(
         self, call: plain_client.Call, answer: asyncio.Future[outcomes.ServiceOutcome]
     ) -> None:
-        rng = self._grounds.random
+        rng = self._shared.random
         await asyncio.sleep(rng.uniform(0.001, 0.05) + self.slow_s)
         if self.down:
             answer.set_result(outcomes.OutcomeUnknown("reset"))
@@ -112,25 +130,28 @@
         key = call.body.decode()
         text = f"{self.name} ran {key} as {call.dispatch_id}"
         request = call.dispatch_id.rpartition(".")[0]
-        self._grounds.history.add(request_history.Run(request, key, text))
+        self._shared.history.add(request_history.Run(request, key, text))
         await asyncio.sleep(rng.uniform(0.001, 0.05) + self.slow_s)
         if self.crashes:
             self.crashes -= 1
             self.down = True
             asyncio.get_running_loop().call_later(rng.uniform(0.1, 3.0), self.restart)
-        mine = outcomes.Response(200, text.encode(), "text/plain")
+        response = outcomes.Response(200, text.encode(), "text/plain")
         if self.lost_answers or self.down:
             self.lost_answers = max(0, self.lost_answers - 1)
             answer.set_result(outcomes.OutcomeUnknown("connection lost"))
-        elif not self._grounds.safeguards.own_answers and self._last is not None:
-            answer.set_result(self._last)
+        elif (
+            not self._shared.safeguards.match_answers
+            and self._last_response is not None
+        ):
+            answer.set_result(self._last_response)
         else:
-            answer.set_result(mine)
-        self._last = mine
+            answer.set_result(response)
+        self._last_response = response
 
 
-class _Unbound(key_claims.ClaimPages):
-    """Claims without their safeguard: every attempt holds its key."""
+class _NonExclusiveClaims(key_claims.ClaimPages):
+    """Claims with the safeguard disabled: every attempt gets the claim of its key."""
 
     async def claim(self, name: str, fingerprint: str) -> typing.Any:
         found = await super().claim(name, fingerprint)
@@ -140,127 +161,132 @@
 
 
 class LogicInstance:
-    """One entry instance, as far as keyed calls go; killed and started again."""
+    """The part of an entry instance that runs calls with an idempotency key.
 
-    def __init__(self, grounds: Grounds, name: str, host: str) -> None:
+    It can be killed and restarted.
+    """
+
+    def __init__(self, shared: SharedState, name: str, host: str) -> None:
         self.name = name
         self.address = settings.Address(host=host, port=8080)
         self.frozen_until = 0.0
-        self._grounds = grounds
+        self._shared = shared
         self._starts = 0
         self.start()
 
     @property
     def alive(self) -> bool:
-        """Whether an incarnation runs now."""
+        """Whether an incarnation is running."""
         return not self.ended.is_set()
 
     def start(self) -> None:
-        """Start a new incarnation, which remembers nothing."""
-        grounds = self._grounds
+        """Start a new incarnation without any state of earlier ones."""
+        shared = self._shared
         self._starts += 1
         incarnation = f"{self.name}#{self._starts}"
         self.ended = asyncio.Event()
-        links = _Links(grounds, self, self.ended)
+        links = _Links(shared, self, self.ended)
         owner = key_claims.Owner(incarnation, self.address)
         self.store = store = memory_store.MemoryStore(
-            grounds.table,
-            time=grounds.time,
+            shared.table,
+            time=shared.time,
             link=self.name,
-            faults=grounds.store_faults,
+            faults=shared.store_faults,
             pause=links.point,
         )
-        pages = key_claims.ClaimPages if grounds.safeguards.claims else _Unbound
-        table = idempotency_keys.KeyTable(grounds.time)
+        pages = (
+            key_claims.ClaimPages if shared.safeguards.claims else _NonExclusiveClaims
+        )
+        table = idempotency_keys.KeyTable(shared.time)
         self.once = at_most_once.AtMostOnce(
             owner,
             pages=pages(
                 store,
                 owner,
-                grounds.time,
-                key_claims.claims_budget(grounds.calls_per_second, grounds.time),
+                shared.time,
+                key_claims.claims_budget(shared.calls_per_second, shared.time),
             ),
             ticket_issuer=tickets.TicketIssuer(
-                store, owner, grounds.time, table.lifetime
+                store, owner, shared.time, table.lifetime
             ),
             table=table,
             retirements=retired_owners.RetiredOwners(
-                store, grounds.time, table.lifetime
+                store, shared.time, table.lifetime
             ),
             instances=links,
             sender=service_call.CallSender(
-                own_fleet=grounds.fleet,
+                own_fleet=shared.fleet,
                 own_domain="north",
                 servers=links,
                 work=outstanding_work.OutstandingWork(),
-                time=grounds.time,
+                time=shared.time,
             ),
-            time=grounds.time,
+            time=shared.time,
         )
 
     def kill(self) -> None:
-        """End the incarnation at once; what it sent goes on."""
+        """Kill the incarnation; calls that it has sent still run."""
         self.ended.set()
 
     def freeze(self, seconds: float) -> None:
-        """Hold the incarnation for a time."""
+        """Freeze the incarnation for a time."""
         until = asyncio.get_running_loop().time() + seconds
         self.frozen_until = max(self.frozen_until, until)
 
     async def serve(
         self, call: service_call.ServiceCall
     ) -> idempotency_keys.Outcome | None:
-        """Answer a call; None if the connection broke because the instance died."""
+        """Answer a call; None if the instance was killed meanwhile."""
         ended = self.ended
         if ended.is_set():
             return None
         work = asyncio.create_task(self.once.run(call))
-        gone = asyncio.create_task(ended.wait())
-        await asyncio.wait((work, gone), return_when="FIRST_COMPLETED")
-        gone.cancel()
+        killed = asyncio.create_task(ended.wait())
+        await asyncio.wait((work, killed), return_when="FIRST_COMPLETED")
+        killed.cancel()
         if ended.is_set():
             work.cancel()
             return None
         outcome = work.result()
-        await self.thawed()
+        await self.wait_until_thawed()
         return None if ended.is_set() else outcome
 
-    async def thawed(self) -> None:
-        """Wait for the end of a freeze."""
-        left = self.frozen_until - asyncio.get_running_loop().time()
-        if left > 0:
-            await asyncio.sleep(left)
-            await self.thawed()
+    async def wait_until_thawed(self) -> None:
+        """Wait until the incarnation is not frozen."""
+        remaining = self.frozen_until - asyncio.get_running_loop().time()
+        if remaining > 0:
+            await asyncio.sleep(remaining)
+            await self.wait_until_thawed()
 
 
 class _Links:
-    """The links of one incarnation to servers, instances and the store."""
+    """Links of one incarnation to the servers, the instances and the store."""
 
     def __init__(
-        self, grounds: Grounds, of: LogicInstance, ended: asyncio.Event
+        self, shared: SharedState, of: LogicInstance, ended: asyncio.Event
     ) -> None:
-        self._grounds = grounds
+        self._shared = shared
         self._of = of
         self._ended = ended
 
     async def point(self, name: str) -> None:
-        """Go on, unless the incarnation is frozen or has ended."""
-        for trap in [t for t in self._grounds.traps if t[0] == name]:
-            self._grounds.traps.remove(trap)
-            trap[1](self._of)
-        await asyncio.sleep(self._grounds.random.uniform(0.0001, 0.004))
-        await self._of.thawed()
+        """Pass a point: wait while frozen, and for ever once killed."""
+        for hook in [t for t in self._shared.hooks if t[0] == name]:
+            self._shared.hooks.remove(hook)
+            hook[1](self._of)
+        await asyncio.sleep(self._shared.random.uniform(0.0001, 0.004))
+        await self._of.wait_until_thawed()
         if self._ended.is_set():
-            # The process is no more: nothing after this point ever happens.
-            await self._grounds.never.wait()
+            # The process has been killed: nothing after this point may happen.
+            await self._shared.never.wait()
 
     async def call(
         self, address: settings.Address, call: plain_client.Call
     ) -> outcomes.ServiceOutcome:
-        """See `service_call.PlainServerClient`."""
+        """Send a call to a plain server, as the product's client does."""
         await self.point("send")
-        server = next(s for s in self._grounds.servers.values() if s.address == address)
-        if server.down or self._grounds.is_cut(self._of.name, server.name):
+        server = next(s for s in self._shared.servers.values() if s.address == address)
+        if server.down or self._shared.is_cut(self._of.name, server.name):
             await asyncio.sleep(_CONNECT_S)
             await self.point("refused")
             return outcomes.NotRun("connect", reached=False)
@@ -269,12 +295,12 @@
         try:
             async with asyncio.timeout(call.time_limit.total_seconds()):
                 outcome = await asyncio.shield(answer)
-            if self._grounds.is_cut(self._of.name, server.name):
+            if self._shared.is_cut(self._of.name, server.name):
                 outcome = outcomes.OutcomeUnknown("cut")
         except TimeoutError:
             outcome = outcomes.OutcomeUnknown("no answer in time")
         await self.point("answered")
-        if not self._grounds.safeguards.classes and isinstance(
+        if not self._shared.safeguards.distinguish_unknown and isinstance(
             outcome, outcomes.OutcomeUnknown
         ):
             return outcomes.NotRun(outcome.reason, reached=False)
@@ -285,29 +311,29 @@
     ) -> (
         outcomes.Response | results.Refusal | outcomes.NotRun | outcomes.OutcomeUnknown
     ):
-        """See `at_most_once.InstanceForwarder`."""
+        """Forward a call to another instance, as the product's client does."""
         await self.point("forward")
         target = next(
-            i for i in self._grounds.instances.values() if i.address == address
+            i for i in self._shared.instances.values() if i.address == address
         )
-        if not target.alive or self._grounds.is_cut(self._of.name, target.name):
+        if not target.alive or self._shared.is_cut(self._of.name, target.name):
             await asyncio.sleep(_CONNECT_S)
             return outcomes.NotRun("connect", reached=False)
-        passed_on = service_call.ServiceCall(
+        forwarded_call = service_call.ServiceCall(
             call.request_id,
             call.authorization or "",
             call.service,
             call.operation,
             call.body,
             call.content_type,
-            self._grounds.time.monotonic() + call.time_limit,
+            self._shared.time.monotonic() + call.time_limit,
             call.idempotency_key,
             call.authorization,
             forwarded=True,
         )
         try:
             async with asyncio.timeout(call.time_limit.total_seconds()):
-                outcome = await target.serve(passed_on)
+                outcome = await target.serve(forwarded_call)
         except TimeoutError:
             return outcomes.OutcomeUnknown("no answer in time")
         await self.point("forwarded")
@@ -317,7 +343,7 @@
 
 
 def document_of(servers: typing.Iterable[Server]) -> fleet.Configuration:
-    """Return a configuration with one service on the servers."""
+    """Return a configuration with one service that the servers offer."""
     document = schema.FleetDocument(
         fleet="proof",
         failure_domains=({"name": "north", "region": "region"},),
--- a/tests/support/route_world.py
+++ b/tests/support/route_world.py
@@ -1,4 +1,4 @@
-"""Instances that serve routes, a store and servers, over sockets in one process."""
+"""Gateway instances, an object store and backend servers in one process, on sockets."""
 
 import asyncio
 import dataclasses
@@ -17,15 +17,15 @@
 POLL_S = 0.01
 
 
-# Below the range from which the system takes ports for outgoing connections: one that
-# it gave out there was taken by a connection of another process before it was bound.
+# Below the ephemeral port range: a free port from that range could be taken by an
+# outgoing connection of another process before the test had bound it.
 FIRST_PORT = 10_000
 PORTS_OF_PROCESS = 100
 _ports = itertools.count()
 
 
 def free_port():
-    """Return a port that no other process of a test run is given."""
+    """Return a free port from a range that depends on this process's id."""
     first = FIRST_PORT + os.getpid() % 200 * PORTS_OF_PROCESS
     for _ in range(PORTS_OF_PROCESS):
         port = first + next(_ports) % PORTS_OF_PROCESS
@@ -39,7 +39,7 @@
 
 
 def route(name, service, kind, **fields):
-    """Return a route as the operator writes it."""
+    """Return a route in the format of the operator's configuration."""
     chosen = {
         "name": name,
         "host": "site.example",
@@ -58,7 +58,10 @@
 
 
 def configuration(version, routes, customers=None):
-    """Return a configuration as the operator writes it; no customers, no keys."""
+    """Return a configuration in the operator's format.
+
+    Without customers, requests need no API keys.
+    """
     engine = {
         "slots": 8,
         "kv_tokens": 100_000,
@@ -97,7 +100,10 @@
 
 
 class HeldClock(clock.SystemClock):
-    """Holds the sleep of a stopping instance, the only long one, until released."""
+    """Blocks sleeps of at least `LONG` until released.
+
+    The only one that long is the sleep of an instance that shuts down.
+    """
 
     LONG = datetime.timedelta(seconds=2)
 
@@ -118,26 +124,30 @@
 
 @dataclasses.dataclass
 class Reply:
-    """An answer as a client saw it; `whole` is False if it broke off."""
+    """A response as a client received it.
+
+    Attributes:
+        complete: False if the connection broke before the end of the body.
+    """
 
     status: int
     fields: dict
     body: bytes
-    whole: bool
+    complete: bool
 
     @property
-    def pieces(self):
+    def events(self):
         lines = self.body.decode().split("\n")
         return [line.split()[-1] for line in lines if line.startswith("data:")]
 
 
 class RouteWorld:
-    """Everything that a scenario starts."""
+    """Store, servers and instances that a scenario starts."""
 
     def __init__(self):
         self.platform = platform.Platform()
         self.control = None
-        self.also_served = []
+        self.extra_servers = []
         self.servers = {}
         self.instances = {}
         self.ports = {}
@@ -205,11 +215,11 @@
         self.instances[name] = (host, instance)
         if ready:
             await self.until_ready(name)
-            await self.until(lambda: follows(instance))
+            await self.until(lambda: receives_updates(instance))
         return instance
 
     async def until_ready(self, name):
-        await self.until_asked(lambda: self.ask_ready(name), 200)
+        await self.until_returns(lambda: self.ask_ready(name), 200)
 
     async def ask_ready(self, name):
         host, _ = self.instances[name]
@@ -220,7 +230,7 @@
         return int(line.split()[1]) if line else 0
 
     async def ask_metrics(self, name="one"):
-        """Return the metrics of an instance, by name with labels."""
+        """Return an instance's metric values by name with labels."""
         host, _ = self.instances[name]
         reader, writer = await asyncio.open_connection(host, self.metrics[name])
         writer.write(b"GET /metrics HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
@@ -235,9 +245,9 @@
         host, _ = self.instances[name]
         return await asyncio.open_connection(host, self.ports[name])
 
-    async def ask(self, place, request_id, *, name="one", body=b"", **fields):
+    async def ask(self, route_name, request_id, *, name="one", body=b"", **fields):
         reader, writer = await self.connect(name)
-        writer.write(request(place, request_id, body, **fields))
+        writer.write(request(route_name, request_id, body, **fields))
         try:
             async with asyncio.timeout(WAIT_S):
                 return await reply(reader)
@@ -251,9 +261,9 @@
             await asyncio.sleep(POLL_S)
         raise TimeoutError
 
-    async def until_asked(self, ask, wanted):
+    async def until_returns(self, ask, expected):
         for _ in range(round(WAIT_S / POLL_S)):
-            if await ask() == wanted:
+            if await ask() == expected:
                 return
             await asyncio.sleep(POLL_S)
         raise TimeoutError
@@ -263,33 +273,33 @@
             await instance.abort()
         for server in self.servers.values():
             await server.stop()
-        for served in self.also_served:
+        for served in self.extra_servers:
             await served.stop()
         await self.stop_store()
 
 
-def follows(instance):
-    """Tell whether an instance hears of changes, from the store or from readers."""
+def receives_updates(instance):
+    """Return whether an instance receives changes, from the store or from watchers."""
     return instance.fleet.watches_store or len(instance.peers.readers()) == 3
 
 
-def request(place, request_id, body=b"", **fields):
-    """Return the bytes of a client's request."""
-    lines = {"host": "site.example", "x-request-id": request_id}
-    lines |= {"x-deadline-ms": "6000", "content-length": str(len(body))}
-    if place in ("digest", "draft"):
-        lines |= {
+def request(route_name, request_id, body=b"", **fields):
+    """Return a client's HTTP request as bytes."""
+    headers = {"host": "site.example", "x-request-id": request_id}
+    headers |= {"x-deadline-ms": "6000", "content-length": str(len(body))}
+    if route_name in ("digest", "draft"):
+        headers |= {
             "x-model": "m",
             "x-token-counts": "1200,20",
             "x-prompt-prefix": f"aa:800,{request_id}:400",
         }
-    lines |= {name.replace("_", "-"): value for name, value in fields.items()}
-    head = "".join(f"{name}: {value}\r\n" for name, value in lines.items())
-    return f"POST /{place}/x HTTP/1.1\r\n{head}\r\n".encode() + body
+    headers |= {name.replace("_", "-"): value for name, value in fields.items()}
+    head = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
+    return f"POST /{route_name}/x HTTP/1.1\r\n{head}\r\n".encode() + body
 
 
 async def reply(reader):
-    """Read an answer, to its end or to where it broke off."""
+    """Read a response up to its end or up to where the connection broke."""
     status = int((await reader.readline()).split()[1])
     fields = {}
     while (line := (await reader.readline()).strip()) != b"":
