--- a/tests/features/steps/soak_steps.py
+++ b/tests/features/steps/soak_steps.py
@@ -10,7 +10,7 @@
 
 @behave.when("the soak plays seed {seed:d} for {seconds:d} seconds")
 def play(context, seed, seconds):
-    context.result = asyncio.run(soak.play(seed, float(seconds), MARGIN_S))
+    context.result = asyncio.run(soak.run_seed(seed, float(seconds), MARGIN_S))
 
 
 @behave.when(
@@ -18,7 +18,7 @@
     " with a request that ends servers"
 )
 def play_fatal(context, seed, seconds):
-    played = soak.play(seed, float(seconds), MARGIN_S, fatal=True)
+    played = soak.run_seed(seed, float(seconds), MARGIN_S, fatal=True)
     context.result = asyncio.run(played)
 
 
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -13,16 +13,22 @@
 import sys
 import time
 
-from tests.support import soak_checks, soak_clients, soak_faults, soak_world, unsafe
+from tests.support import (
+    safeguard_removal,
+    soak_checks,
+    soak_clients,
+    soak_faults,
+    soak_world,
+)
 
 GATEWAYS = 4
 CLIENTS = 12
-OFTEN_S = 0.4
+FAULT_INTERVAL_S = 0.4
 # Calm at the end: requests must be served again.
 SETTLE_S = 5.0
-CALM_S = 2.0
-SERVED_AGAIN = 0.9
-FAILED = pathlib.Path("build/soak")
+RECOVERY_CHECK_S = 2.0
+MIN_SERVED_SHARE = 0.9
+FAILURES_FOLDER = pathlib.Path("build/soak")
 
 
 @dataclasses.dataclass
@@ -36,20 +42,20 @@
     violations: list
 
 
-async def play(seed, seconds, margin_s, without=None, fatal=False):
+async def run_seed(seed, seconds, margin_s, disabled_safeguard=None, fatal=False):
     """Play one run and return what it showed.
 
     Args:
         seed: Draws the faults and what clients ask.
         seconds: How long faults come.
         margin_s: Added to bounds on time.
-        without: A safeguard to be switched off.
+        disabled_safeguard: A safeguard to be switched off.
         fatal: One client repeats a request that ends the servers which run it.
     """
-    world = _world(without)
+    world = _make_world(disabled_safeguard)
     clock = asyncio.get_running_loop().time
-    striker = soak_faults.Striker(world, clock)
-    faults = soak_faults.draw(seed, seconds, OFTEN_S)
+    injector = soak_faults.FaultInjector(world, clock)
+    faults = soak_faults.draw(seed, seconds, FAULT_INTERVAL_S)
     clients = [
         soak_clients.Client(world, number, seed * 1000 + number, clock)
         for number in range(CLIENTS)
@@ -60,64 +66,78 @@
         clients.append(soak_clients.FatalClient(world, CLIENTS, seed, clock))
     try:
         await world.start(GATEWAYS)
-        running = [asyncio.create_task(client.run(stop)) for client in clients]
+        tasks = [asyncio.create_task(client.run(stop)) for client in clients]
         if fatal:
-            running.append(asyncio.create_task(world.replace_ended(stop)))
-        await _strike(striker, faults, clients, clock)
+            tasks.append(asyncio.create_task(world.replace_crashed(stop)))
+        await _inject_faults(injector, faults, clients, clock)
         await asyncio.sleep(SETTLE_S)
-        calm_from = clock()
-        await asyncio.sleep(CALM_S)
+        recovered_at = clock()
+        await asyncio.sleep(RECOVERY_CHECK_S)
         stop.set()
-        await asyncio.gather(*running)
+        await asyncio.gather(*tasks)
         logs = world.logs()
     finally:
         await world.stop()
-    seen = [item for client in clients for item in client.seen]
-    servers = [*world.servers.values(), *world.gone]
-    striker.struck += [
-        soak_faults.Struck(soak_faults.SERVER_ENDS, "", s.crashed_at, s.crashed_at)
+    attempts = [attempt for client in clients for attempt in client.attempts]
+    servers = [*world.servers.values(), *world.removed_servers]
+    injector.injected += [
+        soak_faults.InjectedFault(
+            soak_faults.CRASHED_BY_REQUEST, "", s.crashed_at, s.crashed_at
+        )
         for s in servers
         if s.crashed
     ]
-    found = list(soak_checks.violations(seen, servers, striker, logs, margin_s))
-    found += soak_checks.fatal_requests(seen, servers, striker, margin_s)
-    calm = [
-        item
-        for item in seen
-        if item.sent >= calm_from and item.body != soak_clients.FATAL_BODY
+    violations = list(
+        soak_checks.violations(attempts, servers, injector, logs, margin_s)
+    )
+    violations += soak_checks.quarantine_violations(
+        attempts, servers, injector, margin_s
+    )
+    after_faults = [
+        attempt
+        for attempt in attempts
+        if attempt.sent_at >= recovered_at and attempt.body != soak_clients.FATAL_BODY
     ]
-    good = sum(item.status == 200 and item.whole for item in calm)
-    if not calm or good < SERVED_AGAIN * len(calm):
-        found.append(f"only {good} of {len(calm)} were served after the faults")
-    if found:
-        _keep(seed, without, found, logs)
-    served = sum(item.status == 200 and item.whole for item in seen)
-    return Result(seed, len(seen), served, len(striker.struck), found)
+    succeeded = sum(
+        attempt.status == 200 and attempt.complete for attempt in after_faults
+    )
+    if not after_faults or succeeded < MIN_SERVED_SHARE * len(after_faults):
+        violations.append(
+            f"only {succeeded} of {len(after_faults)} were served after the faults"
+        )
+    if violations:
+        _save_failure(seed, disabled_safeguard, violations, logs)
+    served = sum(attempt.status == 200 and attempt.complete for attempt in attempts)
+    return Result(seed, len(attempts), served, len(injector.injected), violations)
 
 
-def _world(without):
-    if without is None:
+def _make_world(disabled_safeguard):
+    if disabled_safeguard is None:
         return soak_world.SoakWorld()
-    return soak_world.SoakWorld("tests.support.unsafe", (without,))
+    return soak_world.SoakWorld(
+        "tests.support.safeguard_removal", (disabled_safeguard,)
+    )
 
 
-async def _strike(striker, faults, clients, clock):
+async def _inject_faults(injector, faults, clients, clock):
     """Carry the faults out, each at its time, and wait for the last one's end."""
-    began = clock()
+    started_at = clock()
     tasks = []
     for fault in faults:
-        await asyncio.sleep(max(0.0, began + fault.at - clock()))
-        tasks.append(asyncio.create_task(striker.strike(fault)))
+        await asyncio.sleep(max(0.0, started_at + fault.at - clock()))
+        tasks.append(asyncio.create_task(injector.inject(fault)))
         for client in clients:
-            client.places = [*soak_clients.PLACES, *striker.added]
+            client.routes = [*soak_clients.ROUTES, *injector.routes_added_at]
     await asyncio.gather(*tasks)
 
 
-def _keep(seed, without, found, logs):
-    folder = FAILED / f"seed-{seed}{'' if without is None else '-' + without}"
+def _save_failure(seed, disabled, violations, logs):
+    folder = (
+        FAILURES_FOLDER / f"seed-{seed}{'' if disabled is None else '-' + disabled}"
+    )
     shutil.rmtree(folder, ignore_errors=True)
     folder.mkdir(parents=True)
-    (folder / "violations.txt").write_text("\n".join(found), encoding="utf-8")
+    (folder / "violations.txt").write_text("\n".join(violations), encoding="utf-8")
     for name, text in logs.items():
         (folder / f"{name}.log").write_text(text, encoding="utf-8")
 
@@ -134,30 +154,32 @@
     parser.add_argument("--seconds", type=float, default=15.0)
     parser.add_argument("--margin", type=float, default=1.0)
     parser.add_argument("--fatal", action="store_true")
-    parser.add_argument("--without", choices=sorted(unsafe.SAFEGUARDS))
+    parser.add_argument("--without", choices=sorted(safeguard_removal.SAFEGUARDS))
     parser.add_argument("--list", action="store_true")
-    chosen = parser.parse_args()
-    if chosen.list:
-        print("\n".join(sorted(unsafe.SAFEGUARDS)))
+    options = parser.parse_args()
+    if options.list:
+        print("\n".join(sorted(safeguard_removal.SAFEGUARDS)))
         return 0
     # The store's stand-in is stopped with watches waiting, again and again.
     logging.getLogger("uvicorn.error").disabled = True
-    broken = 0
-    for seed in chosen.seeds:
-        began = time.monotonic()
-        played = play(seed, chosen.seconds, chosen.margin, chosen.without, chosen.fatal)
-        result = asyncio.run(played)
-        broken += bool(result.violations)
+    failed_runs = 0
+    for seed in options.seeds:
+        started_at = time.monotonic()
+        coroutine = run_seed(
+            seed, options.seconds, options.margin, options.without, options.fatal
+        )
+        result = asyncio.run(coroutine)
+        failed_runs += bool(result.violations)
         print(
             f"seed {seed}: {result.requests} requests, {result.served} served, "
             f"{result.faults} faults, {len(result.violations)} violations, "
-            f"{time.monotonic() - began:.0f} s",
+            f"{time.monotonic() - started_at:.0f} s",
             flush=True,
         )
         for line in result.violations[:5]:
             print("   ", line)
-    print(f"{len(chosen.seeds)} runs, {broken} with a broken promise")
-    return 1 if broken else 0
+    print(f"{len(options.seeds)} runs, {failed_runs} with a broken promise")
+    return 1 if failed_runs else 0
 
 
 if __name__ == "__main__":
--- a/tests/support/unsafe.py
+++ b/tests/support/safeguard_removal.py
@@ -1,6 +1,7 @@
 """Runs a gateway with one safeguard switched off, to see the soak notice it.
 
-`python -m tests.support.unsafe NAME` patches the safeguard away and runs the daemon.
+`python -m tests.support.safeguard_removal NAME` patches the safeguard away and
+runs the daemon.
 """
 
 import sys
@@ -21,47 +22,47 @@
 __all__ = ["SAFEGUARDS", "main"]
 
 
-def _repeat_everything():
+def _retry_unsafe_requests():
     """An unsafe request goes to a second server after a lost answer."""
     decode = configuration._route
 
-    def repeatable(fields):
+    def retryable(fields):
         kind = "safe" if fields["kind"] == "unsafe" else fields["kind"]
-        loose = {"kind": kind, "resumable": True, "max_attempts": 3}
-        return decode({**fields, **loose})
+        unchecked = {"kind": kind, "resumable": True, "max_attempts": 3}
+        return decode({**fields, **unchecked})
 
-    configuration._route = repeatable
+    configuration._route = retryable
 
 
-def _promise_not_run():
+def _refuse_unknown_as_not_run():
     """A request whose fate is not known is refused as not run."""
     refusals.outcome_unknown = lambda reason: refusals.no_server(reason)
     refusals.deadline_passed = refusals.not_run_in_time
 
 
-def _take_any_answer():
+def _accept_any_response():
     """The id in an answer is not compared with the request's."""
-    read = dispatch.http_headers.parse_response_headers
+    parse = dispatch.http_headers.parse_response_headers
 
-    def nameless(fields):
-        head = read(fields)
+    def without_request_id(fields):
+        head = parse(fields)
         object.__setattr__(head, "request_id", "")
         return head
 
-    dispatch.http_headers.parse_response_headers = nameless
+    dispatch.http_headers.parse_response_headers = without_request_id
 
 
-def _pass_every_event_on():
+def _forward_duplicate_events():
     """Events that the client has already are passed on again."""
-    numbered = sse.EventSplitter.feed
+    split = sse.EventSplitter.feed
 
     def feed(self, data):
-        return [sse.Event(None, event.data) for event in numbered(self, data)]
+        return [sse.Event(None, event.data) for event in split(self, data)]
 
     decode_client.sse.EventSplitter.feed = feed
 
 
-def _pass_half_events_on():
+def _forward_incomplete_events():
     """The half of an event that a crash left is passed on."""
 
     def feed(self, data):
@@ -70,17 +71,17 @@
     decode_client.sse.EventSplitter.feed = feed
 
 
-def _send_to_leaving():
+def _send_to_draining():
     """A server that leaves goes on getting requests."""
     decode = server_entries.decode
 
-    def staying(name, spec):
+    def always_ready(name, spec):
         return decode(name, {**spec, "state": "ready"})
 
-    server_entries.decode = staying
+    server_entries.decode = always_ready
 
 
-def _take_no_configuration():
+def _keep_first_configuration():
     """A newer configuration is not put in force."""
     configure = fleet_state.FleetState.configure
 
@@ -90,7 +91,7 @@
     fleet_state.FleetState.configure = first_only
 
 
-def _stop_at_once():
+def _stop_immediately():
     """SIGTERM ends the process without waiting for its requests."""
 
     async def stop(self):
@@ -99,27 +100,27 @@
     process.GatewayInstance.stop = stop
 
 
-def _trust_without_proof():
+def _accept_without_proof():
     """A success without the server's proof is passed on."""
     plain_forwarder._genuine = lambda whole: True
 
 
-def _forget_ended_servers():
+def _never_quarantine():
     """A request that has ended servers is taken for a new one."""
-    quarantine.Quarantine.verdict = lambda self, asked: None
+    quarantine.Quarantine.verdict = lambda self, request: None
 
 
 SAFEGUARDS = {
-    "one run of what may not be repeated": _repeat_everything,
-    "truth of not run": _promise_not_run,
-    "answers matched to requests": _take_any_answer,
-    "no event twice": _pass_every_event_on,
-    "whole events only": _pass_half_events_on,
-    "nothing to leaving servers": _send_to_leaving,
-    "new configurations": _take_no_configuration,
-    "graceful stop": _stop_at_once,
-    "quarantine of fatal requests": _forget_ended_servers,
-    "proof of origin": _trust_without_proof,
+    "one run of what may not be repeated": _retry_unsafe_requests,
+    "truth of not run": _refuse_unknown_as_not_run,
+    "answers matched to requests": _accept_any_response,
+    "no event twice": _forward_duplicate_events,
+    "whole events only": _forward_incomplete_events,
+    "nothing to leaving servers": _send_to_draining,
+    "new configurations": _keep_first_configuration,
+    "graceful stop": _stop_immediately,
+    "quarantine of fatal requests": _never_quarantine,
+    "proof of origin": _accept_without_proof,
 }
 
 
--- a/tests/support/soak_checks.py
+++ b/tests/support/soak_checks.py
@@ -4,18 +4,18 @@
 
 from tests.support import soak_clients, soak_faults
 
-PROMISES = frozenset({408, 421, 429, 503})
-WHOLE = [str(number) for number in range(1, 7)]
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
+ALL_EVENT_IDS = [str(number) for number in range(1, 7)]
 NOT_REPEATABLE = ("draft", "print")
 # Bounds that the operator sets on the two sites, with room for a busy machine.
-DRAIN_S = 2.0
-CONFIGURED_S = 2.0
-IN_TOUCH_S = 3.0
+MAX_DRAIN_DELAY_S = 2.0
+MAX_CONFIGURE_DELAY_S = 2.0
+CATCH_UP_S = 3.0
 # A request that has ended so many servers may be sent so many times more.
-MOST_ENDED = 3
-MOST_RETRIES = 3
+MAX_CRASHES = 3
+MAX_LATE_DISPATCHES = 3
 # Faults that keep a gateway from hearing of a change, and those that may cut an answer.
-OUT_OF_TOUCH = frozenset(
+DELAYS_UPDATES = frozenset(
     {
         "kill",
         "term",
@@ -26,153 +26,184 @@
         "store forgets",
     }
 )
-CUTTING = frozenset({*soak_faults.KINDS, soak_faults.SERVER_ENDS}) - {
+ABORTS_RESPONSES = frozenset({*soak_faults.KINDS, soak_faults.CRASHED_BY_REQUEST}) - {
     *soak_faults.PLANNED,
     "store forgets",
 }
 # Lines that tell of a fault of ours.
-OWN_FAULTS = re.compile(r'"(request failed|task failed[^"]*)"|Traceback')
+ERROR_LINES = re.compile(r'"(request failed|task failed[^"]*)"|Traceback')
 
 
-def violations(seen, servers, striker, logs, margin_s):
+def violations(attempts, servers, injector, logs, margin_s):
     """Yield one line for each promise that was broken."""
-    runs = _runs(servers)
-    for item in seen:
-        yield from _ran_as_promised(item, runs.get(item.request_id, ()))
-        yield from _own_answer(item)
-    yield from _drained(seen, servers, striker, margin_s)
-    yield from _configured(seen, striker, margin_s)
-    yield from _planned_stops(seen, striker)
+    runs = _runs_by_request(servers)
+    for attempt in attempts:
+        yield from _run_violations(attempt, runs.get(attempt.request_id, ()))
+        yield from _response_violations(attempt)
+    yield from _drain_violations(attempts, servers, injector, margin_s)
+    yield from _route_violations(attempts, injector, margin_s)
+    yield from _stop_violations(attempts, injector)
     for name, log in logs.items():
         for line in log.splitlines():
-            if OWN_FAULTS.search(line):
+            if ERROR_LINES.search(line):
                 yield f"{name} logged a fault of its own: {line[:300]}"
 
 
-def fatal_requests(seen, servers, striker, margin_s):
+def quarantine_violations(attempts, servers, injector, margin_s):
     """Return whether a request that ended three servers went on being sent."""
-    ends = sorted(server.crashed_at for server in servers if server.crashed)
-    if len(ends) < MOST_ENDED:
+    crash_times = sorted(server.crashed_at for server in servers if server.crashed)
+    if len(crash_times) < MAX_CRASHES:
         return []
-    known_at = ends[MOST_ENDED - 1] + IN_TOUCH_S + margin_s
-    senders = {
-        item.request_id: item
-        for item in seen
-        if item.body == soak_clients.FATAL_BODY and item.sent > known_at
+    quarantined_at = crash_times[MAX_CRASHES - 1] + CATCH_UP_S + margin_s
+    sent_after = {
+        attempt.request_id: attempt
+        for attempt in attempts
+        if attempt.body == soak_clients.FATAL_BODY and attempt.sent_at > quarantined_at
     }
-    sent_on = {
-        item.fields.get("x-request-id", "")
+    dispatched_ids = {
+        request.fields.get("x-request-id", "")
         for server in servers
-        for item in server.received
+        for request in server.received
     }
     late = [
-        item
-        for request_id, item in senders.items()
-        if request_id in sent_on
-        and not _disturbed(
-            striker.struck, item.sent, item.until, item.gateway, OUT_OF_TOUCH
+        attempt
+        for request_id, attempt in sent_after.items()
+        if request_id in dispatched_ids
+        and not _affected(
+            injector.injected,
+            attempt.sent_at,
+            attempt.ended_at,
+            attempt.gateway,
+            DELAYS_UPDATES,
         )
     ]
-    if len(late) <= MOST_RETRIES:
+    if len(late) <= MAX_LATE_DISPATCHES:
         return []
-    return [f"a request that ended {len(ends)} servers was sent {len(late)} times more"]
+    return [
+        f"a request that ended {len(crash_times)} servers "
+        f"was sent {len(late)} times more"
+    ]
 
 
-def _runs(servers):
+def _runs_by_request(servers):
     """Return which servers ran each request, once for each run."""
     runs = {}
     for server in servers:
-        for item in server.received:
-            if item.kind == "run":
-                request_id = item.fields.get("x-request-id", "")
+        for request in server.received:
+            if request.kind == "run":
+                request_id = request.fields.get("x-request-id", "")
                 runs.setdefault(request_id, []).append(server.server_id)
     return runs
 
 
-def _ran_as_promised(item, ran):
-    if item.place in NOT_REPEATABLE and len(ran) > 1:
-        yield f"{item.request_id} ({item.place}) ran {len(ran)} times: {ran}"
-    if item.status in PROMISES and item.whole and ran:
-        yield f"{item.request_id} was told {item.status} and ran: {ran}"
+def _run_violations(attempt, ran):
+    if attempt.route in NOT_REPEATABLE and len(ran) > 1:
+        yield f"{attempt.request_id} ({attempt.route}) ran {len(ran)} times: {ran}"
+    if attempt.status in NOT_RUN_STATUSES and attempt.complete and ran:
+        yield f"{attempt.request_id} was told {attempt.status} and ran: {ran}"
 
 
-def _own_answer(item):
+def _response_violations(attempt):
     """Check that a success is the whole answer to this request, and only that."""
-    if not 200 <= item.status < 300:
+    if not 200 <= attempt.status < 300:
         return
-    if "x-response-seal" not in item.fields:
-        yield f"{item.request_id} got a success without a proof"
-    if item.place in soak_clients.STREAMS:
-        text = item.answer.decode(errors="replace")
-        numbers = re.findall(r"^id: (\d+)$", text, re.MULTILINE)
-        expected = WHOLE if item.whole else WHOLE[: len(numbers)]
-        if numbers != expected:
-            yield f"{item.request_id} got events {numbers}, whole: {item.whole}"
-    elif item.whole and item.answer != b"answer of " + item.body:
-        yield f"{item.request_id} got {item.answer[:60]!r}"
-
-
-def _disturbed(struck, begin, end, gateway, kinds):
+    if "x-response-seal" not in attempt.headers:
+        yield f"{attempt.request_id} got a success without a proof"
+    if attempt.route in soak_clients.STREAMS:
+        text = attempt.response_body.decode(errors="replace")
+        event_ids = re.findall(r"^id: (\d+)$", text, re.MULTILINE)
+        expected = (
+            ALL_EVENT_IDS if attempt.complete else ALL_EVENT_IDS[: len(event_ids)]
+        )
+        if event_ids != expected:
+            yield (
+                f"{attempt.request_id} got events {event_ids}, "
+                f"complete: {attempt.complete}"
+            )
+    elif attempt.complete and attempt.response_body != b"answer of " + attempt.body:
+        yield f"{attempt.request_id} got {attempt.response_body[:60]!r}"
+
+
+def _affected(injected, begin, end, gateway, kinds):
     """Tell whether a fault of some kinds touches a span, at one gateway or for all."""
     return any(
         fault.begin <= end
-        and fault.end >= begin - IN_TOUCH_S
+        and fault.end >= begin - CATCH_UP_S
         and fault.kind in kinds
         and fault.gateway in ("", gateway)
-        for fault in struck
+        for fault in injected
     )
 
 
-def _drained(seen, servers, striker, margin_s):
-    senders = {item.request_id: item.gateway for item in seen}
+def _drain_violations(attempts, servers, injector, margin_s):
+    senders = {attempt.request_id: attempt.gateway for attempt in attempts}
     for server in servers:
-        told = striker.drained.get(server.server_id)
-        if told is None:
+        started_at = injector.drains_started_at.get(server.server_id)
+        if started_at is None:
             continue
-        for item, at in zip(server.received, server.arrival_times, strict=True):
-            late = at - told - DRAIN_S - margin_s
-            gateway = senders.get(item.fields.get("x-request-id", ""))
+        for request, at in zip(server.received, server.arrival_times, strict=True):
+            late = at - started_at - MAX_DRAIN_DELAY_S - margin_s
+            gateway = senders.get(request.fields.get("x-request-id", ""))
             if late <= 0 or gateway is None:
                 continue
-            if not _disturbed(striker.struck, told, at, gateway, OUT_OF_TOUCH):
+            if not _affected(
+                injector.injected, started_at, at, gateway, DELAYS_UPDATES
+            ):
                 yield (
-                    f"{server.server_id} got {item.kind} {late:.2f} s too late from "
+                    f"{server.server_id} got {request.kind} {late:.2f} s too late from "
                     f"{gateway} after it began to leave"
                 )
 
 
-def _configured(seen, striker, margin_s):
+def _route_violations(attempts, injector, margin_s):
     """Check that a new route is served soon, and ever after by the same process."""
     served = {}
-    for item in sorted(seen, key=lambda item: item.until):
-        told = striker.added.get(item.place)
-        if told is None:
+    for attempt in sorted(attempts, key=lambda attempt: attempt.ended_at):
+        added_at = injector.routes_added_at.get(attempt.route)
+        if added_at is None:
             continue
-        known = served.get((item.gateway, item.life, item.place))
-        if item.status == 404:
-            if known is not None and known < item.sent:
-                yield f"{item.gateway} served {item.place} and then did not know it"
-            late = item.sent - told - CONFIGURED_S - margin_s
-            if late > 0 and not _disturbed(
-                striker.struck, told, item.until, item.gateway, OUT_OF_TOUCH
+        first_served_at = served.get(
+            (attempt.gateway, attempt.incarnation, attempt.route)
+        )
+        if attempt.status == 404:
+            if first_served_at is not None and first_served_at < attempt.sent_at:
+                yield (
+                    f"{attempt.gateway} served {attempt.route} and then did not know it"
+                )
+            late = attempt.sent_at - added_at - MAX_CONFIGURE_DELAY_S - margin_s
+            if late > 0 and not _affected(
+                injector.injected,
+                added_at,
+                attempt.ended_at,
+                attempt.gateway,
+                DELAYS_UPDATES,
             ):
-                yield f"{item.gateway} did not know {item.place} {late:.2f} s too long"
-        elif item.status == 200 and known is None:
-            served[item.gateway, item.life, item.place] = item.until
+                yield (
+                    f"{attempt.gateway} did not know {attempt.route} "
+                    f"{late:.2f} s too long"
+                )
+        elif attempt.status == 200 and first_served_at is None:
+            served[attempt.gateway, attempt.incarnation, attempt.route] = (
+                attempt.ended_at
+            )
 
 
-def _planned_stops(seen, striker):
+def _stop_violations(attempts, injector):
     """Check that a stop cuts no request that no unplanned fault touched."""
-    for stop in striker.struck:
+    for stop in injector.injected:
         if stop.kind != "term":
             continue
-        for item in seen:
-            if item.gateway != stop.gateway or item.whole:
+        for attempt in attempts:
+            if attempt.gateway != stop.gateway or attempt.complete:
                 continue
-            if not stop.begin - 1 <= item.sent <= stop.end or item.status == 0:
+            if not stop.begin - 1 <= attempt.sent_at <= stop.end or attempt.status == 0:
                 # A request that crosses the close was not read.
                 continue
-            if not _disturbed(
-                striker.struck, item.sent, item.until, stop.gateway, CUTTING
+            if not _affected(
+                injector.injected,
+                attempt.sent_at,
+                attempt.ended_at,
+                stop.gateway,
+                ABORTS_RESPONSES,
             ):
-                yield f"{item.request_id} was cut while {stop.gateway} stopped"
+                yield f"{attempt.request_id} was cut while {stop.gateway} stopped"
--- a/tests/support/soak_clients.py
+++ b/tests/support/soak_clients.py
@@ -10,16 +10,16 @@
 DEADLINE_S = 6.0
 PAUSE_S = 0.05
 # A connection is used until it ends, as clients of the balancer do.
-NO_ANSWER = 0
+NO_RESPONSE = 0
 STREAMS = ("digest", "draft")
 # A request with this body ends each server that runs it.
 FATAL_BODY = b"fatal"
 FATAL_PAUSE_S = (0.3, 1.5)
-PLACES = ("digest", "digest", "draft", "print", "notify")
+ROUTES = ("digest", "digest", "draft", "print", "notify")
 
 
 @dataclasses.dataclass
-class Seen:
+class Attempt:
     """One attempt of a client.
 
     Attributes:
@@ -30,16 +30,16 @@
     """
 
     request_id: str
-    place: str
+    route: str
     gateway: str
-    life: int
-    sent: float
+    incarnation: int
+    sent_at: float
     body: bytes
-    status: int = NO_ANSWER
-    whole: bool = False
-    answer: bytes = b""
-    fields: dict = dataclasses.field(default_factory=dict)
-    until: float = 0.0
+    status: int = NO_RESPONSE
+    complete: bool = False
+    response_body: bytes = b""
+    headers: dict = dataclasses.field(default_factory=dict)
+    ended_at: float = 0.0
 
 
 class Client:
@@ -48,77 +48,81 @@
     def __init__(self, world, number, seed, clock):
         self._world = world
         self._number = number
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._clock = clock
-        self._link = None
+        self._connection = None
         self._gateway = None
-        self.seen = []
-        self.places = list(PLACES)
+        self.attempts = []
+        self.routes = list(ROUTES)
 
     async def run(self, stop):
         """Ask again and again until told to stop."""
         for count in range(1_000_000):
             if stop.is_set():
                 break
-            place = self._chance.choice(self.places)
+            route = self._rng.choice(self.routes)
             request_id = (
-                f"{self._number:02x}{count:06x}{self._chance.getrandbits(32):08x}"
+                f"{self._number:02x}{count:06x}{self._rng.getrandbits(32):08x}"
             )
-            await self.ask(place, request_id)
-            await asyncio.sleep(PAUSE_S * self._chance.random())
-        if self._link is not None:
-            self._link[1].close()
+            await self.send(route, request_id)
+            await asyncio.sleep(PAUSE_S * self._rng.random())
+        if self._connection is not None:
+            self._connection[1].close()
 
-    async def ask(self, place, request_id):
+    async def send(self, route, request_id):
         """Send one request and note what came."""
-        if self._link is None and not await self._connect():
+        if self._connection is None and not await self._connect():
             await asyncio.sleep(4 * PAUSE_S)
             return
         gateway = self._world.gateways[self._gateway]
         body = self._body(request_id)
-        seen = Seen(request_id, place, gateway.name, gateway.lives, self._clock(), body)
-        self.seen.append(seen)
-        reader, writer = self._link
-        keep = False
+        attempt = Attempt(
+            request_id, route, gateway.name, gateway.incarnation, self._clock(), body
+        )
+        self.attempts.append(attempt)
+        reader, writer = self._connection
+        reusable = False
         try:
             async with asyncio.timeout(DEADLINE_S + 1):
-                writer.write(route_world.request(place, request_id, body))
-                keep = await self._read(reader, seen)
+                writer.write(route_world.request(route, request_id, body))
+                reusable = await self._read_response(reader, attempt)
         except (OSError, TimeoutError, ValueError, IndexError):
             pass
         except asyncio.IncompleteReadError as error:
-            seen.answer += error.partial
-        seen.until = self._clock()
-        if not keep:
+            attempt.response_body += error.partial
+        attempt.ended_at = self._clock()
+        if not reusable:
             writer.transport.abort()
-            self._link = None
+            self._connection = None
 
     def _body(self, request_id):
         return request_id.encode()
 
-    async def _read(self, reader, seen):
+    async def _read_response(self, reader, attempt):
         """Read an answer as it comes; True if the connection may be used again."""
-        seen.status = int((await reader.readline()).split()[1])
+        attempt.status = int((await reader.readline()).split()[1])
         while (line := (await reader.readline()).strip()) != b"":
             name, _, value = line.decode().partition(":")
-            seen.fields[name.lower()] = value.strip()
-        if "content-length" in seen.fields:
-            length = int(seen.fields["content-length"])
-            seen.answer = await reader.readexactly(length)
+            attempt.headers[name.lower()] = value.strip()
+        if "content-length" in attempt.headers:
+            length = int(attempt.headers["content-length"])
+            attempt.response_body = await reader.readexactly(length)
         else:
             while size := int(await reader.readline(), 16):
-                seen.answer += await reader.readexactly(size)
+                attempt.response_body += await reader.readexactly(size)
                 await reader.readline()
             await reader.readline()
-        seen.whole = True
-        return seen.fields.get("connection", "").lower() != "close"
+        attempt.complete = True
+        return attempt.headers.get("connection", "").lower() != "close"
 
     async def _connect(self):
-        self._gateway = self._chance.choice(sorted(self._world.gateways))
+        self._gateway = self._rng.choice(sorted(self._world.gateways))
         host = self._world.gateways[self._gateway].host
         try:
             async with asyncio.timeout(1.0):
-                self._link = await asyncio.open_connection(host, soak_world.RELAY_PORT)
+                self._connection = await asyncio.open_connection(
+                    host, soak_world.RELAY_PORT
+                )
         except (OSError, TimeoutError):
             return False
         return True
@@ -129,15 +133,15 @@
 
     async def run(self, stop):
         """Ask for the same again and again until told to stop."""
-        place = self._chance.choice(PLACES)
+        route = self._rng.choice(ROUTES)
         for count in range(1_000_000):
             if stop.is_set():
                 break
-            await self.ask(place, f"fatal{count:06x}")
-            if self._link is not None:
-                self._link[1].close()
-                self._link = None
-            await asyncio.sleep(self._chance.uniform(*FATAL_PAUSE_S))
+            await self.send(route, f"fatal{count:06x}")
+            if self._connection is not None:
+                self._connection[1].close()
+                self._connection = None
+            await asyncio.sleep(self._rng.uniform(*FATAL_PAUSE_S))
 
     def _body(self, request_id):
         return FATAL_BODY
--- a/tests/support/soak_faults.py
+++ b/tests/support/soak_faults.py
@@ -24,14 +24,14 @@
     "from the start",
 )
 # What a request does that ends the servers which run it.
-SERVER_ENDS = "server ends"
+CRASHED_BY_REQUEST = "server ends"
 # Planned work; a gateway that meets nothing else cuts no request.
 PLANNED = frozenset({"term", "drain", "configure", "hup"})
 # Requests of one server that go wrong one after the other.
-FAULTS_IN_A_ROW = 12
+CONSECUTIVE_FAULTS = 12
 # Long enough for a request that comes too late to be seen.
-DRAIN_TO_END_S = 5.0
-LONGEST_S = 3.0
+REMOVAL_DELAY_S = 5.0
+MAX_DURATION_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -40,12 +40,12 @@
 
     at: float
     kind: str
-    share: float
-    span: float
+    selector: float
+    duration_s: float
 
 
 @dataclasses.dataclass
-class Struck:
+class InjectedFault:
     """What a fault did; `gateway` is empty if it concerns all of them."""
 
     kind: str
@@ -82,78 +82,78 @@
 )
 
 
-def draw(seed, seconds, often_s):
+def draw(seed, seconds, interval_s):
     """Return the faults of a run."""
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     faults = []
     at = 0.5
     while at < seconds:
-        kind = chance.choice(KINDS)
-        faults.append(Fault(at, kind, chance.random(), chance.uniform(0.3, LONGEST_S)))
+        kind = rng.choice(KINDS)
+        faults.append(Fault(at, kind, rng.random(), rng.uniform(0.3, MAX_DURATION_S)))
         # Now and then two at one moment.
-        at += chance.choice((0.0, 1.0, 1.0, 1.0)) * chance.uniform(0.2, 2 * often_s)
+        at += rng.choice((0.0, 1.0, 1.0, 1.0)) * rng.uniform(0.2, 2 * interval_s)
     return faults
 
 
-class Striker:
+class FaultInjector:
     """Carries faults out and notes what they struck."""
 
     def __init__(self, world, clock):
         self._world = world
         self._clock = clock
-        self.struck = []
-        self.drained = {}
-        self.added = {}
+        self.injected = []
+        self.drains_started_at = {}
+        self.routes_added_at = {}
 
-    async def strike(self, fault):
+    async def inject(self, fault):
         """Carry one fault out, to its end."""
         method = getattr(self, "_" + fault.kind.replace(" ", "_"))
-        struck = Struck(fault.kind, "", self._clock(), float("inf"))
-        self.struck.append(struck)
+        injected = InjectedFault(fault.kind, "", self._clock(), float("inf"))
+        self.injected.append(injected)
         try:
-            await method(fault, struck)
+            await method(fault, injected)
         finally:
-            struck.end = self._clock()
+            injected.end = self._clock()
 
-    def _gateway(self, fault, struck):
+    def _gateway(self, fault, injected):
         names = sorted(self._world.gateways)
-        gateway = self._world.gateways[names[int(fault.share * len(names))]]
-        struck.gateway = gateway.name
+        gateway = self._world.gateways[names[int(fault.selector * len(names))]]
+        injected.gateway = gateway.name
         return gateway
 
     def _server(self, fault):
         names = sorted(n for n, s in self._world.servers.items() if s.state == "ready")
-        return self._world.servers[names[int(fault.share * len(names))]]
+        return self._world.servers[names[int(fault.selector * len(names))]]
 
-    async def _kill(self, fault, struck):
-        gateway = self._gateway(fault, struck)
+    async def _kill(self, fault, injected):
+        gateway = self._gateway(fault, injected)
         if gateway.running:
             gateway.popen.kill()
-        await self._back(gateway, fault)
+        await self._restart(gateway, fault)
 
-    async def _term(self, fault, struck):
-        gateway = self._gateway(fault, struck)
+    async def _term(self, fault, injected):
+        gateway = self._gateway(fault, injected)
         if gateway.running:
             gateway.popen.send_signal(signal.SIGTERM)
-        await self._back(gateway, fault)
+        await self._restart(gateway, fault)
 
-    async def _back(self, gateway, fault):
-        life = gateway.lives
-        await self._world.until(lambda: not gateway.running)
-        await asyncio.sleep(fault.span / 3)
-        if gateway.lives == life:
+    async def _restart(self, gateway, fault):
+        incarnation = gateway.incarnation
+        await self._world.wait_until(lambda: not gateway.running)
+        await asyncio.sleep(fault.duration_s / 3)
+        if gateway.incarnation == incarnation:
             self._world.restart(gateway.name)
-        await self._world.until_ready(gateway.name)
+        await self._world.wait_until_ready(gateway.name)
 
-    async def _pause(self, fault, struck):
-        gateway = self._gateway(fault, struck)
+    async def _pause(self, fault, injected):
+        gateway = self._gateway(fault, injected)
         if gateway.running:
             gateway.popen.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(fault.span)
+            await asyncio.sleep(fault.duration_s)
             gateway.popen.send_signal(signal.SIGCONT)
 
-    async def _hup(self, fault, struck):
-        gateway = self._gateway(fault, struck)
+    async def _hup(self, fault, injected):
+        gateway = self._gateway(fault, injected)
         # A process that has not yet set its handlers would end.
         if gateway.running and await self._world.is_ready(gateway.name):
             gateway.popen.send_signal(signal.SIGHUP)
@@ -161,85 +161,85 @@
     async def _cut(self, name, fault, *directions):
         for direction in directions:
             self._world.relays.cut(name, direction)
-        await asyncio.sleep(fault.span)
+        await asyncio.sleep(fault.duration_s)
         self._world.relays.heal(name)
 
-    async def _store_cut(self, fault, struck):
-        name = f"store of {self._gateway(fault, struck).name}"
+    async def _store_cut(self, fault, injected):
+        name = f"store of {self._gateway(fault, injected).name}"
         await self._cut(name, fault, relay.TO_SERVER, relay.TO_CLIENT)
 
-    async def _store_cut_one_way(self, fault, struck):
-        name = f"store of {self._gateway(fault, struck).name}"
+    async def _store_cut_one_way(self, fault, injected):
+        name = f"store of {self._gateway(fault, injected).name}"
         await self._cut(name, fault, relay.TO_CLIENT)
 
-    async def _store_down(self, fault, struck):
+    async def _store_down(self, fault, injected):
         store = self._world.store
         if store.stands:
             await store.stop()
-            await asyncio.sleep(fault.span)
+            await asyncio.sleep(fault.duration_s)
             await store.start()
 
-    async def _store_forgets(self, fault, struck):
+    async def _store_forgets(self, fault, injected):
         self._world.platform.table.compact_history()
 
-    async def _server_cut(self, fault, struck):
+    async def _server_cut(self, fault, injected):
         name = self._server(fault).server_id
         await self._cut(name, fault, relay.TO_SERVER, relay.TO_CLIENT)
 
-    async def _server_cut_one_way(self, fault, struck):
+    async def _server_cut_one_way(self, fault, injected):
         await self._cut(self._server(fault).server_id, fault, relay.TO_SERVER)
 
-    async def _server_delayed(self, fault, struck):
+    async def _server_delayed(self, fault, injected):
         name = self._server(fault).server_id
         self._world.relays.delay(name, 0.1)
-        await asyncio.sleep(fault.span)
+        await asyncio.sleep(fault.duration_s)
         self._world.relays.heal(name)
 
-    async def _server_reset(self, fault, struck):
+    async def _server_reset(self, fault, injected):
         self._world.relays.reset(self._server(fault).server_id)
 
-    async def _server_crash(self, fault, struck):
+    async def _server_crash(self, fault, injected):
         server = self._server(fault)
-        if self._spare(server):
+        if self._has_alternative(server):
             await self._world.remove_server(server.server_id)
             await self._world.add_server(server.service, server.stage)
 
-    async def _server_misbehaves(self, fault, struck):
+    async def _server_misbehaves(self, fault, injected):
         server = self._server(fault)
-        chance = random.Random(fault.share)
-        server.faults.extend(chance.choices(SERVER_FAULTS, k=FAULTS_IN_A_ROW))
+        rng = random.Random(fault.selector)
+        server.faults.extend(rng.choices(SERVER_FAULTS, k=CONSECUTIVE_FAULTS))
 
-    async def _drain(self, fault, struck):
+    async def _drain(self, fault, injected):
         server = self._server(fault)
-        if not self._spare(server):
+        if not self._has_alternative(server):
             return
         server.state = "draining"
         await self._world.list_server(server.server_id)
-        self.drained[server.server_id] = self._clock()
+        self.drains_started_at[server.server_id] = self._clock()
         await self._world.add_server(server.service, server.stage)
-        await asyncio.sleep(DRAIN_TO_END_S)
+        await asyncio.sleep(REMOVAL_DELAY_S)
         await self._world.remove_server(server.server_id)
 
-    async def _configure(self, fault, struck):
+    async def _configure(self, fault, injected):
         name = f"added{self._world.version}"
         await self._world.configure(route_world.route(name, "app", "safe"))
-        self.added[name] = self._clock()
+        self.routes_added_at[name] = self._clock()
 
-    async def _clients_reset(self, fault, struck):
-        self._world.relays.reset(f"clients of {self._gateway(fault, struck).name}")
+    async def _clients_reset(self, fault, injected):
+        self._world.relays.reset(f"clients of {self._gateway(fault, injected).name}")
 
-    async def _clients_delayed(self, fault, struck):
-        name = f"clients of {self._gateway(fault, struck).name}"
+    async def _clients_delayed(self, fault, injected):
+        name = f"clients of {self._gateway(fault, injected).name}"
         self._world.relays.delay(name, 0.2)
-        await asyncio.sleep(fault.span)
+        await asyncio.sleep(fault.duration_s)
         self._world.relays.heal(name)
 
-    def _spare(self, server):
+    def _has_alternative(self, server):
         """Tell whether another server of its kind remains."""
-        alike = [
+        same_kind = [
             other
             for other in self._world.servers.values()
             if (other.service, other.stage) == (server.service, server.stage)
             and other.state == "ready"
         ]
-        return len(alike) > 1
+        return len(same_kind) > 1
--- a/tests/support/soak_world.py
+++ b/tests/support/soak_world.py
@@ -25,9 +25,9 @@
 RELAY_PORT = 8090
 STORE_PORT = 9000
 SERVER_PORT = 9100
-START_LIMIT_S = 30.0
+START_TIMEOUT_S = 30.0
 POLL_S = 0.05
-REPLACED_AFTER_S = 1.0
+REPLACE_DELAY_S = 1.0
 
 
 @dataclasses.dataclass
@@ -39,7 +39,7 @@
     settings: pathlib.Path
     log: pathlib.Path
     popen: subprocess.Popen
-    lives: int = 1
+    incarnation: int = 1
 
     @property
     def running(self):
@@ -63,7 +63,7 @@
         self.platform = platform.Platform()
         self.gateways = {}
         self.servers = {}
-        self.gone = []
+        self.removed_servers = []
         self.fatal_body = None
         self.version = 0
         self.routes = list(route_world.ROUTES)
@@ -72,14 +72,16 @@
             self.platform, self._store_host, STORE_PORT
         )
 
-    async def start(self, gateways, writers=3, readers=2, plain=3):
+    async def start(
+        self, gateways, decode_engines=3, prefill_engines=2, plain_servers=3
+    ):
         """Start the store, the servers and the gateways, and wait until all serve."""
         await self.store.start()
         await self.configure()
         for service, stage, count in (
-            ("lm", "prefill", readers),
-            ("lm", "decode", writers),
-            ("app", None, plain),
+            ("lm", "prefill", prefill_engines),
+            ("lm", "decode", decode_engines),
+            ("app", None, plain_servers),
         ):
             for _ in range(count):
                 await self.add_server(service, stage)
@@ -89,13 +91,13 @@
         for name, host in hosts.items():
             self._add_gateway(name, host, seeds)
         for name in names:
-            await self.until_ready(name)
+            await self.wait_until_ready(name)
 
-    async def configure(self, added=None):
+    async def configure(self, new_route=None):
         """Write a new version, with one more route if there is one to add."""
         self.version += 1
-        if added is not None:
-            self.routes.append(added)
+        if new_route is not None:
+            self.routes.append(new_route)
         spec = route_world.configuration(self.version, self.routes)
         await self.store.write("config", "main", spec)
 
@@ -105,9 +107,9 @@
         server = route_server.RouteServer(name, service, "here", stage)
         server.fatal_body = self.fatal_body
         await server.start()
-        front = (self._network.address(), SERVER_PORT)
-        self.relays.start(name, front, ("127.0.0.1", server.port))
-        server.advertised_address = f"{front[0]}:{front[1]}"
+        listener = (self._network.address(), SERVER_PORT)
+        self.relays.start(name, listener, ("127.0.0.1", server.port))
+        server.advertised_address = f"{listener[0]}:{listener[1]}"
         self.servers[name] = server
         await self.list_server(name)
         return server
@@ -124,15 +126,15 @@
         server = self.servers.pop(name, None)
         if server is None:
             return
-        self.gone.append(server)
+        self.removed_servers.append(server)
         await server.stop()
         current = self.platform.table.get("servers", name)
         await self.platform.table.delete("servers", name, current.version)
 
-    async def replace_ended(self, stop):
+    async def replace_crashed(self, stop):
         """Have new servers in place of those that a request has ended."""
         while not stop.is_set():
-            await asyncio.sleep(REPLACED_AFTER_S)
+            await asyncio.sleep(REPLACE_DELAY_S)
             for server in [s for s in self.servers.values() if s.crashed]:
                 await self.add_server(server.service, server.stage)
                 await self.remove_server(server.server_id)
@@ -140,12 +142,12 @@
     def restart(self, name):
         """Start a gateway again; its old process must have ended."""
         gateway = self.gateways[name]
-        gateway.lives += 1
+        gateway.incarnation += 1
         gateway.popen = self._spawn(gateway.settings, gateway.log)
 
-    async def until_ready(self, name):
+    async def wait_until_ready(self, name):
         """Wait until a gateway tells the balancer that it is ready."""
-        for _ in range(round(START_LIMIT_S / POLL_S)):
+        for _ in range(round(START_TIMEOUT_S / POLL_S)):
             if await self.is_ready(name):
                 return
             await asyncio.sleep(POLL_S)
@@ -165,9 +167,9 @@
             return False
         return b" 200 " in line
 
-    async def until(self, condition):
+    async def wait_until(self, condition):
         """Wait until something holds."""
-        for _ in range(round(START_LIMIT_S / POLL_S)):
+        for _ in range(round(START_TIMEOUT_S / POLL_S)):
             if condition():
                 return
             await asyncio.sleep(POLL_S)
