--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of pimentolatch: behave features and what they stand on."""
+"""Tests of pimentolatch: behave features and their support code."""
--- a/tests/features/environment.py
+++ b/tests/features/environment.py
@@ -1,4 +1,4 @@
-"""Hooks of behave: whatever a scenario started ends with it."""
+"""Behave hooks that stop whatever a scenario has started."""
 
 
 def after_scenario(context, scenario):
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,7 +1,7 @@
-"""Runs gateways as processes under drawn faults and checks what clients saw.
+"""Runs gateways as processes under random faults and checks the guarantees.
 
-`python -m tests.soak --seeds 1-50` plays fifty runs; `--without NAME` switches one
-safeguard off, which the checks must then notice; `--list` names the safeguards.
+`python -m tests.soak --seeds 1-50` makes fifty runs. `--without NAME` switches one
+safeguard off, which the checks must then detect. `--list` prints the safeguards.
 """
 
 import argparse
@@ -24,7 +24,8 @@
 GATEWAYS = 4
 CLIENTS = 12
 FAULT_INTERVAL_S = 0.4
-# Calm at the end: requests must be served again.
+# Once the last fault has ended, gateways have SETTLE_S to recover. Of the requests sent
+# in the next RECOVERY_CHECK_S, at least MIN_SERVED_SHARE must succeed.
 SETTLE_S = 5.0
 RECOVERY_CHECK_S = 2.0
 MIN_SERVED_SHARE = 0.9
@@ -33,7 +34,7 @@
 
 @dataclasses.dataclass
 class Result:
-    """What one run showed."""
+    """Outcome of one run; `violations` has one line for each broken guarantee."""
 
     seed: int
     requests: int
@@ -43,14 +44,14 @@
 
 
 async def run_seed(seed, seconds, margin_s, disabled_safeguard=None, fatal=False):
-    """Play one run and return what it showed.
+    """Run gateways under the faults of one seed and check what clients received.
 
     Args:
-        seed: Draws the faults and what clients ask.
-        seconds: How long faults come.
-        margin_s: Added to bounds on time.
-        disabled_safeguard: A safeguard to be switched off.
-        fatal: One client repeats a request that ends the servers which run it.
+        seed: Seed of the faults and of the clients' requests.
+        seconds: Time for which new faults begin.
+        margin_s: Added to the time bounds of the checks.
+        disabled_safeguard: Name of a safeguard that the gateways run without.
+        fatal: One client repeats a request that crashes each server that runs it.
     """
     world = _make_world(disabled_safeguard)
     clock = asyncio.get_running_loop().time
@@ -120,7 +121,7 @@
 
 
 async def _inject_faults(injector, faults, clients, clock):
-    """Carry the faults out, each at its time, and wait for the last one's end."""
+    """Inject each fault at its time and wait until the last one has ended."""
     started_at = clock()
     tasks = []
     for fault in faults:
@@ -148,7 +149,7 @@
 
 
 def main():
-    """Play the runs that were asked for; non-zero if a promise was broken."""
+    """Run the given seeds; returns 1 if any run violated a guarantee."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=_seeds, default=_seeds("1-3"))
     parser.add_argument("--seconds", type=float, default=15.0)
@@ -160,7 +161,7 @@
     if options.list:
         print("\n".join(sorted(safeguard_removal.SAFEGUARDS)))
         return 0
-    # The store's stand-in is stopped with watches waiting, again and again.
+    # Uvicorn logs an error each time the store is stopped while watches are waiting.
     logging.getLogger("uvicorn.error").disabled = True
     failed_runs = 0
     for seed in options.seeds:
@@ -178,7 +179,7 @@
         )
         for line in result.violations[:5]:
             print("   ", line)
-    print(f"{len(options.seeds)} runs, {failed_runs} with a broken promise")
+    print(f"{len(options.seeds)} runs, {failed_runs} with violations")
     return 1 if failed_runs else 0
 
 
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What the features stand on: processes, deployments, callers and checkers."""
+"""Support code of the features: processes, deployments, callers and checkers."""
--- a/tests/support/safeguard_removal.py
+++ b/tests/support/safeguard_removal.py
@@ -1,7 +1,7 @@
-"""Runs a gateway with one safeguard switched off, to see the soak notice it.
+"""Runs a gateway with one safeguard switched off, which the soak test must detect.
 
-`python -m tests.support.safeguard_removal NAME` patches the safeguard away and
-runs the daemon.
+`python -m tests.support.safeguard_removal NAME` disables the safeguard by a patch
+and runs the daemon.
 """
 
 import sys
@@ -23,7 +23,7 @@
 
 
 def _retry_unsafe_requests():
-    """An unsafe request goes to a second server after a lost answer."""
+    """Retries an unsafe request at a second server after a lost response."""
     decode = configuration._route
 
     def retryable(fields):
@@ -35,13 +35,13 @@
 
 
 def _refuse_unknown_as_not_run():
-    """A request whose fate is not known is refused as not run."""
+    """Refuses a request as not run although its outcome is unknown."""
     refusals.outcome_unknown = lambda reason: refusals.no_server(reason)
     refusals.deadline_passed = refusals.not_run_in_time
 
 
 def _accept_any_response():
-    """The id in an answer is not compared with the request's."""
+    """Doesn't compare the request id of a response with that of the request."""
     parse = dispatch.http_headers.parse_response_headers
 
     def without_request_id(fields):
@@ -53,7 +53,7 @@
 
 
 def _forward_duplicate_events():
-    """Events that the client has already are passed on again."""
+    """Forwards events again that the client has already received."""
     split = sse.EventSplitter.feed
 
     def feed(self, data):
@@ -63,7 +63,7 @@
 
 
 def _forward_incomplete_events():
-    """The half of an event that a crash left is passed on."""
+    """Forwards the incomplete event that a server crash leaves."""
 
     def feed(self, data):
         return [sse.Event(None, data)]
@@ -72,7 +72,7 @@
 
 
 def _send_to_draining():
-    """A server that leaves goes on getting requests."""
+    """Keeps dispatching requests to a draining server."""
     decode = server_entries.decode
 
     def always_ready(name, spec):
@@ -82,7 +82,7 @@
 
 
 def _keep_first_configuration():
-    """A newer configuration is not put in force."""
+    """Applies the first configuration and ignores newer ones."""
     configure = fleet_state.FleetState.configure
 
     def first_only(self, decoded, spec):
@@ -92,7 +92,7 @@
 
 
 def _stop_immediately():
-    """SIGTERM ends the process without waiting for its requests."""
+    """Exits on SIGTERM without waiting for requests in flight."""
 
     async def stop(self):
         await self.abort()
@@ -101,12 +101,12 @@
 
 
 def _accept_without_proof():
-    """A success without the server's proof is passed on."""
+    """Forwards a successful response that lacks the server's seal."""
     plain_forwarder._genuine = lambda whole: True
 
 
 def _never_quarantine():
-    """A request that has ended servers is taken for a new one."""
+    """Never quarantines a request, even if it has crashed servers."""
     quarantine.Quarantine.verdict = lambda self, request: None
 
 
@@ -125,7 +125,7 @@
 
 
 def main():
-    """Switch a safeguard off and run the daemon."""
+    """Disable the safeguard that the first argument names and run the daemon."""
     SAFEGUARDS[sys.argv[1]]()
     daemon.main()
 
--- a/tests/support/soak_checks.py
+++ b/tests/support/soak_checks.py
@@ -1,20 +1,24 @@
-"""Checks of the promises, from what clients and servers of a soak run saw."""
+"""Checks the guarantees against what clients and servers of a soak run recorded."""
 
 import re
 
 from tests.support import soak_clients, soak_faults
 
+# With these statuses a gateway states that the request was not executed.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 ALL_EVENT_IDS = [str(number) for number in range(1, 7)]
 NOT_REPEATABLE = ("draft", "print")
-# Bounds that the operator sets on the two sites, with room for a busy machine.
+# Time bounds that the operator sets for both deployments, plus slack for a busy
+# machine.
 MAX_DRAIN_DELAY_S = 2.0
 MAX_CONFIGURE_DELAY_S = 2.0
+# A fault delays updates at a gateway for this long after it has ended.
 CATCH_UP_S = 3.0
-# A request that has ended so many servers may be sent so many times more.
+# A request that has crashed MAX_CRASHES servers may be dispatched at most
+# MAX_LATE_DISPATCHES times more.
 MAX_CRASHES = 3
 MAX_LATE_DISPATCHES = 3
-# Faults that keep a gateway from hearing of a change, and those that may cut an answer.
+# Faults during which a gateway may receive updates late.
 DELAYS_UPDATES = frozenset(
     {
         "kill",
@@ -26,16 +30,17 @@
         "store forgets",
     }
 )
+# Faults that may abort a response.
 ABORTS_RESPONSES = frozenset({*soak_faults.KINDS, soak_faults.CRASHED_BY_REQUEST}) - {
     *soak_faults.PLANNED,
     "store forgets",
 }
-# Lines that tell of a fault of ours.
+# Log lines that report an error of the gateway itself.
 ERROR_LINES = re.compile(r'"(request failed|task failed[^"]*)"|Traceback')
 
 
 def violations(attempts, servers, injector, logs, margin_s):
-    """Yield one line for each promise that was broken."""
+    """Yield one line for each violation of a guarantee."""
     runs = _runs_by_request(servers)
     for attempt in attempts:
         yield from _run_violations(attempt, runs.get(attempt.request_id, ()))
@@ -46,11 +51,11 @@
     for name, log in logs.items():
         for line in log.splitlines():
             if ERROR_LINES.search(line):
-                yield f"{name} logged a fault of its own: {line[:300]}"
+                yield f"{name} logged an internal error: {line[:300]}"
 
 
 def quarantine_violations(attempts, servers, injector, margin_s):
-    """Return whether a request that ended three servers went on being sent."""
+    """Return a violation if a request that crashed three servers was sent on."""
     crash_times = sorted(server.crashed_at for server in servers if server.crashed)
     if len(crash_times) < MAX_CRASHES:
         return []
@@ -80,13 +85,13 @@
     if len(late) <= MAX_LATE_DISPATCHES:
         return []
     return [
-        f"a request that ended {len(crash_times)} servers "
-        f"was sent {len(late)} times more"
+        f"a request that crashed {len(crash_times)} servers "
+        f"was dispatched {len(late)} times more"
     ]
 
 
 def _runs_by_request(servers):
-    """Return which servers ran each request, once for each run."""
+    """Return the servers that ran each request, one entry for each run."""
     runs = {}
     for server in servers:
         for request in server.received:
@@ -100,15 +105,18 @@
     if attempt.route in NOT_REPEATABLE and len(ran) > 1:
         yield f"{attempt.request_id} ({attempt.route}) ran {len(ran)} times: {ran}"
     if attempt.status in NOT_RUN_STATUSES and attempt.complete and ran:
-        yield f"{attempt.request_id} was told {attempt.status} and ran: {ran}"
+        yield (
+            f"{attempt.request_id} got status {attempt.status}, not run, "
+            f"but ran on {ran}"
+        )
 
 
 def _response_violations(attempt):
-    """Check that a success is the whole answer to this request, and only that."""
+    """Check that a successful response belongs to this request and is complete."""
     if not 200 <= attempt.status < 300:
         return
     if "x-response-seal" not in attempt.headers:
-        yield f"{attempt.request_id} got a success without a proof"
+        yield f"{attempt.request_id} got a successful response without x-response-seal"
     if attempt.route in soak_clients.STREAMS:
         text = attempt.response_body.decode(errors="replace")
         event_ids = re.findall(r"^id: (\d+)$", text, re.MULTILINE)
@@ -125,7 +133,7 @@
 
 
 def _affected(injected, begin, end, gateway, kinds):
-    """Tell whether a fault of some kinds touches a span, at one gateway or for all."""
+    """Return whether a fault of `kinds` at the gateway, or at all, overlaps a span."""
     return any(
         fault.begin <= end
         and fault.end >= begin - CATCH_UP_S
@@ -151,12 +159,15 @@
             ):
                 yield (
                     f"{server.server_id} got {request.kind} {late:.2f} s too late from "
-                    f"{gateway} after it began to leave"
+                    f"{gateway} after its drain began"
                 )
 
 
 def _route_violations(attempts, injector, margin_s):
-    """Check that a new route is served soon, and ever after by the same process."""
+    """Check that a new route is served in time and not lost again.
+
+    A restarted gateway may lose it: the second check is for each incarnation.
+    """
     served = {}
     for attempt in sorted(attempts, key=lambda attempt: attempt.ended_at):
         added_at = injector.routes_added_at.get(attempt.route)
@@ -168,7 +179,7 @@
         if attempt.status == 404:
             if first_served_at is not None and first_served_at < attempt.sent_at:
                 yield (
-                    f"{attempt.gateway} served {attempt.route} and then did not know it"
+                    f"{attempt.gateway} served {attempt.route} and then answered 404"
                 )
             late = attempt.sent_at - added_at - MAX_CONFIGURE_DELAY_S - margin_s
             if late > 0 and not _affected(
@@ -179,8 +190,8 @@
                 DELAYS_UPDATES,
             ):
                 yield (
-                    f"{attempt.gateway} did not know {attempt.route} "
-                    f"{late:.2f} s too long"
+                    f"{attempt.gateway} answered 404 for {attempt.route} "
+                    f"{late:.2f} s after the time allowed for an update"
                 )
         elif attempt.status == 200 and first_served_at is None:
             served[attempt.gateway, attempt.incarnation, attempt.route] = (
@@ -189,7 +200,7 @@
 
 
 def _stop_violations(attempts, injector):
-    """Check that a stop cuts no request that no unplanned fault touched."""
+    """Check that a graceful stop aborts only requests hit by an unplanned fault."""
     for stop in injector.injected:
         if stop.kind != "term":
             continue
@@ -197,7 +208,7 @@
             if attempt.gateway != stop.gateway or attempt.complete:
                 continue
             if not stop.begin - 1 <= attempt.sent_at <= stop.end or attempt.status == 0:
-                # A request that crosses the close was not read.
+                # A gateway does not read a request that crosses its close.
                 continue
             if not _affected(
                 injector.injected,
@@ -206,4 +217,7 @@
                 stop.gateway,
                 ABORTS_RESPONSES,
             ):
-                yield f"{attempt.request_id} was cut while {stop.gateway} stopped"
+                yield (
+                    f"{attempt.request_id} was aborted while {stop.gateway} "
+                    "stopped gracefully"
+                )
--- a/tests/support/soak_clients.py
+++ b/tests/support/soak_clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak run: what they send, and what each one saw."""
+"""Clients of a soak run; they send requests and record the responses."""
 
 import asyncio
 import dataclasses
@@ -6,13 +6,12 @@
 
 from tests.support import route_world, soak_world
 
-# A request waits this long at most; the routes' own timeouts are longer.
+# The clients' deadline; the timeouts of the routes are longer.
 DEADLINE_S = 6.0
 PAUSE_S = 0.05
-# A connection is used until it ends, as clients of the balancer do.
 NO_RESPONSE = 0
 STREAMS = ("digest", "draft")
-# A request with this body ends each server that runs it.
+# A request with this body crashes each server that runs it.
 FATAL_BODY = b"fatal"
 FATAL_PAUSE_S = (0.3, 1.5)
 ROUTES = ("digest", "digest", "draft", "print", "notify")
@@ -20,13 +19,14 @@
 
 @dataclasses.dataclass
 class Attempt:
-    """One attempt of a client.
+    """One request of a client and the response to it.
 
     Attributes:
-        life: Which start of the gateway it was sent to.
-        status: 0 if no answer came.
-        whole: The answer came to its end.
-        until: When the answer, or the connection, ended.
+        incarnation: Incarnation of the gateway that it was sent to.
+        body: Body of the request.
+        status: HTTP status; NO_RESPONSE if there was none.
+        complete: Whether the response was received to its end.
+        ended_at: When the response, or the connection, ended.
     """
 
     request_id: str
@@ -43,7 +43,7 @@
 
 
 class Client:
-    """One client, which keeps its connection until it ends."""
+    """Keeps its connection until it is closed, as clients of the load balancer do."""
 
     def __init__(self, world, number, seed, clock):
         self._world = world
@@ -56,21 +56,19 @@
         self.routes = list(ROUTES)
 
     async def run(self, stop):
-        """Ask again and again until told to stop."""
+        """Send requests one after another until `stop` is set."""
         for count in range(1_000_000):
             if stop.is_set():
                 break
             route = self._rng.choice(self.routes)
-            request_id = (
-                f"{self._number:02x}{count:06x}{self._rng.getrandbits(32):08x}"
-            )
+            request_id = f"{self._number:02x}{count:06x}{self._rng.getrandbits(32):08x}"
             await self.send(route, request_id)
             await asyncio.sleep(PAUSE_S * self._rng.random())
         if self._connection is not None:
             self._connection[1].close()
 
     async def send(self, route, request_id):
-        """Send one request and note what came."""
+        """Send one request and record the response."""
         if self._connection is None and not await self._connect():
             await asyncio.sleep(4 * PAUSE_S)
             return
@@ -99,7 +97,7 @@
         return request_id.encode()
 
     async def _read_response(self, reader, attempt):
-        """Read an answer as it comes; True if the connection may be used again."""
+        """Read a response into `attempt`; returns whether to reuse the connection."""
         attempt.status = int((await reader.readline()).split()[1])
         while (line := (await reader.readline()).strip()) != b"":
             name, _, value = line.decode().partition(":")
@@ -129,10 +127,10 @@
 
 
 class FatalClient(Client):
-    """Repeats one request, each time under a new id and at any gateway."""
+    """Repeats one request, each time with a new id and at a random gateway."""
 
     async def run(self, stop):
-        """Ask for the same again and again until told to stop."""
+        """Send the same request body again and again until `stop` is set."""
         route = self._rng.choice(ROUTES)
         for count in range(1_000_000):
             if stop.is_set():
--- a/tests/support/soak_faults.py
+++ b/tests/support/soak_faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak run, drawn from a seed; they come in series and overlap."""
+"""Faults of a soak run, drawn from a seed; they come in bursts and overlap."""
 
 import asyncio
 import dataclasses
@@ -8,7 +8,7 @@
 from standins import relay
 from tests.support import route_world
 
-# What servers do wrong, one request at a time.
+# Faults of a server; each applies to one request.
 SERVER_FAULTS = (
     "decline",
     "reset",
@@ -23,20 +23,26 @@
     "late",
     "from the start",
 )
-# What a request does that ends the servers which run it.
+# Recorded when a request has crashed the server that ran it.
 CRASHED_BY_REQUEST = "server ends"
-# Planned work; a gateway that meets nothing else cuts no request.
+# Planned operations; a gateway that meets no other fault aborts no request.
 PLANNED = frozenset({"term", "drain", "configure", "hup"})
-# Requests of one server that go wrong one after the other.
+# Number of consecutive requests of one server that a fault affects.
 CONSECUTIVE_FAULTS = 12
-# Long enough for a request that comes too late to be seen.
+# A drained server runs on this long, so that requests sent too late are detected.
 REMOVAL_DELAY_S = 5.0
 MAX_DURATION_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """One fault, as it was drawn."""
+    """A fault as drawn from the seed.
+
+    Attributes:
+        at: Seconds from the start of the run.
+        selector: Uniform random number that selects the gateway or server.
+        duration_s: How long the fault lasts, if it doesn't end at once.
+    """
 
     at: float
     kind: str
@@ -46,7 +52,7 @@
 
 @dataclasses.dataclass
 class InjectedFault:
-    """What a fault did; `gateway` is empty if it concerns all of them."""
+    """Effect of an injected fault; an empty `gateway` means that all are affected."""
 
     kind: str
     gateway: str
@@ -83,20 +89,26 @@
 
 
 def draw(seed, seconds, interval_s):
-    """Return the faults of a run."""
+    """Return the faults of a run, about `interval_s` apart, for `seconds`."""
     rng = random.Random(seed)
     faults = []
     at = 0.5
     while at < seconds:
         kind = rng.choice(KINDS)
         faults.append(Fault(at, kind, rng.random(), rng.uniform(0.3, MAX_DURATION_S)))
-        # Now and then two at one moment.
+        # One fault in four coincides with the one before.
         at += rng.choice((0.0, 1.0, 1.0, 1.0)) * rng.uniform(0.2, 2 * interval_s)
     return faults
 
 
 class FaultInjector:
-    """Carries faults out and notes what they struck."""
+    """Injects faults and records their effect.
+
+    Attributes:
+        injected: The faults injected so far.
+        drains_started_at: Time at which each drain began, by server id.
+        routes_added_at: Time at which each route was added, by route name.
+    """
 
     def __init__(self, world, clock):
         self._world = world
@@ -106,7 +118,7 @@
         self.routes_added_at = {}
 
     async def inject(self, fault):
-        """Carry one fault out, to its end."""
+        """Inject one fault and return once it has ended."""
         method = getattr(self, "_" + fault.kind.replace(" ", "_"))
         injected = InjectedFault(fault.kind, "", self._clock(), float("inf"))
         self.injected.append(injected)
@@ -154,7 +166,7 @@
 
     async def _hup(self, fault, injected):
         gateway = self._gateway(fault, injected)
-        # A process that has not yet set its handlers would end.
+        # SIGHUP terminates a process that has not installed its signal handlers yet.
         if gateway.running and await self._world.is_ready(gateway.name):
             gateway.popen.send_signal(signal.SIGHUP)
 
@@ -235,7 +247,7 @@
         self._world.relays.heal(name)
 
     def _has_alternative(self, server):
-        """Tell whether another server of its kind remains."""
+        """Return whether another server of the same service and stage is ready."""
         same_kind = [
             other
             for other in self._world.servers.values()
--- a/tests/support/soak_world.py
+++ b/tests/support/soak_world.py
@@ -1,7 +1,7 @@
-"""Gateways as processes, with a store, servers and clients around them.
+"""Gateways as processes, with their store, servers and clients, for the soak test.
 
-Everything that a gateway speaks to lies behind a relay, so that faults come from
-outside: the store of each gateway, each server, and the clients' way to each gateway.
+Relays carry the connections of each gateway to the store, those to each server, and
+those of clients to each gateway, so that faults are injected outside the gateways.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass
 class Gateway:
-    """One instance; `lives` counts its starts."""
+    """One instance; `incarnation` is the number of times it was started."""
 
     name: str
     host: str
@@ -47,11 +47,11 @@
 
 
 class SoakWorld:
-    """Everything that one run starts.
+    """All processes, servers and relays of one run.
 
     Args:
-        module: Started as each gateway's program.
-        arguments: Its arguments.
+        module: Python module that each gateway process runs.
+        arguments: Command-line arguments of the module.
     """
 
     def __init__(self, module="pimentolatch.gateway", arguments=()):
@@ -75,7 +75,7 @@
     async def start(
         self, gateways, decode_engines=3, prefill_engines=2, plain_servers=3
     ):
-        """Start the store, the servers and the gateways, and wait until all serve."""
+        """Start the store, servers and gateways; wait until all gateways are ready."""
         await self.store.start()
         await self.configure()
         for service, stage, count in (
@@ -94,7 +94,7 @@
             await self.wait_until_ready(name)
 
     async def configure(self, new_route=None):
-        """Write a new version, with one more route if there is one to add."""
+        """Write a new version of the configuration, optionally with one more route."""
         self.version += 1
         if new_route is not None:
             self.routes.append(new_route)
@@ -102,7 +102,7 @@
         await self.store.write("config", "main", spec)
 
     async def add_server(self, service, stage):
-        """Start a server behind a relay and list it."""
+        """Start a server behind a relay and write its entry to the store."""
         name = f"{stage or service}-{next(self._numbers)}"
         server = route_server.RouteServer(name, service, "here", stage)
         server.fatal_body = self.fatal_body
@@ -115,14 +115,14 @@
         return server
 
     async def list_server(self, name):
-        """Write a server's entry as the server would."""
+        """Write a server's entry to the store, as the server itself does."""
         server = self.servers[name]
         await self.store.write(
             "servers", name, server.entry() | {"address": server.advertised_address}
         )
 
     async def remove_server(self, name):
-        """Stop a server for good and take its entry away, if that is not done yet."""
+        """Stop a server and delete its entry; does nothing if it was removed before."""
         server = self.servers.pop(name, None)
         if server is None:
             return
@@ -132,7 +132,7 @@
         await self.platform.table.delete("servers", name, current.version)
 
     async def replace_crashed(self, stop):
-        """Have new servers in place of those that a request has ended."""
+        """Replace servers that a request has crashed, until `stop` is set."""
         while not stop.is_set():
             await asyncio.sleep(REPLACE_DELAY_S)
             for server in [s for s in self.servers.values() if s.crashed]:
@@ -140,13 +140,13 @@
                 await self.remove_server(server.server_id)
 
     def restart(self, name):
-        """Start a gateway again; its old process must have ended."""
+        """Start a gateway again; its previous process must have exited."""
         gateway = self.gateways[name]
         gateway.incarnation += 1
         gateway.popen = self._spawn(gateway.settings, gateway.log)
 
     async def wait_until_ready(self, name):
-        """Wait until a gateway tells the balancer that it is ready."""
+        """Wait until a gateway reports to the load balancer that it is ready."""
         for _ in range(round(START_TIMEOUT_S / POLL_S)):
             if await self.is_ready(name):
                 return
@@ -154,7 +154,7 @@
         raise TimeoutError(f"{name} is not ready")
 
     async def is_ready(self, name):
-        """Ask a gateway as the balancer does."""
+        """Query a gateway's readiness endpoint as the load balancer does."""
         try:
             async with asyncio.timeout(1.0):
                 reader, writer = await asyncio.open_connection(
@@ -168,7 +168,7 @@
         return b" 200 " in line
 
     async def wait_until(self, condition):
-        """Wait until something holds."""
+        """Wait until `condition` returns true."""
         for _ in range(round(START_TIMEOUT_S / POLL_S)):
             if condition():
                 return
@@ -176,7 +176,7 @@
         raise TimeoutError
 
     async def stop(self):
-        """End everything that was started, by id."""
+        """Stop every process and server that this object started."""
         for gateway in self.gateways.values():
             if gateway.running:
                 gateway.popen.send_signal(signal.SIGCONT)
@@ -188,7 +188,7 @@
         self.relays.stop()
 
     def logs(self):
-        """Return the log of each gateway."""
+        """Return the text of each gateway's log by gateway name."""
         return {
             name: gateway.log.read_text(encoding="utf-8")
             for name, gateway in self.gateways.items()
