--- /dev/null
+++ b/tests/support/safeguard_removal.py
@@ -0,0 +1,134 @@
+"""Runs a gateway with one safeguard switched off, which the soak test must detect.
+
+`python -m tests.support.safeguard_removal NAME` disables the safeguard by a patch
+and runs the daemon.
+"""
+
+import sys
+
+from pimentolatch.gateway import (
+    daemon,
+    decode_client,
+    dispatch,
+    fleet_state,
+    plain_forwarder,
+    process,
+    quarantine,
+    refusals,
+    sse,
+)
+from pimentolatch.platform import configuration, server_entries
+
+__all__ = ["SAFEGUARDS", "main"]
+
+
+def _retry_unsafe_requests():
+    """Retries an unsafe request at a second server after a lost response."""
+    decode = configuration._route
+
+    def retryable(fields):
+        kind = "safe" if fields["kind"] == "unsafe" else fields["kind"]
+        unchecked = {"kind": kind, "resumable": True, "max_attempts": 3}
+        return decode({**fields, **unchecked})
+
+    configuration._route = retryable
+
+
+def _refuse_unknown_as_not_run():
+    """Refuses a request as not run although its outcome is unknown."""
+    refusals.outcome_unknown = lambda reason: refusals.no_server(reason)
+    refusals.deadline_passed = refusals.not_run_in_time
+
+
+def _accept_any_response():
+    """Doesn't compare the request id of a response with that of the request."""
+    parse = dispatch.http_headers.parse_response_headers
+
+    def without_request_id(fields):
+        head = parse(fields)
+        object.__setattr__(head, "request_id", "")
+        return head
+
+    dispatch.http_headers.parse_response_headers = without_request_id
+
+
+def _forward_duplicate_events():
+    """Forwards events again that the client has already received."""
+    split = sse.EventSplitter.feed
+
+    def feed(self, data):
+        return [sse.Event(None, event.data) for event in split(self, data)]
+
+    decode_client.sse.EventSplitter.feed = feed
+
+
+def _forward_incomplete_events():
+    """Forwards the incomplete event that a server crash leaves."""
+
+    def feed(self, data):
+        return [sse.Event(None, data)]
+
+    decode_client.sse.EventSplitter.feed = feed
+
+
+def _send_to_draining():
+    """Keeps dispatching requests to a draining server."""
+    decode = server_entries.decode
+
+    def always_ready(name, spec):
+        return decode(name, {**spec, "state": "ready"})
+
+    server_entries.decode = always_ready
+
+
+def _keep_first_configuration():
+    """Applies the first configuration and ignores newer ones."""
+    configure = fleet_state.FleetState.configure
+
+    def first_only(self, decoded, spec):
+        return self.version == 0 and configure(self, decoded, spec)
+
+    fleet_state.FleetState.configure = first_only
+
+
+def _stop_immediately():
+    """Exits on SIGTERM without waiting for requests in flight."""
+
+    async def stop(self):
+        await self.abort()
+
+    process.GatewayInstance.stop = stop
+
+
+def _accept_without_proof():
+    """Forwards a successful response that lacks the server's seal."""
+    plain_forwarder._genuine = lambda whole: True
+
+
+def _never_quarantine():
+    """Never quarantines a request, even if it has crashed servers."""
+    quarantine.Quarantine.verdict = lambda self, request: None
+
+
+SAFEGUARDS = {
+    "one run of what may not be repeated": _retry_unsafe_requests,
+    "truth of not run": _refuse_unknown_as_not_run,
+    "answers matched to requests": _accept_any_response,
+    "no event twice": _forward_duplicate_events,
+    "whole events only": _forward_incomplete_events,
+    "nothing to leaving servers": _send_to_draining,
+    "new configurations": _keep_first_configuration,
+    "graceful stop": _stop_immediately,
+    "quarantine of fatal requests": _never_quarantine,
+    "proof of origin": _accept_without_proof,
+}
+
+
+def main():
+    """Disable the safeguard that the first argument names and run the daemon."""
+    SAFEGUARDS[sys.argv[1]]()
+    daemon.main()
+
+
+if __name__ == "__main__":
+    main()
--- a/tests/support/soak_faults.py
+++ b/tests/support/soak_faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak run, drawn from a seed; they come in series and overlap."""
+"""Faults of a soak run, drawn from a seed; they come in bursts and overlap."""
 
 import asyncio
 import dataclasses
@@ -8,7 +8,7 @@
 from standins import relay
 from tests.support import route_world
 
-# What servers do wrong, one request at a time.
+# Faults of a server; each applies to one request.
 SERVER_FAULTS = (
     "decline",
     "reset",
@@ -23,30 +23,36 @@
     "late",
     "from the start",
 )
-# What a request does that ends the servers which run it.
-SERVER_ENDS = "server ends"
-# Planned work; a gateway that meets nothing else cuts no request.
+# Recorded when a request has crashed the server that ran it.
+CRASHED_BY_REQUEST = "server ends"
+# Planned operations; a gateway that meets no other fault aborts no request.
 PLANNED = frozenset({"term", "drain", "configure", "hup"})
-# Requests of one server that go wrong one after the other.
-FAULTS_IN_A_ROW = 12
-# Long enough for a request that comes too late to be seen.
-DRAIN_TO_END_S = 5.0
-LONGEST_S = 3.0
+# Number of consecutive requests of one server that a fault affects.
+CONSECUTIVE_FAULTS = 12
+# A drained server runs on this long, so that requests sent too late are detected.
+REMOVAL_DELAY_S = 5.0
+MAX_DURATION_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """One fault, as it was drawn."""
+    """A fault as drawn from the seed.
+
+    Attributes:
+        at: Seconds from the start of the run.
+        selector: Uniform random number that selects the gateway or server.
+        duration_s: How long the fault lasts, if it doesn't end at once.
+    """
 
     at: float
     kind: str
-    share: float
-    span: float
+    selector: float
+    duration_s: float
 
 
 @dataclasses.dataclass
-class Struck:
-    """What a fault did; `gateway` is empty if it concerns all of them."""
+class InjectedFault:
+    """Effect of an injected fault; an empty `gateway` means that all are affected."""
 
     kind: str
     gateway: str
@@ -82,164 +88,170 @@
 )
 
 
-def draw(seed, seconds, often_s):
-    """Return the faults of a run."""
-    chance = random.Random(seed)
+def draw(seed, seconds, interval_s):
+    """Return the faults of a run, about `interval_s` apart, for `seconds`."""
+    rng = random.Random(seed)
     faults = []
     at = 0.5
     while at < seconds:
-        kind = chance.choice(KINDS)
-        faults.append(Fault(at, kind, chance.random(), chance.uniform(0.3, LONGEST_S)))
-        # Now and then two at one moment.
-        at += chance.choice((0.0, 1.0, 1.0, 1.0)) * chance.uniform(0.2, 2 * often_s)
+        kind = rng.choice(KINDS)
+        faults.append(Fault(at, kind, rng.random(), rng.uniform(0.3, MAX_DURATION_S)))
+        # One fault in four coincides with the one before.
+        at += rng.choice((0.0, 1.0, 1.0, 1.0)) * rng.uniform(0.2, 2 * interval_s)
     return faults
 
 
-class Striker:
-    """Carries faults out and notes what they struck."""
+class FaultInjector:
+    """Injects faults and records their effect.
+
+    Attributes:
+        injected: The faults injected so far.
+        drains_started_at: Time at which each drain began, by server id.
+        routes_added_at: Time at which each route was added, by route name.
+    """
 
     def __init__(self, world, clock):
         self._world = world
         self._clock = clock
-        self.struck = []
-        self.drained = {}
-        self.added = {}
+        self.injected = []
+        self.drains_started_at = {}
+        self.routes_added_at = {}
 
-    async def strike(self, fault):
-        """Carry one fault out, to its end."""
+    async def inject(self, fault):
+        """Inject one fault and return once it has ended."""
         method = getattr(self, "_" + fault.kind.replace(" ", "_"))
-        struck = Struck(fault.kind, "", self._clock(), float("inf"))
-        self.struck.append(struck)
+        injected = InjectedFault(fault.kind, "", self._clock(), float("inf"))
+        self.injected.append(injected)
         try:
-            await method(fault, struck)
+            await method(fault, injected)
         finally:
-            struck.end = self._clock()
+            injected.end = self._clock()
 
-    def _gateway(self, fault, struck):
+    def _gateway(self, fault, injected):
         names = sorted(self._world.gateways)
-        gateway = self._world.gateways[names[int(fault.share * len(names))]]
-        struck.gateway = gateway.name
+        gateway = self._world.gateways[names[int(fault.selector * len(names))]]
+        injected.gateway = gateway.name
         return gateway
 
     def _server(self, fault):
         names = sorted(n for n, s in self._world.servers.items() if s.state == "ready")
-        return self._world.servers[names[int(fault.share * len(names))]]
+        return self._world.servers[names[int(fault.selector * len(names))]]
 
-    async def _kill(self, fault, struck):
-        gateway = self._gateway(fault, struck)
+    async def _kill(self, fault, injected):
+        gateway = self._gateway(fault, injected)
         if gateway.running:
             gateway.popen.kill()
-        await self._back(gateway, fault)
+        await self._restart(gateway, fault)
 
-    async def _term(self, fault, struck):
-        gateway = self._gateway(fault, struck)
+    async def _term(self, fault, injected):
+        gateway = self._gateway(fault, injected)
         if gateway.running:
             gateway.popen.send_signal(signal.SIGTERM)
-        await self._back(gateway, fault)
+        await self._restart(gateway, fault)
 
-    async def _back(self, gateway, fault):
-        life = gateway.lives
-        await self._world.until(lambda: not gateway.running)
-        await asyncio.sleep(fault.span / 3)
-        if gateway.lives == life:
+    async def _restart(self, gateway, fault):
+        incarnation = gateway.incarnation
+        await self._world.wait_until(lambda: not gateway.running)
+        await asyncio.sleep(fault.duration_s / 3)
+        if gateway.incarnation == incarnation:
             self._world.restart(gateway.name)
-        await self._world.until_ready(gateway.name)
+        await self._world.wait_until_ready(gateway.name)
 
-    async def _pause(self, fault, struck):
-        gateway = self._gateway(fault, struck)
+    async def _pause(self, fault, injected):
+        gateway = self._gateway(fault, injected)
         if gateway.running:
             gateway.popen.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(fault.span)
+            await asyncio.sleep(fault.duration_s)
             gateway.popen.send_signal(signal.SIGCONT)
 
-    async def _hup(self, fault, struck):
-        gateway = self._gateway(fault, struck)
-        # A process that has not yet set its handlers would end.
+    async def _hup(self, fault, injected):
+        gateway = self._gateway(fault, injected)
+        # SIGHUP terminates a process that has not installed its signal handlers yet.
         if gateway.running and await self._world.is_ready(gateway.name):
             gateway.popen.send_signal(signal.SIGHUP)
 
     async def _cut(self, name, fault, *directions):
         for direction in directions:
             self._world.relays.cut(name, direction)
-        await asyncio.sleep(fault.span)
+        await asyncio.sleep(fault.duration_s)
         self._world.relays.heal(name)
 
-    async def _store_cut(self, fault, struck):
-        name = f"store of {self._gateway(fault, struck).name}"
+    async def _store_cut(self, fault, injected):
+        name = f"store of {self._gateway(fault, injected).name}"
         await self._cut(name, fault, relay.TO_SERVER, relay.TO_CLIENT)
 
-    async def _store_cut_one_way(self, fault, struck):
-        name = f"store of {self._gateway(fault, struck).name}"
+    async def _store_cut_one_way(self, fault, injected):
+        name = f"store of {self._gateway(fault, injected).name}"
         await self._cut(name, fault, relay.TO_CLIENT)
 
-    async def _store_down(self, fault, struck):
+    async def _store_down(self, fault, injected):
         store = self._world.store
         if store.is_running:
             await store.stop()
-            await asyncio.sleep(fault.span)
+            await asyncio.sleep(fault.duration_s)
             await store.start()
 
-    async def _store_forgets(self, fault, struck):
+    async def _store_forgets(self, fault, injected):
         self._world.platform.table.compact_history()
 
-    async def _server_cut(self, fault, struck):
+    async def _server_cut(self, fault, injected):
         name = self._server(fault).server_id
         await self._cut(name, fault, relay.TO_SERVER, relay.TO_CLIENT)
 
-    async def _server_cut_one_way(self, fault, struck):
+    async def _server_cut_one_way(self, fault, injected):
         await self._cut(self._server(fault).server_id, fault, relay.TO_SERVER)
 
-    async def _server_delayed(self, fault, struck):
+    async def _server_delayed(self, fault, injected):
         name = self._server(fault).server_id
         self._world.relays.delay(name, 0.1)
-        await asyncio.sleep(fault.span)
+        await asyncio.sleep(fault.duration_s)
         self._world.relays.heal(name)
 
-    async def _server_reset(self, fault, struck):
+    async def _server_reset(self, fault, injected):
         self._world.relays.reset(self._server(fault).server_id)
 
-    async def _server_crash(self, fault, struck):
+    async def _server_crash(self, fault, injected):
         server = self._server(fault)
-        if self._spare(server):
+        if self._has_alternative(server):
             await self._world.remove_server(server.server_id)
             await self._world.add_server(server.service, server.stage)
 
-    async def _server_misbehaves(self, fault, struck):
+    async def _server_misbehaves(self, fault, injected):
         server = self._server(fault)
-        chance = random.Random(fault.share)
-        server.faults.extend(chance.choices(SERVER_FAULTS, k=FAULTS_IN_A_ROW))
+        rng = random.Random(fault.selector)
+        server.faults.extend(rng.choices(SERVER_FAULTS, k=CONSECUTIVE_FAULTS))
 
-    async def _drain(self, fault, struck):
+    async def _drain(self, fault, injected):
         server = self._server(fault)
-        if not self._spare(server):
+        if not self._has_alternative(server):
             return
         server.state = "draining"
         await self._world.list_server(server.server_id)
-        self.drained[server.server_id] = self._clock()
+        self.drains_started_at[server.server_id] = self._clock()
         await self._world.add_server(server.service, server.stage)
-        await asyncio.sleep(DRAIN_TO_END_S)
+        await asyncio.sleep(REMOVAL_DELAY_S)
         await self._world.remove_server(server.server_id)
 
-    async def _configure(self, fault, struck):
+    async def _configure(self, fault, injected):
         name = f"added{self._world.version}"
         await self._world.configure(route_world.route(name, "app", "safe"))
-        self.added[name] = self._clock()
+        self.routes_added_at[name] = self._clock()
 
-    async def _clients_reset(self, fault, struck):
-        self._world.relays.reset(f"clients of {self._gateway(fault, struck).name}")
+    async def _clients_reset(self, fault, injected):
+        self._world.relays.reset(f"clients of {self._gateway(fault, injected).name}")
 
-    async def _clients_delayed(self, fault, struck):
-        name = f"clients of {self._gateway(fault, struck).name}"
+    async def _clients_delayed(self, fault, injected):
+        name = f"clients of {self._gateway(fault, injected).name}"
         self._world.relays.delay(name, 0.2)
-        await asyncio.sleep(fault.span)
+        await asyncio.sleep(fault.duration_s)
         self._world.relays.heal(name)
 
-    def _spare(self, server):
-        """Tell whether another server of its kind remains."""
-        alike = [
+    def _has_alternative(self, server):
+        """Return whether another server of the same service and stage is ready."""
+        same_kind = [
             other
             for other in self._world.servers.values()
             if (other.service, other.stage) == (server.service, server.stage)
             and other.state == "ready"
         ]
-        return len(alike) > 1
+        return len(same_kind) > 1
--- a/tests/support/soak_world.py
+++ b/tests/support/soak_world.py
@@ -1,7 +1,7 @@
-"""Gateways as processes, with a store, servers and clients around them.
+"""Gateways as processes, with their store, servers and clients, for the soak test.
 
-Everything that a gateway speaks to lies behind a relay, so that faults come from
-outside: the store of each gateway, each server, and the clients' way to each gateway.
+Relays carry the connections of each gateway to the store, those to each server, and
+those of clients to each gateway, so that faults are injected outside the gateways.
 """
 
 import asyncio
@@ -25,21 +25,21 @@
 RELAY_PORT = 8090
 STORE_PORT = 9000
 SERVER_PORT = 9100
-START_LIMIT_S = 30.0
+START_TIMEOUT_S = 30.0
 POLL_S = 0.05
-REPLACED_AFTER_S = 1.0
+REPLACE_DELAY_S = 1.0
 
 
 @dataclasses.dataclass
 class Gateway:
-    """One instance; `lives` counts its starts."""
+    """One instance; `incarnation` is the number of times it was started."""
 
     name: str
     host: str
     settings: pathlib.Path
     log: pathlib.Path
     popen: subprocess.Popen
-    lives: int = 1
+    incarnation: int = 1
 
     @property
     def running(self):
@@ -47,11 +47,11 @@
 
 
 class SoakWorld:
-    """Everything that one run starts.
+    """All processes, servers and relays of one run.
 
     Args:
-        module: Started as each gateway's program.
-        arguments: Its arguments.
+        module: Python module that each gateway process runs.
+        arguments: Command-line arguments of the module.
     """
 
     def __init__(self, module="pimentolatch.gateway", arguments=()):
@@ -63,7 +63,7 @@
         self.platform = platform.Platform()
         self.gateways = {}
         self.servers = {}
-        self.gone = []
+        self.removed_servers = []
         self.fatal_body = None
         self.version = 0
         self.routes = list(route_world.ROUTES)
@@ -72,14 +72,16 @@
             self.platform, self._store_host, STORE_PORT
         )
 
-    async def start(self, gateways, writers=3, readers=2, plain=3):
-        """Start the store, the servers and the gateways, and wait until all serve."""
+    async def start(
+        self, gateways, decode_engines=3, prefill_engines=2, plain_servers=3
+    ):
+        """Start the store, servers and gateways; wait until all gateways are ready."""
         await self.store.start()
         await self.configure()
         for service, stage, count in (
-            ("lm", "prefill", readers),
-            ("lm", "decode", writers),
-            ("app", None, plain),
+            ("lm", "prefill", prefill_engines),
+            ("lm", "decode", decode_engines),
+            ("app", None, plain_servers),
         ):
             for _ in range(count):
                 await self.add_server(service, stage)
@@ -89,70 +91,70 @@
         for name, host in hosts.items():
             self._add_gateway(name, host, seeds)
         for name in names:
-            await self.until_ready(name)
+            await self.wait_until_ready(name)
 
-    async def configure(self, added=None):
-        """Write a new version, with one more route if there is one to add."""
+    async def configure(self, new_route=None):
+        """Write a new version of the configuration, optionally with one more route."""
         self.version += 1
-        if added is not None:
-            self.routes.append(added)
+        if new_route is not None:
+            self.routes.append(new_route)
         spec = route_world.configuration(self.version, self.routes)
         await self.store.write("config", "main", spec)
 
     async def add_server(self, service, stage):
-        """Start a server behind a relay and list it."""
+        """Start a server behind a relay and write its entry to the store."""
         name = f"{stage or service}-{next(self._numbers)}"
         server = route_server.RouteServer(name, service, "here", stage)
         server.fatal_body = self.fatal_body
         await server.start()
-        front = (self._network.address(), SERVER_PORT)
-        self.relays.start(name, front, ("127.0.0.1", server.port))
-        server.advertised_address = f"{front[0]}:{front[1]}"
+        listener = (self._network.address(), SERVER_PORT)
+        self.relays.start(name, listener, ("127.0.0.1", server.port))
+        server.advertised_address = f"{listener[0]}:{listener[1]}"
         self.servers[name] = server
         await self.list_server(name)
         return server
 
     async def list_server(self, name):
-        """Write a server's entry as the server would."""
+        """Write a server's entry to the store, as the server itself does."""
         server = self.servers[name]
         await self.store.write(
             "servers", name, server.entry() | {"address": server.advertised_address}
         )
 
     async def remove_server(self, name):
-        """Stop a server for good and take its entry away, if that is not done yet."""
+        """Stop a server and delete its entry; does nothing if it was removed before."""
         server = self.servers.pop(name, None)
         if server is None:
             return
-        self.gone.append(server)
+        self.removed_servers.append(server)
         await server.stop()
         current = self.platform.table.get("servers", name)
         await self.platform.table.delete("servers", name, current.version)
 
-    async def replace_ended(self, stop):
-        """Have new servers in place of those that a request has ended."""
+    async def replace_crashed(self, stop):
+        """Replace servers that a request has crashed, until `stop` is set."""
         while not stop.is_set():
-            await asyncio.sleep(REPLACED_AFTER_S)
+            await asyncio.sleep(REPLACE_DELAY_S)
             for server in [s for s in self.servers.values() if s.crashed]:
                 await self.add_server(server.service, server.stage)
                 await self.remove_server(server.server_id)
 
     def restart(self, name):
-        """Start a gateway again; its old process must have ended."""
+        """Start a gateway again; its previous process must have exited."""
         gateway = self.gateways[name]
-        gateway.lives += 1
+        gateway.incarnation += 1
         gateway.popen = self._spawn(gateway.settings, gateway.log)
 
-    async def until_ready(self, name):
-        """Wait until a gateway tells the balancer that it is ready."""
-        for _ in range(round(START_LIMIT_S / POLL_S)):
+    async def wait_until_ready(self, name):
+        """Wait until a gateway reports to the load balancer that it is ready."""
+        for _ in range(round(START_TIMEOUT_S / POLL_S)):
             if await self.is_ready(name):
                 return
             await asyncio.sleep(POLL_S)
         raise TimeoutError(f"{name} is not ready")
 
     async def is_ready(self, name):
-        """Ask a gateway as the balancer does."""
+        """Query a gateway's readiness endpoint as the load balancer does."""
         try:
             async with asyncio.timeout(1.0):
                 reader, writer = await asyncio.open_connection(
@@ -165,16 +167,16 @@
             return False
         return b" 200 " in line
 
-    async def until(self, condition):
-        """Wait until something holds."""
-        for _ in range(round(START_LIMIT_S / POLL_S)):
+    async def wait_until(self, condition):
+        """Wait until `condition` returns true."""
+        for _ in range(round(START_TIMEOUT_S / POLL_S)):
             if condition():
                 return
             await asyncio.sleep(POLL_S)
         raise TimeoutError
 
     async def stop(self):
-        """End everything that was started, by id."""
+        """Stop every process and server that this object started."""
         for gateway in self.gateways.values():
             if gateway.running:
                 gateway.popen.send_signal(signal.SIGCONT)
@@ -186,7 +188,7 @@
         self.relays.stop()
 
     def logs(self):
-        """Return the log of each gateway."""
+        """Return the text of each gateway's log by gateway name."""
         return {
             name: gateway.log.read_text(encoding="utf-8")
             for name, gateway in self.gateways.items()
